--- a/crates/flow/src/core/warming.rs
+++ b/crates/flow/src/core/warming.rs
@@ -21,7 +21,7 @@
 
 /// How far apart a keeper's new flows to a cold upstream are.
 fn spacing(rate: Rate) -> Duration {
-    rate.spacing().map_or(Duration::MAX, |spacing| spacing * KEEPERS)
+    rate.interval().map_or(Duration::MAX, |spacing| spacing * KEEPERS)
 }
 
 impl Core {
--- a/crates/flow/src/entries.rs
+++ b/crates/flow/src/entries.rs
@@ -163,7 +163,7 @@
         if at <= self.at {
             return false;
         }
-        let is_first = self.at.is_none();
+        let is_first = self.at.is_unset();
         let listed = entries.iter().filter(|(_, entry)| !entry.gone);
         let listed: BTreeSet<UpstreamId> = listed.map(|(id, _)| *id).collect();
         for (id, held) in &self.by_id {
@@ -261,7 +261,7 @@
     /// Takes in single changes that lead from the place held, or an earlier one of its epoch, to `at`. Tells whether anything
     /// has changed.
     pub(crate) fn apply(&mut self, at: Position, changes: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
-        let is_next = at.epoch == self.at.epoch || self.at.is_none();
+        let is_next = at.epoch == self.at.epoch || self.at.is_unset();
         if at <= self.at || !is_next {
             return false;
         }
--- a/crates/flow/src/evacuations.rs
+++ b/crates/flow/src/evacuations.rs
@@ -53,7 +53,7 @@
     /// Puts others in place of those held.
     fn set(&mut self, new: Evacuations, now: Time) {
         let before = self.zones();
-        let is_later_epoch = !self.current.at.is_none() && new.at.epoch > self.current.at.epoch;
+        let is_later_epoch = !self.current.at.is_unset() && new.at.epoch > self.current.at.epoch;
         let changed: Vec<ZoneName> = self.current.zones.symmetric_difference(&new.zones).cloned().collect();
         self.current = new;
         if is_later_epoch {
@@ -81,7 +81,7 @@
         }
         read.zones.extend(self.current.zones.intersection(unreadable).cloned());
         self.confirmed_at = read.at;
-        let is_first = self.current.at.is_none();
+        let is_first = self.current.at.is_unset();
         let is_later_epoch = read.at.epoch > self.current.at.epoch;
         if !is_first && !is_later_epoch && read.zones == self.current.zones {
             return false;
--- a/crates/flow/src/knowledge.rs
+++ b/crates/flow/src/knowledge.rs
@@ -142,13 +142,13 @@
 
     /// Whether flows can be placed: there are a document and a list of upstreams, and it is known which zones are to be emptied.
     pub fn is_ready(&self) -> bool {
-        let knows_zones = !self.awaits_evacuations || !self.evacuations().at.is_none();
+        let knows_zones = !self.awaits_evacuations || !self.evacuations().at.is_unset();
         self.has_routes_and_upstreams() && knows_zones
     }
 
     /// Whether there are a document and a list of upstreams.
     pub fn has_routes_and_upstreams(&self) -> bool {
-        self.document().is_some() && !self.upstreams_at().is_none()
+        self.document().is_some() && !self.upstreams_at().is_unset()
     }
 
     /// One number that differs between two holders whenever one knows more than the other.
--- a/crates/jayquayd/src/forward/store.rs
+++ b/crates/jayquayd/src/forward/store.rs
@@ -157,7 +157,7 @@
         return;
     };
     let held = shared.core().knowledge().document_at();
-    if held.is_none() {
+    if held.is_unset() {
         log::error!("store: nothing is served, document unreadable at={at}, no other is known error=\"{why}\"");
     } else {
         log::warn!("store: document unreadable at={at}, the one at={held} stays in force error=\"{why}\"");
@@ -224,7 +224,7 @@
 /// The place from which a new watcher can go on without reading the whole list: it has it from another instance.
 fn held(shared: &Shared) -> Option<Position> {
     let at = shared.core().knowledge().upstreams_at();
-    (!at.is_none()).then_some(at)
+    (!at.is_unset()).then_some(at)
 }
 
 /// Reads the list of upstreams, unless another instance tells it meanwhile.
--- a/crates/jayquayd/src/forward/store/evacuations.rs
+++ b/crates/jayquayd/src/forward/store/evacuations.rs
@@ -32,7 +32,7 @@
     // Others tell all there is to know at once as a rule, and then nothing has to be read.
     shared.until(Knowledge::has_routes_and_upstreams).await;
     loop {
-        let is_needed = held_at().is_none();
+        let is_needed = held_at().is_unset();
         let is_settled = shared.clock.uptime() >= SETTLED;
         let role = Role::of(shared).filter(|_| is_needed || is_settled);
         let Some(role) = role else {
--- a/crates/units/src/id.rs
+++ b/crates/units/src/id.rs
@@ -19,7 +19,7 @@
 
 impl std::error::Error for ParseIdError {}
 
-macro_rules! id {
+macro_rules! define_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -44,27 +44,27 @@
     };
 }
 
-id! {
+define_id! {
     /// A flow, unique within the incarnation that issued its first token.
     FlowId
 }
-id! {
+define_id! {
     /// One life of a process under a name. A later life has a higher number.
     Incarnation
 }
-id! {
+define_id! {
     /// A number that a caller picks to match an answer to what it asked.
     Nonce
 }
-id! {
+define_id! {
     /// A request's number within its flow. A caller only counts up.
     RequestSeq
 }
-id! {
+define_id! {
     /// A configuration document's revision. It only grows.
     Revision
 }
-id! {
+define_id! {
     /// How often a store has come back from an older copy of itself. Each time it gives out revisions anew that it had given out
     /// before, so they order what it tells only within one epoch.
     Epoch
--- a/crates/units/src/name.rs
+++ b/crates/units/src/name.rs
@@ -37,7 +37,7 @@
 
 impl std::error::Error for NameError {}
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     let Some(first) = text.bytes().next() else {
         return Err(NameError::Empty);
     };
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-macro_rules! name {
+macro_rules! define_name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -78,7 +78,7 @@
             type Err = NameError;
 
             fn from_str(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(CompactString::new(text)))
             }
         }
@@ -87,7 +87,7 @@
             type Error = NameError;
 
             fn try_from(text: CompactString) -> Result<Self, NameError> {
-                check(&text)?;
+                validate(&text)?;
                 Ok(Self(text))
             }
         }
@@ -108,23 +108,23 @@
     };
 }
 
-name! {
+define_name! {
     /// The name of an entry instance.
     InstanceName
 }
-name! {
+define_name! {
     /// The name of a kind of request, such as `hold`.
     KindName
 }
-name! {
+define_name! {
     /// The name of a service, such as `availability`.
     ServiceName
 }
-name! {
+define_name! {
     /// The name of an upstream.
     UpstreamName
 }
-name! {
+define_name! {
     /// The name of an availability zone.
     ZoneName
 }
--- a/crates/units/src/position.rs
+++ b/crates/units/src/position.rs
@@ -15,7 +15,7 @@
 /// A store that comes back from an older copy gives out revisions anew, so a revision says nothing without its epoch. A place of the
 /// first epoch is written as its revision alone, `46`, and later ones with the epoch in front, `2/46`.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(from = "Form", into = "Form")]
+#[serde(from = "PositionRepr", into = "PositionRepr")]
 pub struct Position {
     /// How often the store had come back.
     pub epoch: Epoch,
@@ -30,7 +30,7 @@
     }
 
     /// Whether it names no place: what nothing is known of yet stands here.
-    pub fn is_none(self) -> bool {
+    pub fn is_unset(self) -> bool {
         self.revision == Revision(0)
     }
 }
@@ -66,21 +66,21 @@
 /// How a place is written in messages and pages. What knows no epochs reads and writes those of the first one.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
-enum Form {
+enum PositionRepr {
     First(Revision),
     Later(Epoch, Revision),
 }
 
-impl From<Form> for Position {
-    fn from(form: Form) -> Self {
-        match form {
-            Form::First(revision) => revision.into(),
-            Form::Later(epoch, revision) => Self::new(epoch, revision),
+impl From<PositionRepr> for Position {
+    fn from(repr: PositionRepr) -> Self {
+        match repr {
+            PositionRepr::First(revision) => revision.into(),
+            PositionRepr::Later(epoch, revision) => Self::new(epoch, revision),
         }
     }
 }
 
-impl From<Position> for Form {
+impl From<Position> for PositionRepr {
     fn from(position: Position) -> Self {
         let Position { epoch, revision } = position;
         if epoch == Epoch(0) {
--- a/crates/units/src/quantity.rs
+++ b/crates/units/src/quantity.rs
@@ -19,7 +19,7 @@
 
 impl std::error::Error for ParseQuantityError {}
 
-macro_rules! quantity {
+macro_rules! define_quantity {
     ($(#[$doc:meta])* $name:ident($raw:ty)) => {
         $(#[$doc])*
         #[derive(
@@ -44,15 +44,15 @@
     };
 }
 
-quantity! {
+define_quantity! {
     /// A size in bytes.
     Bytes(u64)
 }
-quantity! {
+define_quantity! {
     /// How many requests an upstream serves at a time.
     Slots(u16)
 }
-quantity! {
+define_quantity! {
     /// How much one completed request counts, relative to others.
     Weight(u32)
 }
--- a/crates/units/src/rate.rs
+++ b/crates/units/src/rate.rs
@@ -34,7 +34,7 @@
 
 impl Rate {
     /// The mean time from one to the next. `None` if there may be none at all.
-    pub fn spacing(self) -> Option<Duration> {
+    pub fn interval(self) -> Option<Duration> {
         (self.0 > 0).then(|| Duration::from_secs(1_000) / self.0)
     }
 }
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -37,8 +37,8 @@
 
     /// The time this long ago.
     #[must_use]
-    pub fn before(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    pub fn before(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 
@@ -51,8 +51,8 @@
 impl Add<Duration> for Time {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Self {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 }
@@ -86,8 +86,8 @@
 
 impl From<Duration> for Millis {
     /// Rounds up, so that "come back in" is never too soon.
-    fn from(span: Duration) -> Self {
-        let millis = span.as_micros().div_ceil(1_000);
+    fn from(duration: Duration) -> Self {
+        let millis = duration.as_micros().div_ceil(1_000);
         Self(u32::try_from(millis).unwrap_or(u32::MAX))
     }
 }
--- a/crates/units/tests/rate.rs
+++ b/crates/units/tests/rate.rs
@@ -6,7 +6,7 @@
 use units::RateError;
 
 #[test]
-fn a_rate_reads_as_it_shows() {
+fn display_and_parse_round_trip() {
     for (text, shown) in [("4", "4/s"), ("0.5/s", "0.5/s"), ("20.0", "20/s"), ("0", "0/s")] {
         let rate: Rate = text.parse().unwrap();
         assert_eq!(rate.to_string(), shown);
@@ -15,15 +15,15 @@
 }
 
 #[test]
-fn a_rate_gives_the_time_between_two() {
-    let spacing = |text: &str| text.parse::<Rate>().unwrap().spacing();
-    assert_eq!(spacing("4"), Some(Duration::from_millis(250)));
-    assert_eq!(spacing("0.5"), Some(Duration::from_secs(2)));
-    assert_eq!(spacing("0"), None);
+fn interval_is_the_inverse_of_the_rate() {
+    let interval = |text: &str| text.parse::<Rate>().unwrap().interval();
+    assert_eq!(interval("4"), Some(Duration::from_millis(250)));
+    assert_eq!(interval("0.5"), Some(Duration::from_secs(2)));
+    assert_eq!(interval("0"), None);
 }
 
 #[test]
-fn what_is_no_rate_is_refused_with_the_reason() {
+fn invalid_rates_are_rejected_with_the_cause() {
     assert!(matches!("fast".parse::<Rate>(), Err(RateError::NotANumber(_))));
     for number in [-1.0, f64::NAN, f64::INFINITY, 1e12] {
         assert!(
