--- a/crates/units/src/id.rs
+++ b/crates/units/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers made by the system itself.
+//! Numeric identifiers that the system assigns.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a text is not an identifier.
+/// Error for text that does not parse as an identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseIdError(ParseIntError);
 
@@ -49,29 +49,29 @@
     FlowId
 }
 define_id! {
-    /// One life of a process under a name. A later life has a higher number.
+    /// Identifies one run of a process under its name. A later run has a higher number.
     Incarnation
 }
 define_id! {
-    /// A number that a caller picks to match an answer to what it asked.
+    /// A number that a caller picks to match a reply to its request.
     Nonce
 }
 define_id! {
-    /// A request's number within its flow. A caller only counts up.
+    /// A request's sequence number within its flow. A caller only increases it.
     RequestSeq
 }
 define_id! {
-    /// A configuration document's revision. It only grows.
+    /// The revision of a configuration document. Revisions only increase within an [`Epoch`].
     Revision
 }
 define_id! {
-    /// How often a store has come back from an older copy of itself. Each time it gives out revisions anew that it had given out
-    /// before, so they order what it tells only within one epoch.
+    /// How many times a store has been restored from an older copy of its data. A restored store assigns revisions that it
+    /// had already assigned, so revisions are comparable only within one epoch.
     Epoch
 }
 
 impl RequestSeq {
-    /// The number after this one.
+    /// The next sequence number.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -79,7 +79,7 @@
 }
 
 impl Revision {
-    /// The revision after this one.
+    /// The next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names, identifiers, times, sizes and rates that every crate of jayquay shares.
+//! Shared value types: names, identifiers, times, sizes and rates.
 //!
-//! This crate knows no protocol, does no I/O and reads no clock.
+//! This crate implements no protocol, does no I/O and reads no clock.
 
 mod id;
 mod name;
--- a/crates/units/src/name.rs
+++ b/crates/units/src/name.rs
@@ -1,4 +1,4 @@
-//! Names given by operators: checked once, cheap to copy afterwards.
+//! Names given by operators. They are validated on construction and cheap to clone.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 63;
 
-/// Why a text is not a name.
+/// Error for text that is not a valid name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
@@ -19,7 +19,7 @@
     TooLong,
     /// The text does not start with a lower-case letter.
     Start,
-    /// The text holds something else than lower-case letters, digits and hyphens.
+    /// The text contains a character other than a lower-case letter, a digit or a hyphen.
     Character,
 }
 
@@ -62,7 +62,7 @@
         pub struct $name(CompactString);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -113,7 +113,7 @@
     InstanceName
 }
 define_name! {
-    /// The name of a kind of request, such as `hold`.
+    /// The name of a request kind, such as `hold`.
     KindName
 }
 define_name! {
--- a/crates/units/src/position.rs
+++ b/crates/units/src/position.rs
@@ -1,4 +1,4 @@
-//! Places in the history of a store that may come back from an older copy of itself.
+//! Positions in the history of a store that may be restored from an older copy of its data.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,33 +10,33 @@
 use crate::id::ParseIdError;
 use crate::id::Revision;
 
-/// A place in a store's history: later ones compare as greater.
+/// A position in a store's history. Later positions compare as greater.
 ///
-/// A store that comes back from an older copy gives out revisions anew, so a revision says nothing without its epoch. A place of the
-/// first epoch is written as its revision alone, `46`, and later ones with the epoch in front, `2/46`.
+/// A store that is restored from an older copy assigns the same revisions again, so a revision is ambiguous without its epoch. A
+/// position in epoch 0 is written as its revision alone, such as `46`; one in a later epoch has the epoch in front, such as `2/46`.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "PositionRepr", into = "PositionRepr")]
 pub struct Position {
-    /// How often the store had come back.
+    /// How many times the store had been restored from an older copy.
     pub epoch: Epoch,
-    /// Its revision.
+    /// The revision within that epoch.
     pub revision: Revision,
 }
 
 impl Position {
-    /// A place in an epoch.
+    /// Creates a position in the given epoch.
     pub fn new(epoch: Epoch, revision: Revision) -> Self {
         Self { epoch, revision }
     }
 
-    /// Whether it names no place: what nothing is known of yet stands here.
+    /// Whether this is the placeholder for a position that is not known yet. Any position with revision 0 is.
     pub fn is_unset(self) -> bool {
         self.revision == Revision(0)
     }
 }
 
 impl From<Revision> for Position {
-    /// A place in the first epoch.
+    /// Creates a position in epoch 0.
     fn from(revision: Revision) -> Self {
         Self::new(Epoch(0), revision)
     }
@@ -63,7 +63,7 @@
     }
 }
 
-/// How a place is written in messages and pages. What knows no epochs reads and writes those of the first one.
+/// The serialised form of a position. In epoch 0 it is the bare revision, which programs that know no epochs read and write too.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum PositionRepr {
--- a/crates/units/src/quantity.rs
+++ b/crates/units/src/quantity.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a text is not a quantity.
+/// Error for text that does not parse as a quantity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseQuantityError(ParseIntError);
 
@@ -49,10 +49,10 @@
     Bytes(u64)
 }
 define_quantity! {
-    /// How many requests an upstream serves at a time.
+    /// The number of requests that an upstream can serve concurrently.
     Slots(u16)
 }
 define_quantity! {
-    /// How much one completed request counts, relative to others.
+    /// The value of one completed request, relative to others.
     Weight(u32)
 }
--- a/crates/units/src/rate.rs
+++ b/crates/units/src/rate.rs
@@ -1,4 +1,4 @@
-//! How often something may happen.
+//! Event rates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,25 +7,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How often something may happen, in thousandths a second, so that two rates can be compared for equality.
+/// A rate of events, stored as an integer number of thousandths per second so that rates can be compared for equality.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rate(u32);
 
-/// Why something is no rate.
+/// Error for a value that is not a valid rate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RateError {
-    /// It is no number.
+    /// The text is not a number.
     NotANumber(String),
-    /// It is negative, infinite or too high.
+    /// The number is negative, not finite or too large.
     OutOfRange(String),
 }
 
 impl fmt::Display for RateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotANumber(text) => write!(f, "{text:?} is not a number a second"),
-            Self::OutOfRange(text) => write!(f, "{text} a second is not between 0 and {}", u32::MAX / 1_000),
+            Self::NotANumber(text) => write!(f, "{text:?} is not a number of events per second"),
+            Self::OutOfRange(text) => write!(f, "{text} per second is not between 0 and {}", u32::MAX / 1_000),
         }
     }
 }
@@ -33,7 +33,7 @@
 impl std::error::Error for RateError {}
 
 impl Rate {
-    /// The mean time from one to the next. `None` if there may be none at all.
+    /// Returns the mean interval between two events, or `None` if the rate is zero.
     pub fn interval(self) -> Option<Duration> {
         (self.0 > 0).then(|| Duration::from_secs(1_000) / self.0)
     }
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and short spans, as the pure crates see them.
+//! Timestamps and short durations, for crates that read no clock themselves.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a text is not a time or a span.
+/// Error for text that does not parse as a timestamp or a duration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseTimeError(ParseIntError);
 
@@ -21,28 +21,28 @@
 
 impl std::error::Error for ParseTimeError {}
 
-/// A point in time: microseconds since the Unix epoch, as the process's own clock tells it.
+/// A timestamp: microseconds since the Unix epoch, by the clock of the local process.
 ///
-/// A process reads the wall clock once, at its start, and counts on from there by its monotonic clock, so a
-/// `Time` never runs backwards within one incarnation.
+/// A process reads the wall clock once, when it starts, and adds the time elapsed on its monotonic clock, so timestamps
+/// never decrease within one incarnation.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// How long ago `earlier` was, zero if it lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The time this long ago.
+    /// Returns the timestamp that lies `duration` before `self`, or the Unix epoch if that would be earlier.
     #[must_use]
     pub fn before(self, duration: Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 
-    /// How long it is until `later`, zero if it has passed.
+    /// Returns the time remaining until `later`, or zero if `later` has passed.
     pub fn until(self, later: Self) -> Duration {
         later.since(self)
     }
@@ -66,26 +66,26 @@
 impl FromStr for Time {
     type Err = ParseTimeError;
 
-    /// Reads microseconds since the Unix epoch.
+    /// Parses microseconds since the Unix epoch.
     fn from_str(text: &str) -> Result<Self, ParseTimeError> {
         text.parse().map(Self).map_err(ParseTimeError)
     }
 }
 
-/// A span in milliseconds, as it stands in packets and settings.
+/// A duration in milliseconds, as encoded in packets and settings.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Millis(pub u32);
 
 impl Millis {
-    /// The span for the standard library.
+    /// Converts to a standard library duration.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0.into())
     }
 }
 
 impl From<Duration> for Millis {
-    /// Rounds up, so that "come back in" is never too soon.
+    /// Rounds up, so that a caller told to retry after this duration never retries too early.
     fn from(duration: Duration) -> Self {
         let millis = duration.as_micros().div_ceil(1_000);
         Self(u32::try_from(millis).unwrap_or(u32::MAX))
--- a/crates/units/tests/position.rs
+++ b/crates/units/tests/position.rs
@@ -1,4 +1,4 @@
-//! Places in a store's history: their order, and how they are written.
+//! Order and text form of store positions.
 
 use units::Epoch;
 use units::Position;
--- a/crates/units/tests/rate.rs
+++ b/crates/units/tests/rate.rs
@@ -1,4 +1,4 @@
-//! Rates are read, shown and spaced out.
+//! Parsing, display and intervals of rates.
 
 use std::time::Duration;
 
