--- a/crates/token/src/keyring.rs
+++ b/crates/token/src/keyring.rs
@@ -15,9 +15,9 @@
 /// The length of a token's MAC, in bytes.
 const MAC_LEN: usize = 16;
 /// Separates the keys of tokens from others derived of the same secret.
-const KEY_CONTEXT: &str = "jayquay 2026-12-02 flow token";
+const TOKEN_KEY_CONTEXT: &str = "jayquay 2026-12-02 flow token";
 /// How far ahead of the reader's clock a token's issue time may lie.
-const MAX_SKEW: Duration = Duration::from_mins(1);
+const MAX_CLOCK_SKEW: Duration = Duration::from_mins(1);
 
 /// A secret from the settings. It is never shown.
 #[derive(Clone, PartialEq, Eq)]
@@ -94,7 +94,7 @@
 
 impl Key {
     fn new(secret: &Secret) -> Self {
-        let bytes = secret.derive(KEY_CONTEXT);
+        let bytes = secret.derive(TOKEN_KEY_CONTEXT);
         let id = blake3::hash(&bytes).as_bytes()[0];
         Self { id, bytes }
     }
@@ -144,10 +144,10 @@
 
     /// Checks a token and reads what it says. The MAC is checked before anything is read.
     pub fn open(&self, sealed: &Sealed, now: Time) -> Result<Claims, TokenError> {
-        let Some(split) = sealed.0.len().checked_sub(MAC_LEN) else {
+        let Some(mac_start) = sealed.0.len().checked_sub(MAC_LEN) else {
             return Err(TokenError::Malformed);
         };
-        let (signed, mac) = sealed.0.split_at(split);
+        let (signed, mac) = sealed.0.split_at(mac_start);
         let Some(id) = signed.first() else {
             return Err(TokenError::Malformed);
         };
@@ -156,7 +156,7 @@
             if key.id != *id {
                 continue;
             }
-            if !matches(&key.bytes, signed, mac) {
+            if !mac_matches(&key.bytes, signed, mac) {
                 error = TokenError::Forged;
                 continue;
             }
@@ -167,9 +167,9 @@
     }
 
     fn check_age(&self, claims: Claims, now: Time) -> Result<Claims, TokenError> {
-        let too_old = now.since(claims.issued) > self.lifetime;
-        let too_new = now.until(claims.issued) > MAX_SKEW;
-        if too_old || too_new {
+        let is_expired = now.since(claims.issued) > self.lifetime;
+        let is_from_future = now.until(claims.issued) > MAX_CLOCK_SKEW;
+        if is_expired || is_from_future {
             return Err(TokenError::Expired);
         }
         Ok(claims)
@@ -177,7 +177,7 @@
 }
 
 /// Compares in constant time.
-fn matches(key: &[u8; 32], signed: &[u8], mac: &[u8]) -> bool {
+fn mac_matches(key: &[u8; 32], signed: &[u8], mac: &[u8]) -> bool {
     let expected = blake3::keyed_hash(key, signed);
     let mut difference = 0;
     for (a, b) in expected.as_bytes()[..MAC_LEN].iter().zip(mac) {
--- a/crates/token/tests/keyring.rs
+++ b/crates/token/tests/keyring.rs
@@ -47,7 +47,7 @@
 }
 
 /// The largest claims that names allow.
-fn largest() -> Claims {
+fn largest_claims() -> Claims {
     let name: String = std::iter::repeat_n('a', 63).collect();
     Claims {
         service: name.parse().expect("a valid name"),
@@ -61,20 +61,20 @@
 }
 
 /// Checks what becomes of a token that one keyring sealed and another opens after some time.
-fn check(sealing: &Keyring, opening: &Keyring, now: Time, expected: Result<(), TokenError>) {
-    let sealed = sealing.seal(&claims());
-    assert_eq!(opening.open(&sealed, now), expected.map(|()| claims()));
+fn assert_opens(issuer: &Keyring, verifier: &Keyring, now: Time, expected: Result<(), TokenError>) {
+    let sealed = issuer.seal(&claims());
+    assert_eq!(verifier.open(&sealed, now), expected.map(|()| claims()));
 }
 
 #[test]
-fn keys() {
+fn opens_only_with_a_known_key() {
     let now = ISSUED;
-    check(&keyring('a', &[]), &keyring('a', &[]), now, Ok(()));
+    assert_opens(&keyring('a', &[]), &keyring('a', &[]), now, Ok(()));
     // While a key is rotated, some instances already seal with the new one and others still with the old one.
-    check(&keyring('a', &[]), &keyring('b', &['a']), now, Ok(()));
-    check(&keyring('b', &['a']), &keyring('a', &['b']), now, Ok(()));
-    check(&keyring('a', &[]), &keyring('b', &[]), now, Err(TokenError::UnknownKey));
-    check(
+    assert_opens(&keyring('a', &[]), &keyring('b', &['a']), now, Ok(()));
+    assert_opens(&keyring('b', &['a']), &keyring('a', &['b']), now, Ok(()));
+    assert_opens(&keyring('a', &[]), &keyring('b', &[]), now, Err(TokenError::UnknownKey));
+    assert_opens(
         &keyring('a', &[]),
         &keyring('b', &['c']),
         now,
@@ -83,64 +83,64 @@
 }
 
 #[test]
-fn ages() {
+fn expired_and_future_tokens_are_refused() {
     let ring = keyring('a', &[]);
     let minute = Duration::from_mins(1);
-    check(&ring, &ring, ISSUED + LIFETIME, Ok(()));
-    check(
+    assert_opens(&ring, &ring, ISSUED + LIFETIME, Ok(()));
+    assert_opens(
         &ring,
         &ring,
         ISSUED + LIFETIME + Duration::from_micros(1),
         Err(TokenError::Expired),
     );
     // Clocks differ a little, but not by more than a minute.
-    let ahead = Time(ISSUED.0 - u64::try_from(minute.as_micros()).expect("a minute is short"));
-    check(&ring, &ring, ahead, Ok(()));
-    check(&ring, &ring, Time(ahead.0 - 1), Err(TokenError::Expired));
+    let earliest = Time(ISSUED.0 - u64::try_from(minute.as_micros()).expect("a minute is short"));
+    assert_opens(&ring, &ring, earliest, Ok(()));
+    assert_opens(&ring, &ring, Time(earliest.0 - 1), Err(TokenError::Expired));
 }
 
 #[test]
-fn every_bit_counts() {
+fn any_flipped_bit_invalidates_a_token() {
     let ring = keyring('a', &['b']);
     let sealed = ring.seal(&claims());
-    for at in 0..sealed.0.len() {
+    for index in 0..sealed.0.len() {
         for bit in 0..8 {
             let mut bytes = sealed.0.to_vec();
-            bytes[at] ^= 1 << bit;
+            bytes[index] ^= 1 << bit;
             let opened = ring.open(&Sealed(ByteBuf::from(bytes)), ISSUED);
             // The first byte names the key.
-            let expected = if at == 0 {
+            let expected = if index == 0 {
                 TokenError::UnknownKey
             } else {
                 TokenError::Forged
             };
-            assert_eq!(opened, Err(expected), "bit {bit} of byte {at}");
+            assert_eq!(opened, Err(expected), "bit {bit} of byte {index}");
         }
     }
 }
 
 #[test]
-fn every_byte_counts() {
+fn truncated_and_extended_tokens_are_refused() {
     let ring = keyring('a', &[]);
     let sealed = ring.seal(&claims());
     for len in 0..sealed.0.len() {
-        let cut = Sealed(ByteBuf::from(&sealed.0[..len]));
+        let truncated = Sealed(ByteBuf::from(&sealed.0[..len]));
         let expected = if len <= 16 {
             TokenError::Malformed
         } else {
             TokenError::Forged
         };
-        assert_eq!(ring.open(&cut, ISSUED), Err(expected), "cut to {len} bytes");
+        assert_eq!(ring.open(&truncated, ISSUED), Err(expected), "cut to {len} bytes");
     }
-    let mut longer = sealed.0.to_vec();
-    longer.push(0);
-    let longer = Sealed(ByteBuf::from(longer));
-    assert_eq!(ring.open(&longer, ISSUED), Err(TokenError::Forged));
+    let mut extended = sealed.0.to_vec();
+    extended.push(0);
+    let extended = Sealed(ByteBuf::from(extended));
+    assert_eq!(ring.open(&extended, ISSUED), Err(TokenError::Forged));
 }
 
 /// A token of one deployment is worth nothing in another, and neither are the bytes of an unrelated hash.
 #[test]
-fn secrets() {
+fn secrets_are_validated_redacted_and_derived_per_purpose() {
     assert_eq!("short".parse::<Secret>(), Err(SecretError));
     assert_eq!(format!("{:?}", secret('a')), "Secret(..)");
     let other = secret('a').derive("another purpose");
@@ -149,7 +149,7 @@
 
 /// The largest token still leaves room for a full chunk.
 #[test]
-fn a_full_chunk_fits() {
+fn full_chunk_with_largest_token_fits_in_a_packet() {
     let ring = keyring('a', &[]);
     let answer = Answer::new(vec![0; u16::MAX.into()]);
     let reply = Reply::Chunk(Chunk {
@@ -162,7 +162,7 @@
         index: u32::MAX,
         data: ByteBuf::from(answer.chunk(0).expect("the answer has a chunk")),
         granted: Some(Granted {
-            token: ring.seal(&largest()),
+            token: ring.seal(&largest_claims()),
             floor: RequestSeq(u64::MAX),
         }),
     });
@@ -172,8 +172,8 @@
 
 /// The callers' page promises room for this many bytes of body, whatever the names.
 #[test]
-fn a_promised_body_fits() {
-    let largest = largest();
+fn documented_body_size_fits_with_largest_token() {
+    let largest = largest_claims();
     let packet = Packet::Request(wire::Request {
         token: keyring('a', &[]).seal(&largest),
         service: largest.service.clone(),
