--- a/crates/token/benches/keyring.rs
+++ b/crates/token/benches/keyring.rs
@@ -1,4 +1,4 @@
-//! What sealing and checking a token costs.
+//! Cost of sealing and opening a token.
 
 use std::time::Duration;
 
--- a/crates/token/src/claims.rs
+++ b/crates/token/src/claims.rs
@@ -1,4 +1,4 @@
-//! What a token says.
+//! Contents of a flow token.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,21 +10,21 @@
 use units::Time;
 use units::UpstreamName;
 
-/// What a token says of its flow.
+/// The contents of a flow token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     /// The service of the flow.
     pub service: ServiceName,
     /// The instance that owns the flow.
     pub owner: InstanceName,
-    /// The life of that instance that owns the flow.
+    /// The incarnation of the owner.
     pub incarnation: Incarnation,
-    /// The flow.
+    /// The flow's identifier, unique within the owner's incarnation.
     pub flow: FlowId,
-    /// Requests up to this number are not run under this token.
+    /// Requests with this sequence number or a lower one are not run under this token.
     pub floor: RequestSeq,
-    /// The upstream that the flow keeps, where the service pins flows.
+    /// The upstream that the flow is pinned to, if the service pins flows.
     pub pinned: Option<UpstreamName>,
-    /// When the token was issued, by the issuer's clock.
+    /// When the token was issued, according to the issuer's clock.
     pub issued: Time,
 }
--- a/crates/token/src/keyring.rs
+++ b/crates/token/src/keyring.rs
@@ -1,4 +1,6 @@
-//! Keys, and the sealing and opening of tokens.
+//! Keys, and sealing and opening of tokens.
+//!
+//! Sealing appends a MAC; the claims are authenticated but not encrypted.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,20 +12,20 @@
 
 use crate::Claims;
 
-/// The shortest secret, in characters.
+/// The minimum length of a secret, in bytes.
 const MIN_SECRET_LEN: usize = 32;
 /// The length of a token's MAC, in bytes.
 const MAC_LEN: usize = 16;
-/// Separates the keys of tokens from others derived of the same secret.
+/// Domain separation from other keys derived from the same secret.
 const TOKEN_KEY_CONTEXT: &str = "jayquay 2026-12-02 flow token";
-/// How far ahead of the reader's clock a token's issue time may lie.
+/// How far a token's issue time may be ahead of the local clock.
 const MAX_CLOCK_SKEW: Duration = Duration::from_mins(1);
 
-/// A secret from the settings. It is never shown.
+/// A secret from the settings. Its `Debug` output is redacted.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
-/// A secret is too short.
+/// Error for a secret that is too short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SecretError;
 
@@ -53,7 +55,7 @@
 }
 
 impl Secret {
-    /// Derives a key for one purpose, named by a context that no other purpose uses.
+    /// Derives a key for one purpose. Each purpose must use its own `context`.
     pub fn derive(&self, context: &str) -> [u8; 32] {
         blake3::derive_key(context, self.0.as_bytes())
     }
@@ -62,13 +64,13 @@
 /// Why a token was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TokenError {
-    /// It is too short to be a token, or what it says cannot be read.
+    /// It is too short to be a token, or its claims cannot be decoded.
     Malformed,
-    /// It names a key that is not held.
+    /// Its key is not in the keyring.
     UnknownKey,
     /// Its MAC does not match.
     Forged,
-    /// It is too old, or from the future.
+    /// It is older than the token lifetime, or issued too far in the future.
     Expired,
 }
 
@@ -100,7 +102,7 @@
     }
 }
 
-/// The keys that an instance holds: it seals with the current one and opens with each.
+/// The token keys of an instance. Tokens are sealed with the current key and opened with any of them.
 #[derive(Clone)]
 pub struct Keyring {
     keys: Vec<Key>,
@@ -114,19 +116,19 @@
 }
 
 impl Keyring {
-    /// A keyring that seals with `current`, also opens with `previous`, and lets tokens live for `lifetime`.
+    /// Creates a keyring that seals with `current`, opens with `current` and `previous`, and accepts tokens for `lifetime`.
     pub fn new(current: &Secret, previous: &[Secret], lifetime: Duration) -> Self {
         let mut keys = vec![Key::new(current)];
         keys.extend(previous.iter().map(Key::new));
         Self { keys, lifetime }
     }
 
-    /// How long a token lives.
+    /// How long a token is valid after it was issued.
     pub fn lifetime(&self) -> Duration {
         self.lifetime
     }
 
-    /// Whether a token was sealed with the current key.
+    /// Whether a token names the current key. The MAC is not checked.
     pub fn is_current(&self, sealed: &Sealed) -> bool {
         sealed.0.first() == Some(&self.keys[0].id)
     }
@@ -136,13 +138,13 @@
         let key = &self.keys[0];
         let mut bytes = Vec::with_capacity(160);
         bytes.push(key.id);
-        let mut bytes = postcard::to_extend(claims, bytes).expect("claims always have a postcard form");
+        let mut bytes = postcard::to_extend(claims, bytes).expect("claims can always be serialised");
         let mac = blake3::keyed_hash(&key.bytes, &bytes);
         bytes.extend_from_slice(&mac.as_bytes()[..MAC_LEN]);
         Sealed(ByteBuf::from(bytes))
     }
 
-    /// Checks a token and reads what it says. The MAC is checked before anything is read.
+    /// Verifies a token and decodes its claims. The MAC is checked before anything is decoded.
     pub fn open(&self, sealed: &Sealed, now: Time) -> Result<Claims, TokenError> {
         let Some(mac_start) = sealed.0.len().checked_sub(MAC_LEN) else {
             return Err(TokenError::Malformed);
@@ -176,7 +178,7 @@
     }
 }
 
-/// Compares in constant time.
+/// Checks a MAC in constant time.
 fn mac_matches(key: &[u8; 32], signed: &[u8], mac: &[u8]) -> bool {
     let expected = blake3::keyed_hash(key, signed);
     let mut difference = 0;
--- a/crates/token/src/lib.rs
+++ b/crates/token/src/lib.rs
@@ -1,7 +1,7 @@
-//! Flow tokens: what an instance must know to route a packet, sealed by a keyed hash.
+//! Flow tokens: the data that an instance needs to route a packet, authenticated by a keyed hash.
 //!
-//! This crate does no I/O and reads no clock. It tells whether a token is genuine and what it says, and leaves
-//! open whether the owner it names still lives.
+//! This crate does no I/O and reads no clock. It verifies and decodes tokens, and does not check whether the owner named
+//! in a token is still alive.
 
 mod claims;
 mod keyring;
--- a/crates/token/tests/keyring.rs
+++ b/crates/token/tests/keyring.rs
@@ -1,4 +1,4 @@
-//! What a keyring takes and what it refuses.
+//! Which tokens a keyring accepts and refuses, and how large tokens get.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The largest claims that names allow.
+/// Claims with the longest names and the largest numbers.
 fn largest_claims() -> Claims {
     let name: String = std::iter::repeat_n('a', 63).collect();
     Claims {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Checks what becomes of a token that one keyring sealed and another opens after some time.
+/// Asserts the result of opening, at `now`, a token that another keyring sealed.
 fn assert_opens(issuer: &Keyring, verifier: &Keyring, now: Time, expected: Result<(), TokenError>) {
     let sealed = issuer.seal(&claims());
     assert_eq!(verifier.open(&sealed, now), expected.map(|()| claims()));
@@ -70,7 +70,7 @@
 fn opens_only_with_a_known_key() {
     let now = ISSUED;
     assert_opens(&keyring('a', &[]), &keyring('a', &[]), now, Ok(()));
-    // While a key is rotated, some instances already seal with the new one and others still with the old one.
+    // During key rotation some instances already seal with the new key while others still use the old one.
     assert_opens(&keyring('a', &[]), &keyring('b', &['a']), now, Ok(()));
     assert_opens(&keyring('b', &['a']), &keyring('a', &['b']), now, Ok(()));
     assert_opens(&keyring('a', &[]), &keyring('b', &[]), now, Err(TokenError::UnknownKey));
@@ -93,7 +93,7 @@
         ISSUED + LIFETIME + Duration::from_micros(1),
         Err(TokenError::Expired),
     );
-    // Clocks differ a little, but not by more than a minute.
+    // Clock skew of up to one minute is tolerated.
     let earliest = Time(ISSUED.0 - u64::try_from(minute.as_micros()).expect("a minute is short"));
     assert_opens(&ring, &ring, earliest, Ok(()));
     assert_opens(&ring, &ring, Time(earliest.0 - 1), Err(TokenError::Expired));
@@ -108,7 +108,7 @@
             let mut bytes = sealed.0.to_vec();
             bytes[index] ^= 1 << bit;
             let opened = ring.open(&Sealed(ByteBuf::from(bytes)), ISSUED);
-            // The first byte names the key.
+            // The first byte is the key identifier.
             let expected = if index == 0 {
                 TokenError::UnknownKey
             } else {
@@ -130,7 +130,7 @@
         } else {
             TokenError::Forged
         };
-        assert_eq!(ring.open(&truncated, ISSUED), Err(expected), "cut to {len} bytes");
+        assert_eq!(ring.open(&truncated, ISSUED), Err(expected), "truncated to {len} bytes");
     }
     let mut extended = sealed.0.to_vec();
     extended.push(0);
@@ -138,7 +138,7 @@
     assert_eq!(ring.open(&extended, ISSUED), Err(TokenError::Forged));
 }
 
-/// A token of one deployment is worth nothing in another, and neither are the bytes of an unrelated hash.
+/// Keys derived from one secret for different purposes must differ, or a MAC made for one purpose would pass for another.
 #[test]
 fn secrets_are_validated_redacted_and_derived_per_purpose() {
     assert_eq!("short".parse::<Secret>(), Err(SecretError));
@@ -147,7 +147,7 @@
     assert_ne!(other, secret('a').derive("a purpose"));
 }
 
-/// The largest token still leaves room for a full chunk.
+/// A reply with a full chunk must fit into one packet even with the largest token.
 #[test]
 fn full_chunk_with_largest_token_fits_in_a_packet() {
     let ring = keyring('a', &[]);
@@ -170,7 +170,7 @@
     assert!(len <= MAX_PACKET_LEN, "the reply has {len} bytes");
 }
 
-/// The callers' page promises room for this many bytes of body, whatever the names.
+/// The documentation for callers guarantees room for a body of 700 bytes, however long the names are.
 #[test]
 fn documented_body_size_fits_with_largest_token() {
     let largest = largest_claims();
