--- a/crates/balance/benches/pool.rs
+++ b/crates/balance/benches/pool.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use balance::Ask;
 use balance::Decision;
 use balance::Pool;
+use balance::SlotRequest;
 use config::Affinity;
 use config::Service;
 use config::Sharing;
@@ -43,8 +43,8 @@
     }
 }
 
-fn ask(key: u64, now: Time) -> Ask<u64> {
-    Ask {
+fn request(key: u64, now: Time) -> SlotRequest<u64> {
+    SlotRequest {
         key,
         weight: Weight(1),
         zone: "z1".parse().unwrap(),
@@ -56,7 +56,7 @@
 
 /// Settles the oldest request and asks anew, with this many upstreams, all busy but one slot, and so many waiting.
 #[divan::bench(args = [(14, 0), (14, 300), (200, 0), (200, 300), (200, 3_000)])]
-fn settle_and_ask(bencher: Bencher<'_, '_>, (upstreams, waiting): (usize, u64)) {
+fn settle_and_acquire(bencher: Bencher<'_, '_>, (upstreams, waiting): (usize, u64)) {
     let mut now = Time(1_000_000);
     let mut pool = Pool::new(&service(upstreams), 1, now);
     let mut out = Vec::new();
@@ -64,7 +64,7 @@
     let mut key = 0;
     for _ in 0..upstreams as u64 * 2 - 1 + waiting {
         key += 1;
-        pool.ask(ask(key, now), now, &mut out);
+        pool.acquire(request(key, now), now, &mut out);
     }
     bencher.bench_local(|| {
         for decision in out.drain(..) {
@@ -76,6 +76,6 @@
         let oldest = running.pop_front().unwrap();
         pool.settle(&oldest, Outcome::Completed, Duration::from_millis(5), now, &mut out);
         key += 1;
-        pool.ask(ask(key, now), now, &mut out);
+        pool.acquire(request(key, now), now, &mut out);
     });
 }
--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -10,31 +10,31 @@
 use crate::Report;
 
 /// Failures in a row after which an upstream is ejected, if others do better.
-const MAX_CONSECUTIVE: u32 = 5;
+const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 /// How much larger its smoothed share of failed calls must be than is usual for the service.
-const WORSE: f64 = 0.3;
+const MIN_EXCESS_FAILURE_RATE: f64 = 0.3;
 /// The smoothed share of failed calls above which an upstream is ejected without failures in a row.
-const MAX_FAILURES: f64 = 0.6;
+const MAX_FAILURE_RATE: f64 = 0.6;
 /// How much one call counts in the smoothed share of failed calls.
-const GAIN: f64 = 0.1;
+const FAILURE_RATE_GAIN: f64 = 0.1;
 /// How long the first ejection lasts.
 const MIN_EJECTION: Duration = Duration::from_secs(1);
 /// How long an ejection lasts at most.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
 /// After this long without an ejection, the next one is short again.
-const FORGIVEN: Duration = Duration::from_secs(90);
+const EJECTION_BACKOFF_RESET: Duration = Duration::from_secs(90);
 /// Successes in a row that take a probed upstream back.
-const PROBES: u32 = 3;
+const SUCCESSFUL_PROBES: u32 = 3;
 /// How long a success outweighs a bad report.
-const TRUST: Duration = Duration::from_secs(3);
+const RECENT_SUCCESS: Duration = Duration::from_secs(3);
 /// How many polls in a row must fail or be bad before they count.
 const MAX_BAD_REPORTS: u32 = 3;
 
 /// What calls have shown of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum HealthState {
     /// It serves.
-    Fit,
+    Healthy,
     /// It gets nothing until then.
     Ejected(Time),
     /// It is tried with one request at a time; so many have succeeded.
@@ -44,10 +44,10 @@
 /// Health of one upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct Health {
-    pub(crate) verdict: Verdict,
+    pub(crate) state: HealthState,
     /// The smoothed share of calls that failed.
-    pub(crate) failures: f64,
-    consecutive: u32,
+    pub(crate) failure_rate: f64,
+    consecutive_failures: u32,
     ejections: u32,
     bad_reports: u32,
     last_success: Option<Time>,
@@ -57,9 +57,9 @@
 impl Health {
     pub(crate) fn new() -> Self {
         Self {
-            verdict: Verdict::Fit,
-            failures: 0.0,
-            consecutive: 0,
+            state: HealthState::Healthy,
+            failure_rate: 0.0,
+            consecutive_failures: 0,
             ejections: 0,
             bad_reports: 0,
             last_success: None,
@@ -69,38 +69,38 @@
 
     /// A call ended. Outcomes that say nothing about health change nothing.
     ///
-    /// `usual` is the share of failed calls of the service's median upstream.
-    pub(crate) fn settle(&mut self, outcome: Outcome, usual: f64, now: Time, rng: &mut SmallRng) {
+    /// `median` is the share of failed calls of the service's median upstream.
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome, median: f64, now: Time, rng: &mut SmallRng) {
         match outcome {
-            Outcome::Completed => self.succeed(now),
-            Outcome::Failed | Outcome::Unreachable | Outcome::TimedOut => self.fail(usual, now, rng),
+            Outcome::Completed => self.record_success(now),
+            Outcome::Failed | Outcome::Unreachable | Outcome::TimedOut => self.record_failure(median, now, rng),
             Outcome::Shed | Outcome::Draining | Outcome::Unused => {}
         }
     }
 
-    fn succeed(&mut self, now: Time) {
+    fn record_success(&mut self, now: Time) {
         self.last_success = Some(now);
-        self.consecutive = 0;
+        self.consecutive_failures = 0;
         self.bad_reports = 0;
-        self.failures -= self.failures * GAIN;
-        let Verdict::Probing(passed) = self.verdict else {
+        self.failure_rate -= self.failure_rate * FAILURE_RATE_GAIN;
+        let HealthState::Probing(successes) = self.state else {
             return;
         };
-        if passed + 1 < PROBES {
-            self.verdict = Verdict::Probing(passed + 1);
+        if successes + 1 < SUCCESSFUL_PROBES {
+            self.state = HealthState::Probing(successes + 1);
             return;
         }
-        self.verdict = Verdict::Fit;
-        self.failures = 0.0;
+        self.state = HealthState::Healthy;
+        self.failure_rate = 0.0;
     }
 
-    fn fail(&mut self, usual: f64, now: Time, rng: &mut SmallRng) {
-        self.consecutive += 1;
-        self.failures += (1.0 - self.failures) * GAIN;
-        let eject = match self.verdict {
-            Verdict::Fit => self.stands_out(usual),
-            Verdict::Probing(_) => true,
-            Verdict::Ejected(_) => false,
+    fn record_failure(&mut self, median: f64, now: Time, rng: &mut SmallRng) {
+        self.consecutive_failures += 1;
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_GAIN;
+        let eject = match self.state {
+            HealthState::Healthy => self.is_outlier(median),
+            HealthState::Probing(_) => true,
+            HealthState::Ejected(_) => false,
         };
         if eject {
             self.eject(now, rng);
@@ -108,50 +108,50 @@
     }
 
     /// Whether it fails so much more than others that it is to blame, and not what they share.
-    fn stands_out(&self, usual: f64) -> bool {
-        let bad = self.consecutive >= MAX_CONSECUTIVE || self.failures > MAX_FAILURES;
-        bad && self.failures > usual + WORSE
+    fn is_outlier(&self, median: f64) -> bool {
+        let bad = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES || self.failure_rate > MAX_FAILURE_RATE;
+        bad && self.failure_rate > median + MIN_EXCESS_FAILURE_RATE
     }
 
     fn eject(&mut self, now: Time, rng: &mut SmallRng) {
-        if now.since(self.last_ejection) > FORGIVEN {
+        if now.since(self.last_ejection) > EJECTION_BACKOFF_RESET {
             self.ejections = 0;
         }
         self.last_ejection = now;
-        let span = MIN_EJECTION
+        let duration = MIN_EJECTION
             .saturating_mul(1 << self.ejections.min(5))
             .min(MAX_EJECTION);
         // The spread keeps upstreams that failed together from being probed together.
-        let spread = rng.random_range(0.8..1.2);
+        let jitter = rng.random_range(0.8..1.2);
         self.ejections += 1;
-        self.verdict = Verdict::Ejected(now + span.mul_f64(spread));
+        self.state = HealthState::Ejected(now + duration.mul_f64(jitter));
     }
 
     /// A report came, or a poll failed. Only several bad ones in a row count, and only without any late success.
-    pub(crate) fn report(&mut self, report: Option<Report>, now: Time, rng: &mut SmallRng) {
+    pub(crate) fn record_report(&mut self, report: Option<Report>, now: Time, rng: &mut SmallRng) {
         if report.is_some_and(|report| report.healthy) {
             self.bad_reports = 0;
             return;
         }
-        let trusted = self.last_success.is_some_and(|at| now.since(at) < TRUST);
-        if trusted {
+        let succeeded_recently = self.last_success.is_some_and(|at| now.since(at) < RECENT_SUCCESS);
+        if succeeded_recently {
             self.bad_reports = 0;
             return;
         }
         self.bad_reports += 1;
-        if self.bad_reports >= MAX_BAD_REPORTS && self.verdict == Verdict::Fit {
+        if self.bad_reports >= MAX_BAD_REPORTS && self.state == HealthState::Healthy {
             self.eject(now, rng);
         }
     }
 
     /// Lets an ejection end.
     pub(crate) fn tick(&mut self, now: Time) {
-        let Verdict::Ejected(until) = self.verdict else {
+        let HealthState::Ejected(until) = self.state else {
             return;
         };
         if until <= now {
-            self.verdict = Verdict::Probing(0);
-            self.consecutive = 0;
+            self.state = HealthState::Probing(0);
+            self.consecutive_failures = 0;
         }
     }
 }
--- a/crates/balance/src/held.rs
+++ b/crates/balance/src/leases.rs
@@ -22,12 +22,12 @@
 
 /// All slots that are lent, by key and by expiry.
 #[derive(Debug, Clone)]
-pub(crate) struct Held<K> {
+pub(crate) struct Leases<K> {
     leases: BTreeMap<K, Lease>,
     expiries: BTreeSet<(Time, K)>,
 }
 
-impl<K: Clone + Ord> Held<K> {
+impl<K: Clone + Ord> Leases<K> {
     pub(crate) fn new() -> Self {
         Self {
             leases: BTreeMap::new(),
@@ -64,7 +64,7 @@
     }
 
     /// Takes one slot back whose expiry has passed.
-    pub(crate) fn expire(&mut self, now: Time) -> Option<Lease> {
+    pub(crate) fn pop_expired(&mut self, now: Time) -> Option<Lease> {
         let (expiry, key) = self.expiries.first()?;
         if *expiry > now {
             return None;
@@ -74,7 +74,7 @@
     }
 
     /// Lets the slots of keys that fail `keep` expire at their deadline, without the margin.
-    pub(crate) fn hasten(&mut self, keep: impl Fn(&K) -> bool) {
+    pub(crate) fn expire_at_deadline(&mut self, keep: impl Fn(&K) -> bool) {
         let Self { leases, expiries } = self;
         for (key, lease) in leases {
             if keep(key) {
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -4,20 +4,20 @@
 //! I/O, reads no clock and draws no randomness but from the seed it is given. It knows nothing of flows, of instances
 //! or of how a request reaches its upstream, and it never tells whether a request has run.
 
-mod ask;
-mod budget;
-mod estimate;
 mod health;
-mod held;
+mod leases;
 mod placement;
 mod pool;
 mod queue;
+mod request;
+mod retry_budget;
+mod service_time;
 mod status;
 mod target;
 
-pub use ask::Ask;
-pub use ask::Decision;
 pub use pool::Pool;
+pub use request::Decision;
+pub use request::SlotRequest;
 pub use status::Report;
 pub use status::State;
 pub use status::UpstreamStatus;
--- a/crates/balance/src/placement.rs
+++ b/crates/balance/src/placement.rs
@@ -9,87 +9,91 @@
 use units::ZoneName;
 use wire::Reason;
 
-use crate::Ask;
 use crate::Decision;
 use crate::Pool;
-use crate::held::Lease;
-use crate::pool::MARGIN;
-use crate::queue::Place;
-use crate::queue::victim;
+use crate::SlotRequest;
+use crate::leases::Lease;
+use crate::pool::EXPIRY_MARGIN;
+use crate::queue::QueuePosition;
+use crate::queue::request_to_shed;
 use crate::target::Target;
 
 /// How much more loaded an upstream in the request's own availability zone may look and still go first.
 const LOCAL_BONUS: f64 = 0.5;
 /// For how many seconds a queue may stand before requests are refused that could still be met.
-const BURST: f64 = 5.0;
+const BURST_TOLERANCE: f64 = 5.0;
 /// What share of its time a request may wait when the queue has stood for long.
-const LEAST_PATIENCE: f64 = 0.25;
+const MIN_WAIT_SHARE: f64 = 0.25;
 /// How many waiting requests are looked at when the first ones can use none of the free slots.
 const LOOK_AHEAD: usize = 8;
 
 impl<K: Clone + Ord + Hash + Debug> Pool<K> {
     /// Brings the view of the upstreams up to date and gives out what that makes free.
-    pub(crate) fn settle_view(&mut self, now: Time, out: &mut Vec<Decision<K>>) {
-        self.targets.retain(|target| !target.is_over());
-        self.distrust = self.most_look_unhealthy();
-        for name in self.queue.pins() {
-            if !self.keeps(&name) {
+    pub(crate) fn refresh(&mut self, now: Time, out: &mut Vec<Decision<K>>) {
+        self.targets.retain(|target| !target.can_be_dropped());
+        self.panic_mode = self.most_look_unhealthy();
+        for name in self.queue.pinned_upstreams() {
+            if !self.keeps_pins(&name) {
                 self.queue.unpin(&name);
             }
         }
-        if !self.targets.iter().any(Target::takes_part) {
+        if !self.targets.iter().any(Target::is_in_service) {
             self.deny_all(out);
         }
         self.dispatch(now, out);
     }
 
     /// The line that an ask waits in: that of its upstream, as long as that one serves.
-    pub(crate) fn line_of(&self, ask: &Ask<K>) -> Option<UpstreamName> {
-        let name = ask.pinned.as_ref()?;
-        let usable = self.keeps(name) && !ask.avoid.contains(name);
+    pub(crate) fn lane_of(&self, request: &SlotRequest<K>) -> Option<UpstreamName> {
+        let name = request.pinned.as_ref()?;
+        let usable = self.keeps_pins(name) && !request.avoid.contains(name);
         usable.then(|| name.clone())
     }
 
     /// Gives free slots to waiting requests, in the order of the queue.
     pub(crate) fn dispatch(&mut self, now: Time, out: &mut Vec<Decision<K>>) {
-        while let Some((key, upstream)) = self.next(now) {
-            let Some(ask) = self.queue.remove(&key) else {
+        while let Some((key, upstream)) = self.next_grant(now) {
+            let Some(request) = self.queue.remove(&key) else {
                 return;
             };
             let lease = Lease {
                 upstream: upstream.clone(),
-                weight: Some(ask.weight),
-                deadline: ask.deadline,
-                expiry: ask.deadline + MARGIN,
+                weight: Some(request.weight),
+                deadline: request.deadline,
+                expiry: request.deadline + EXPIRY_MARGIN,
             };
-            self.lend(key.clone(), lease, now);
+            self.add_lease(key.clone(), lease, now);
             out.push(Decision::Grant { key, upstream });
         }
         if self.queue.shared_len() == 0 {
-            self.idle_at = now;
+            self.last_empty_at = now;
         }
     }
 
     /// Refuses requests of a line until the rest can be started in time.
     pub(crate) fn shed(&mut self, upstream: Option<&UpstreamName>, now: Time, out: &mut Vec<Decision<K>>) {
         let servers = match upstream {
-            Some(name) => self.servers_of(name, now),
+            Some(name) => self.pinned_servers(name, now),
             None => self.servers(now),
         };
         loop {
-            let Some(line) = self.queue.line(upstream) else {
+            let Some(lane) = self.queue.lane(upstream) else {
                 return;
             };
             let full = self.queue.len() > self.sharing.queue_limit as usize;
             // A flow's upstream may be busy for the life of another flow while the service as a whole is not overloaded.
-            let patience = if upstream.is_some() { 1.0 } else { self.patience(now) };
-            let Some(key) = victim(line, &self.estimate, servers, full, patience, now) else {
+            let max_wait_share = if upstream.is_some() {
+                1.0
+            } else {
+                self.max_wait_share(now)
+            };
+            let Some(key) = request_to_shed(lane, &self.estimate, servers, full, max_wait_share, now) else {
                 return;
             };
-            let Some(ask) = self.queue.remove(&key) else {
+            let Some(request) = self.queue.remove(&key) else {
                 return;
             };
-            let reason = if ask.deadline <= now {
+            let reason = if request.deadline <= now {
                 Reason::Deadline
             } else {
                 Reason::Overload
@@ -99,49 +103,49 @@
     }
 
     /// What share of its time a request may wait: all of it in a short burst, less when the queue has stood long.
-    fn patience(&self, now: Time) -> f64 {
-        let standing = now.since(self.idle_at).as_secs_f64();
-        let excess = (standing - BURST) / BURST;
-        1.0 - (1.0 - LEAST_PATIENCE) * excess.clamp(0.0, 1.0)
+    fn max_wait_share(&self, now: Time) -> f64 {
+        let busy_for = now.since(self.last_empty_at).as_secs_f64();
+        let excess = (busy_for - BURST_TOLERANCE) / BURST_TOLERANCE;
+        1.0 - (1.0 - MIN_WAIT_SHARE) * excess.clamp(0.0, 1.0)
     }
 
     /// How many requests the service can have in progress, at least one.
     pub(crate) fn servers(&self, now: Time) -> f64 {
-        let capacity = |target: &Target| target.capacity(self.sharing.slow_start, self.distrust, now);
+        let capacity = |target: &Target| target.capacity(self.sharing.slow_start, self.panic_mode, now);
         let sum: u32 = self.targets.iter().map(capacity).sum();
         f64::from(sum.max(1))
     }
 
-    fn servers_of(&self, name: &UpstreamName, now: Time) -> f64 {
+    fn pinned_servers(&self, name: &UpstreamName, now: Time) -> f64 {
         let Ok(index) = self.find(name) else {
             return 1.0;
         };
-        let capacity = self.targets[index].capacity(self.sharing.slow_start, self.distrust, now);
+        let capacity = self.targets[index].capacity(self.sharing.slow_start, self.panic_mode, now);
         f64::from(capacity.max(1))
     }
 
     /// Whether flows stay pinned to this upstream.
-    fn keeps(&self, name: &UpstreamName) -> bool {
+    fn keeps_pins(&self, name: &UpstreamName) -> bool {
         self.find(name)
-            .is_ok_and(|index| self.targets[index].is_eligible(self.distrust))
+            .is_ok_and(|index| self.targets[index].is_eligible(self.panic_mode))
     }
 
     /// Whether fewer than half of the upstreams that take part look healthy.
     fn most_look_unhealthy(&self) -> bool {
-        let all = self.targets.iter().filter(|target| target.takes_part()).count();
+        let all = self.targets.iter().filter(|target| target.is_in_service()).count();
         let fit = self.targets.iter().filter(|target| target.is_eligible(false)).count();
         fit * 2 < all
     }
 
     fn deny_all(&mut self, out: &mut Vec<Decision<K>>) {
-        while let Some(key) = self.queue.first() {
+        while let Some(key) = self.queue.any_key() {
             self.queue.remove(&key);
             self.deny(key, Reason::NoUpstream, out);
         }
     }
 
     /// The next request to start, and where.
-    fn next(&self, now: Time) -> Option<(K, UpstreamName)> {
+    fn next_grant(&self, now: Time) -> Option<(K, UpstreamName)> {
         let any_free = self.queue.len() > 0 && self.targets.iter().any(|target| self.is_free(target, now));
         if !any_free {
             return None;
@@ -155,36 +159,36 @@
         }
     }
 
-    fn next_pinned(&self, now: Time) -> Option<(Place, (K, UpstreamName))> {
-        let mut best: Option<(Place, (K, UpstreamName))> = None;
-        for (name, place, ask) in self.queue.pinned_heads() {
+    fn next_pinned(&self, now: Time) -> Option<(QueuePosition, (K, UpstreamName))> {
+        let mut best: Option<(QueuePosition, (K, UpstreamName))> = None;
+        for (name, position, request) in self.queue.pinned_heads() {
             let free = self
                 .find(name)
                 .is_ok_and(|index| self.is_free(&self.targets[index], now));
-            let earlier = best.as_ref().is_none_or(|(first, _)| place < *first);
+            let earlier = best.as_ref().is_none_or(|(first, _)| position < *first);
             if free && earlier {
-                best = Some((place, (ask.key.clone(), name.clone())));
+                best = Some((position, (request.key.clone(), name.clone())));
             }
         }
         best
     }
 
-    fn next_shared(&self, now: Time) -> Option<(Place, (K, UpstreamName))> {
+    fn next_shared(&self, now: Time) -> Option<(QueuePosition, (K, UpstreamName))> {
         if self.queue.shared_len() == 0 {
             return None;
         }
-        for (place, ask) in self.queue.line(None)?.iter().take(LOOK_AHEAD) {
-            if let Some(name) = self.place(&ask.zone, &ask.avoid, now) {
-                return Some((*place, (ask.key.clone(), name)));
+        for (position, request) in self.queue.lane(None)?.iter().take(LOOK_AHEAD) {
+            if let Some(name) = self.least_loaded(&request.zone, &request.avoid, now) {
+                return Some((*position, (request.key.clone(), name)));
             }
         }
         None
     }
 
     /// The least loaded free upstream for a request, if any.
-    fn place(&self, zone: &ZoneName, avoid: &[UpstreamName], now: Time) -> Option<UpstreamName> {
+    fn least_loaded(&self, zone: &ZoneName, avoid: &[UpstreamName], now: Time) -> Option<UpstreamName> {
         let slow_start = self.sharing.slow_start;
-        let others = |target: &Target| target.is_eligible(self.distrust) && !avoid.contains(&target.name);
+        let others = |target: &Target| target.is_eligible(self.panic_mode) && !avoid.contains(&target.name);
         // Where every upstream has failed a request already, one of them gets another chance.
         let all_avoided = !avoid.is_empty() && !self.targets.iter().any(others);
         // The later packets of a pinned flow may arrive in any zone, so that of the first one means nothing.
@@ -209,6 +213,6 @@
     }
 
     fn is_free(&self, target: &Target, now: Time) -> bool {
-        target.is_free(self.sharing.slow_start, self.distrust, now)
+        target.is_free(self.sharing.slow_start, self.panic_mode, now)
     }
 }
--- a/crates/balance/src/ask.rs
+++ b/crates/balance/src/request.rs
@@ -9,7 +9,7 @@
 
 /// Asks for a slot of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask<K> {
+pub struct SlotRequest<K> {
     /// Names this request for a slot.
     pub key: K,
     /// How much the request counts once it is completed.
--- a/crates/balance/src/status.rs
+++ b/crates/balance/src/status.rs
@@ -89,5 +89,5 @@
     /// The smoothed share of its slots that were in use, from 0 on.
     pub utilisation: f64,
     /// The smoothed share of its calls that failed, from 0 to 1.
-    pub failures: f64,
+    pub failure_rate: f64,
 }
--- a/crates/balance/tests/invariants.rs
+++ b/crates/balance/tests/invariants.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use balance::Ask;
 use balance::Decision;
 use balance::Pool;
 use balance::Report;
+use balance::SlotRequest;
 use balance::State;
 use config::Affinity;
 use config::Service;
@@ -27,7 +27,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask {
+    Acquire {
         weight: u32,
         within: u64,
         pinned: Option<usize>,
@@ -50,8 +50,8 @@
         busy: u16,
         age: u64,
     },
-    Leave(usize),
-    Readmit(usize),
+    AnnounceDrain(usize),
+    Restart(usize),
     Configure(usize),
     Retain(u64),
     Wait(u64),
@@ -70,7 +70,7 @@
     let upstream = 0..UPSTREAMS;
     let maybe = proptest::option::weighted(0.3, 0..UPSTREAMS);
     prop_oneof![
-        12 => (1..5_u32, 1..2_000_u64, maybe.clone(), maybe).prop_map(|(weight, within, pinned, avoid)| Step::Ask {
+        12 => (1..5_u32, 1..2_000_u64, maybe.clone(), maybe).prop_map(|(weight, within, pinned, avoid)| Step::Acquire {
             weight,
             within,
             pinned,
@@ -83,8 +83,8 @@
         2 => (upstream.clone(), any::<bool>(), proptest::bool::weighted(0.1), 0..9_u16, 0..5_000_u64).prop_map(
             |(upstream, healthy, draining, busy, age)| Step::Report { upstream, healthy, draining, busy, age }
         ),
-        1 => upstream.clone().prop_map(Step::Leave),
-        1 => upstream.clone().prop_map(Step::Readmit),
+        1 => upstream.clone().prop_map(Step::AnnounceDrain),
+        1 => upstream.clone().prop_map(Step::Restart),
         1 => upstream.prop_map(Step::Configure),
         1 => (0..4_u64).prop_map(Step::Retain),
         4 => (1..3_000_u64).prop_map(Step::Wait),
@@ -131,15 +131,15 @@
     granted: BTreeMap<u64, UpstreamName>,
     held: BTreeMap<u64, UpstreamName>,
     deadlines: BTreeMap<u64, Time>,
-    left: BTreeSet<UpstreamName>,
+    draining_upstreams: BTreeSet<UpstreamName>,
 }
 
 impl Model {
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         let mut out = Vec::new();
         let pool = &mut self.pool;
         match step {
-            Step::Ask {
+            Step::Acquire {
                 weight,
                 within,
                 pinned,
@@ -149,7 +149,7 @@
                 self.waiting.insert(self.next);
                 self.deadlines
                     .insert(self.next, self.now + Duration::from_millis(*within));
-                let ask = Ask {
+                let request = SlotRequest {
                     key: self.next,
                     weight: Weight(*weight),
                     zone: "z1".parse().unwrap(),
@@ -157,7 +157,7 @@
                     pinned: pinned.map(name),
                     avoid: avoid.map(name).into_iter().collect(),
                 };
-                pool.ask(ask, self.now, &mut out);
+                pool.acquire(request, self.now, &mut out);
             }
             Step::Settle { which, outcome, took } => {
                 let keys: Vec<u64> = self.granted.keys().chain(self.held.keys()).copied().collect();
@@ -166,7 +166,7 @@
                     // After the deadline the slot may have been taken back, and its end tells nothing any more.
                     let known = self.now < self.deadlines[key];
                     if *outcome == Outcome::Draining && known {
-                        self.left.insert(upstream);
+                        self.draining_upstreams.insert(upstream);
                     }
                     pool.settle(key, *outcome, Duration::from_millis(*took), self.now, &mut out);
                 }
@@ -198,9 +198,9 @@
                 busy,
                 age,
             } => {
-                let known = pool.states().iter().any(|status| status.name == name(*upstream));
+                let known = pool.statuses().iter().any(|status| status.name == name(*upstream));
                 if *draining && known {
-                    self.left.insert(name(*upstream));
+                    self.draining_upstreams.insert(name(*upstream));
                 }
                 let report = Report {
                     healthy: *healthy,
@@ -210,15 +210,15 @@
                 };
                 pool.report(&name(*upstream), Some(report), self.now, &mut out);
             }
-            Step::Leave(upstream) => {
-                if pool.states().iter().any(|status| status.name == name(*upstream)) {
-                    self.left.insert(name(*upstream));
+            Step::AnnounceDrain(upstream) => {
+                if pool.statuses().iter().any(|status| status.name == name(*upstream)) {
+                    self.draining_upstreams.insert(name(*upstream));
                 }
-                pool.leave(&name(*upstream));
+                pool.announce_drain(&name(*upstream));
             }
-            Step::Readmit(upstream) => {
-                self.left.remove(&name(*upstream));
-                pool.readmit(&name(*upstream), self.now);
+            Step::Restart(upstream) => {
+                self.draining_upstreams.remove(&name(*upstream));
+                pool.reset_after_restart(&name(*upstream), self.now);
             }
             Step::Configure(without) => pool.configure(&service(*without), &[], self.now, &mut out),
             Step::Retain(remainder) => {
@@ -230,19 +230,22 @@
                 pool.tick(self.now, &mut out);
             }
         }
-        self.check(&out);
+        self.check_decisions(&out);
         // An upstream that a document dropped is forgotten, so a later one of its name is a new one.
-        let states = self.pool.states();
-        self.left
-            .retain(|name| states.iter().any(|status| status.name == *name));
+        let statuses = self.pool.statuses();
+        self.draining_upstreams
+            .retain(|name| statuses.iter().any(|status| status.name == *name));
     }
 
-    fn check(&mut self, out: &[Decision<u64>]) {
+    fn check_decisions(&mut self, out: &[Decision<u64>]) {
         for decision in out {
             match decision {
                 Decision::Grant { key, upstream } => {
                     assert!(self.waiting.remove(key), "{key} was granted and did not wait");
-                    assert!(!self.left.contains(upstream), "{upstream} left and got {key}");
+                    assert!(
+                        !self.draining_upstreams.contains(upstream),
+                        "{upstream} left and got {key}"
+                    );
                     self.granted.insert(*key, upstream.clone());
                 }
                 Decision::Deny { key, retry_after, .. } => {
@@ -255,7 +258,7 @@
             let Decision::Grant { upstream, .. } = decision else {
                 continue;
             };
-            let all = self.pool.states();
+            let all = self.pool.statuses();
             let status = all.iter().find(|status| status.name == *upstream).unwrap();
             assert!(
                 status.busy <= u32::from(SLOTS),
@@ -266,12 +269,12 @@
     }
 
     /// Lets all deadlines pass.
-    fn finish(&mut self) {
+    fn pass_all_deadlines(&mut self) {
         for _ in 0..3 {
-            self.take(&Step::Wait(10_000));
+            self.apply(&Step::Wait(10_000));
         }
         assert_eq!(self.waiting, BTreeSet::new(), "some request was never answered");
-        for status in self.pool.states() {
+        for status in self.pool.statuses() {
             assert_eq!(
                 (status.busy, status.queued, status.pinned),
                 (0, 0, 0),
@@ -283,11 +286,11 @@
 }
 
 /// A fixed set of histories; `PROPTEST_CASES` and `PROPTEST_RNG_SEED` give others.
-fn histories() -> ProptestConfig {
-    const CASES: u32 = 3_000;
-    let usual = ProptestConfig::default();
-    let cases = usual.cases.max(CASES);
-    let rng_seed = match usual.rng_seed {
+fn proptest_config() -> ProptestConfig {
+    const MIN_CASES: u32 = 3_000;
+    let defaults = ProptestConfig::default();
+    let cases = defaults.cases.max(MIN_CASES);
+    let rng_seed = match defaults.rng_seed {
         RngSeed::Random => RngSeed::Fixed(1),
         fixed @ RngSeed::Fixed(_) => fixed,
     };
@@ -295,15 +298,15 @@
         cases,
         rng_seed,
         failure_persistence: None,
-        ..usual
+        ..defaults
     }
 }
 
 proptest! {
-    #![proptest_config(histories())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn every_ask_is_answered_once_and_no_slot_is_lent_twice(steps in proptest::collection::vec(step(), 1..120), seed: u64) {
+    fn every_request_is_decided_once_and_no_slot_is_leased_twice(steps in proptest::collection::vec(step(), 1..120), seed: u64) {
         let now = Time(1_000_000_000);
         let mut model = Model {
             now,
@@ -313,11 +316,11 @@
             granted: BTreeMap::new(),
             held: BTreeMap::new(),
             deadlines: BTreeMap::new(),
-            left: BTreeSet::new(),
+            draining_upstreams: BTreeSet::new(),
         };
         for step in &steps {
-            model.take(step);
+            model.apply(step);
         }
-        model.finish();
+        model.pass_all_deadlines();
     }
 }
--- a/crates/balance/tests/scripts.rs
+++ b/crates/balance/tests/scripts.rs
@@ -4,10 +4,10 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use balance::Ask;
 use balance::Decision;
 use balance::Pool;
 use balance::Report;
+use balance::SlotRequest;
 use config::Affinity;
 use config::Service;
 use config::Sharing;
@@ -20,65 +20,66 @@
 use wire::Outcome;
 
 #[test]
-fn scripts() {
+fn pool_decisions_match_the_scripts() {
     datadriven::walk("tests/scripts", |file| {
-        let mut bench = Bench::new();
-        file.run(|case| bench.run(case));
+        let mut runner = ScriptRunner::new();
+        file.run(|case| runner.run(case));
     });
 }
 
-struct Bench {
+struct ScriptRunner {
     now: Time,
     service: Service,
     pool: Option<Pool<String>>,
 }
 
-impl Bench {
+impl ScriptRunner {
     fn new() -> Self {
         Self {
             now: Time(1_000_000_000),
-            service: service(&HashMap::new(), ""),
+            service: build_service(&HashMap::new(), ""),
             pool: None,
         }
     }
 
     fn run(&mut self, case: &TestCase) -> String {
-        if let Some(millis) = number(&case.args, "after") {
+        if let Some(millis) = number_arg(&case.args, "after") {
             self.now = self.now + Duration::from_millis(millis);
         }
         let mut out = Vec::new();
         if case.directive == "service" {
-            self.service = service(&case.args, &case.input);
+            self.service = build_service(&case.args, &case.input);
             match &mut self.pool {
                 Some(pool) => pool.configure(&self.service, &[], self.now, &mut out),
                 None => self.pool = Some(Pool::new(&self.service, 1, self.now)),
             }
-            return show(&out);
+            return format_decisions(&out);
         }
         let pool = self.pool.as_mut().expect("a script starts with a service");
         if case.directive == "states" {
-            return states(pool);
+            return format_statuses(pool);
         }
         for line in case.input.lines().filter(|line| !line.is_empty()) {
-            step(pool, &case.directive, line, self.now, &mut out);
+            run_line(pool, &case.directive, line, self.now, &mut out);
         }
         if case.directive == "tick" {
             pool.tick(self.now, &mut out);
         }
-        show(&out)
+        format_decisions(&out)
     }
 }
 
 /// Does one line of a script: the first word is a key or an upstream.
-fn step(pool: &mut Pool<String>, directive: &str, line: &str, now: Time, out: &mut Vec<Decision<String>>) {
+fn run_line(pool: &mut Pool<String>, directive: &str, line: &str, now: Time, out: &mut Vec<Decision<String>>) {
     let words: Vec<&str> = line.split_whitespace().collect();
     let name = words[0];
     let value = |key: &str| words.iter().find_map(|word| word.strip_prefix(key)?.strip_prefix('='));
-    let millis = |key: &str, usual: u64| Duration::from_millis(value(key).map_or(usual, |text| text.parse().unwrap()));
+    let millis =
+        |key: &str, default: u64| Duration::from_millis(value(key).map_or(default, |text| text.parse().unwrap()));
     match directive {
         "ask" => {
             let list = |text: &str| text.split(',').map(|name| name.parse().unwrap()).collect();
-            let ask = Ask {
+            let request = SlotRequest {
                 key: name.to_owned(),
                 weight: Weight(value("weight").map_or(1, |text| text.parse().unwrap())),
                 zone: value("zone").unwrap_or("z1").parse().unwrap(),
@@ -86,9 +87,9 @@
                 pinned: value("pinned").map(|text| text.parse().unwrap()),
                 avoid: value("avoid").map(list).unwrap_or_default(),
             };
-            pool.ask(ask, now, out);
+            pool.acquire(request, now, out);
         }
-        "settle" => pool.settle(&name.to_owned(), outcome(words[1]), millis("took", 20), now, out),
+        "settle" => pool.settle(&name.to_owned(), parse_outcome(words[1]), millis("took", 20), now, out),
         "withdraw" => pool.withdraw(&name.to_owned(), now, out),
         "retain" => pool.retain(|key| key.starts_with(name), now, out),
         "hold" => pool.hold(
@@ -97,8 +98,8 @@
             now + millis("within", 1_000),
             now,
         ),
-        "leave" => pool.leave(&name.parse().unwrap()),
-        "readmit" => pool.readmit(&name.parse().unwrap(), now),
+        "leave" => pool.announce_drain(&name.parse().unwrap()),
+        "readmit" => pool.reset_after_restart(&name.parse().unwrap(), now),
         "report" => {
             let report = Report {
                 healthy: !words.contains(&"unhealthy"),
@@ -113,7 +114,7 @@
     }
 }
 
-fn outcome(word: &str) -> Outcome {
+fn parse_outcome(word: &str) -> Outcome {
     match word {
         "completed" => Outcome::Completed,
         "shed" => Outcome::Shed,
@@ -126,19 +127,19 @@
     }
 }
 
-fn number(args: &HashMap<String, Vec<String>>, key: &str) -> Option<u64> {
+fn number_arg(args: &HashMap<String, Vec<String>>, key: &str) -> Option<u64> {
     let text = args.get(key)?.first()?;
     Some(text.parse().unwrap())
 }
 
 /// A service with the upstreams of the input, one a line: name, zone, slots, and perhaps `draining`.
-fn service(args: &HashMap<String, Vec<String>>, input: &str) -> Service {
+fn build_service(args: &HashMap<String, Vec<String>>, input: &str) -> Service {
     let sharing = Sharing {
         affinity: Affinity::Request,
         prefer_local_zone: args.contains_key("local"),
-        queue_limit: number(args, "limit").unwrap_or(100) as u32,
-        retry_budget_percent: number(args, "budget").unwrap_or(10) as u32,
-        slow_start: Duration::from_millis(number(args, "slow-start").unwrap_or(1_000)),
+        queue_limit: number_arg(args, "limit").unwrap_or(100) as u32,
+        retry_budget_percent: number_arg(args, "budget").unwrap_or(10) as u32,
+        slow_start: Duration::from_millis(number_arg(args, "slow-start").unwrap_or(1_000)),
     };
     let upstream = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -164,7 +165,7 @@
     }
 }
 
-fn show(out: &[Decision<String>]) -> String {
+fn format_decisions(out: &[Decision<String>]) -> String {
     let mut text = String::new();
     for decision in out {
         let line = match decision {
@@ -176,9 +177,9 @@
     text
 }
 
-fn states(pool: &Pool<String>) -> String {
+fn format_statuses(pool: &Pool<String>) -> String {
     let mut text = String::new();
-    for status in pool.states() {
+    for status in pool.statuses() {
         let (name, state, busy, slots, pinned) = (status.name, status.state, status.busy, status.slots, status.pinned);
         writeln!(
             text,
--- a/crates/experiment/src/homes.rs
+++ b/crates/experiment/src/homes.rs
@@ -1,9 +1,9 @@
 //! The pool of crate `balance`, at one home or at two.
 
-use balance::Ask;
 use balance::Decision;
 use balance::Pool;
 use balance::Report;
+use balance::SlotRequest;
 use config::Affinity;
 use config::Service;
 use units::Time;
@@ -104,7 +104,7 @@
 impl Policy for Homes {
     fn ask(&mut self, ticket: Ticket, job: &Job, now: Time, out: &mut Vec<Choice>) {
         let name = |index: &usize| self.names[*index].clone();
-        let ask = Ask {
+        let ask = SlotRequest {
             key: ticket,
             weight: self.weights[job.arrival.kind],
             zone: self.zones[job.zone].clone(),
@@ -112,7 +112,7 @@
             pinned: job.pinned.as_ref().map(name),
             avoid: job.avoid.iter().map(name).collect(),
         };
-        self.pools[job.home].ask(ask, now, &mut self.decisions);
+        self.pools[job.home].acquire(ask, now, &mut self.decisions);
         self.pass_on(out);
     }
 
--- a/crates/node/src/home.rs
+++ b/crates/node/src/home.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use balance::Ask;
 use balance::Decision;
 use balance::Pool;
+use balance::SlotRequest;
 use config::Service;
 use membership::Membership;
 use rand::RngExt;
@@ -71,7 +71,7 @@
         let service = self.documents.service(name)?;
         let mut pool = Pool::new(service, seed, now);
         for upstream in leaving_of(service, &self.upstreams, &self.membership) {
-            pool.leave(&upstream);
+            pool.announce_drain(&upstream);
         }
         Some(Home { pool, next_poll: now })
     }
@@ -98,7 +98,7 @@
             ticket: acquire.ticket,
         };
         let weight = self.weight(&acquire);
-        let ask = Ask {
+        let ask = SlotRequest {
             key: key.clone(),
             weight,
             zone: acquire.zone,
@@ -107,13 +107,15 @@
             avoid: acquire.avoid,
         };
         let now = cx.now;
-        let asked = self.with_pool(&acquire.service, now, |pool, out| match pool.lent(&key).cloned() {
-            // The owner asks again because the grant was lost.
-            Some(upstream) => out.push(Decision::Grant {
-                key: key.clone(),
-                upstream,
-            }),
-            None => pool.ask(ask, now, out),
+        let asked = self.with_pool(&acquire.service, now, |pool, out| {
+            match pool.leased_upstream(&key).cloned() {
+                // The owner asks again because the grant was lost.
+                Some(upstream) => out.push(Decision::Grant {
+                    key: key.clone(),
+                    upstream,
+                }),
+                None => pool.acquire(ask, now, out),
+            }
         });
         if !asked {
             let reason = Reason::NoUpstream;
--- a/crates/node/src/reports.rs
+++ b/crates/node/src/reports.rs
@@ -28,7 +28,7 @@
             }
             let fresh = known != Some(report.incarnation);
             if fresh && !self.membership.is_leaving(name, report.incarnation) {
-                self.with_pool(&service, now, |pool, _| pool.readmit(name, now));
+                self.with_pool(&service, now, |pool, _| pool.reset_after_restart(name, now));
             }
         }
         let said = report.map(|report| balance::Report {
@@ -66,7 +66,7 @@
             return;
         };
         if let Some(home) = self.homes.get_mut(&service) {
-            home.pool.leave(&mark.name);
+            home.pool.announce_drain(&mark.name);
         }
     }
 }
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -239,7 +239,7 @@
     fn upstream_status(&self) -> Vec<UpstreamLine> {
         let mut lines = Vec::new();
         for (service, home) in &self.homes {
-            for status in home.pool.states() {
+            for status in home.pool.statuses() {
                 lines.push(self.upstream_line(service, status));
             }
         }
@@ -255,7 +255,7 @@
             busy: status.busy,
             slots: status.slots,
             utilisation: status.utilisation,
-            failures: status.failures,
+            failures: status.failure_rate,
         }
     }
 
