--- a/crates/balance/benches/pool.rs
+++ b/crates/balance/benches/pool.rs
@@ -1,4 +1,4 @@
-//! What a decision costs.
+//! Cost of a pool decision.
 
 use std::time::Duration;
 
@@ -54,7 +54,8 @@
     }
 }
 
-/// Settles the oldest request and asks anew, with this many upstreams, all busy but one slot, and so many waiting.
+/// Settles the oldest request and makes a new one, for several numbers of upstreams and queued requests. All slots but one
+/// are in use.
 #[divan::bench(args = [(14, 0), (14, 300), (200, 0), (200, 300), (200, 3_000)])]
 fn settle_and_acquire(bencher: Bencher<'_, '_>, (upstreams, waiting): (usize, u64)) {
     let mut now = Time(1_000_000);
--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -1,4 +1,4 @@
-//! Health of one upstream, judged by how calls end and only little by what it says.
+//! Outlier detection for one upstream, based mainly on the outcomes of calls and only secondarily on its own reports.
 
 use std::time::Duration;
 
@@ -9,43 +9,43 @@
 
 use crate::Report;
 
-/// Failures in a row after which an upstream is ejected, if others do better.
+/// Consecutive failures after which an upstream is ejected, if it fails more than the others do.
 const MAX_CONSECUTIVE_FAILURES: u32 = 5;
-/// How much larger its smoothed share of failed calls must be than is usual for the service.
+/// How far the failure rate of an upstream must exceed the median of the service before it is ejected.
 const MIN_EXCESS_FAILURE_RATE: f64 = 0.3;
-/// The smoothed share of failed calls above which an upstream is ejected without failures in a row.
+/// The failure rate above which an upstream is ejected even without consecutive failures.
 const MAX_FAILURE_RATE: f64 = 0.6;
-/// How much one call counts in the smoothed share of failed calls.
+/// The weight of one call in the exponentially smoothed failure rate.
 const FAILURE_RATE_GAIN: f64 = 0.1;
-/// How long the first ejection lasts.
+/// The duration of the first ejection, which doubles with each further one.
 const MIN_EJECTION: Duration = Duration::from_secs(1);
-/// How long an ejection lasts at most.
+/// The maximum duration of an ejection, before jitter.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
-/// After this long without an ejection, the next one is short again.
+/// The time without an ejection after which the next one is short again.
 const EJECTION_BACKOFF_RESET: Duration = Duration::from_secs(90);
-/// Successes in a row that take a probed upstream back.
+/// Consecutive successful probes after which an upstream is healthy again.
 const SUCCESSFUL_PROBES: u32 = 3;
-/// How long a success outweighs a bad report.
+/// How long after a successful call bad reports are ignored.
 const RECENT_SUCCESS: Duration = Duration::from_secs(3);
-/// How many polls in a row must fail or be bad before they count.
+/// How many consecutive polls must fail or report bad health before the upstream is ejected.
 const MAX_BAD_REPORTS: u32 = 3;
 
-/// What calls have shown of an upstream.
+/// The health of an upstream as derived from calls and reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// It serves.
+    /// It may get requests.
     Healthy,
-    /// It gets nothing until then.
+    /// It gets no requests until this time.
     Ejected(Time),
-    /// It is tried with one request at a time; so many have succeeded.
+    /// It gets one request at a time, of which this many have succeeded.
     Probing(u32),
 }
 
-/// Health of one upstream.
+/// Outlier detection state of one upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct Health {
     pub(crate) state: HealthState,
-    /// The smoothed share of calls that failed.
+    /// The exponentially smoothed share of calls that failed.
     pub(crate) failure_rate: f64,
     consecutive_failures: u32,
     ejections: u32,
@@ -67,9 +67,9 @@
         }
     }
 
-    /// A call ended. Outcomes that say nothing about health change nothing.
+    /// Records the outcome of a call. Outcomes that are not evidence about health have no effect.
     ///
-    /// `median` is the share of failed calls of the service's median upstream.
+    /// `median` is the median of the failure rates of the service's upstreams.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome, median: f64, now: Time, rng: &mut SmallRng) {
         match outcome {
             Outcome::Completed => self.record_success(now),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Whether it fails so much more than others that it is to blame, and not what they share.
+    /// Whether it fails so much more than the others that the cause is the upstream itself and not something they share.
     fn is_outlier(&self, median: f64) -> bool {
         let bad = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES || self.failure_rate > MAX_FAILURE_RATE;
         bad && self.failure_rate > median + MIN_EXCESS_FAILURE_RATE
@@ -121,13 +121,14 @@
         let duration = MIN_EJECTION
             .saturating_mul(1 << self.ejections.min(5))
             .min(MAX_EJECTION);
-        // The spread keeps upstreams that failed together from being probed together.
+        // Jitter keeps upstreams that failed together from being probed together.
         let jitter = rng.random_range(0.8..1.2);
         self.ejections += 1;
         self.state = HealthState::Ejected(now + duration.mul_f64(jitter));
     }
 
-    /// A report came, or a poll failed. Only several bad ones in a row count, and only without any late success.
+    /// Records the result of a poll, which is `None` if the poll failed. Only several consecutive bad results count, and only
+    /// if no call has succeeded recently.
     pub(crate) fn record_report(&mut self, report: Option<Report>, now: Time, rng: &mut SmallRng) {
         if report.is_some_and(|report| report.healthy) {
             self.bad_reports = 0;
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Lets an ejection end.
+    /// Starts probing once an ejection has expired.
     pub(crate) fn tick(&mut self, now: Time) {
         let HealthState::Ejected(until) = self.state else {
             return;
--- a/crates/balance/src/leases.rs
+++ b/crates/balance/src/leases.rs
@@ -1,4 +1,4 @@
-//! The slots that are lent.
+//! Leases on the slots of upstreams.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,20 +7,20 @@
 use units::UpstreamName;
 use units::Weight;
 
-/// A slot that is lent.
+/// A leased slot.
 #[derive(Debug, Clone)]
 pub(crate) struct Lease {
-    /// The upstream whose slot it is.
+    /// The upstream that owns the slot.
     pub(crate) upstream: UpstreamName,
-    /// What the request counts, if this pool granted it.
+    /// The weight of the request, if this pool granted the slot.
     pub(crate) weight: Option<Weight>,
-    /// When the request is to have ended.
+    /// The deadline of the request.
     pub(crate) deadline: Time,
-    /// When the slot is taken back.
+    /// When the lease is revoked.
     pub(crate) expiry: Time,
 }
 
-/// All slots that are lent, by key and by expiry.
+/// All leases, indexed by key and by expiry.
 #[derive(Debug, Clone)]
 pub(crate) struct Leases<K> {
     leases: BTreeMap<K, Lease>,
@@ -35,35 +35,35 @@
         }
     }
 
-    /// Whether a slot is lent under this key.
+    /// Whether there is a lease with this key.
     pub(crate) fn contains(&self, key: &K) -> bool {
         self.leases.contains_key(key)
     }
 
-    /// The slot that is lent under this key.
+    /// Returns the lease with this key.
     pub(crate) fn get(&self, key: &K) -> Option<&Lease> {
         self.leases.get(key)
     }
 
-    /// Whether no slot is lent.
+    /// Whether there are no leases.
     pub(crate) fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Lends a slot. The key must not be in use.
+    /// Adds a lease. The key must not be in use.
     pub(crate) fn insert(&mut self, key: K, lease: Lease) {
         self.expiries.insert((lease.expiry, key.clone()));
         self.leases.insert(key, lease);
     }
 
-    /// Takes a slot back.
+    /// Removes a lease.
     pub(crate) fn remove(&mut self, key: &K) -> Option<Lease> {
         let lease = self.leases.remove(key)?;
         self.expiries.remove(&(lease.expiry, key.clone()));
         Some(lease)
     }
 
-    /// Takes one slot back whose expiry has passed.
+    /// Removes one lease that has expired.
     pub(crate) fn pop_expired(&mut self, now: Time) -> Option<Lease> {
         let (expiry, key) = self.expiries.first()?;
         if *expiry > now {
@@ -73,7 +73,7 @@
         self.remove(&key)
     }
 
-    /// Lets the slots of keys that fail `keep` expire at their deadline, without the margin.
+    /// Makes the leases whose keys fail `keep` expire at their deadline, without the margin.
     pub(crate) fn expire_at_deadline(&mut self, keep: impl Fn(&K) -> bool) {
         let Self { leases, expiries } = self;
         for (key, lease) in leases {
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions under load: which request gets which upstream's slot, which waits, and which is refused.
+//! Load balancing and overload control: which request gets a slot of which upstream, which waits, and which is refused.
 //!
-//! A [`Pool`] keeps one service's central queue and knows which slots of its upstreams are in use. This crate does no
-//! I/O, reads no clock and draws no randomness but from the seed it is given. It knows nothing of flows, of instances
-//! or of how a request reaches its upstream, and it never tells whether a request has run.
+//! A [`Pool`] holds the central queue of one service and tracks which slots of its upstreams are in use. This crate does
+//! no I/O, reads no clock and takes all randomness from a given seed. It knows nothing of flows, of instances or of how
+//! a request reaches its upstream, and it does not determine whether a request has run.
 
 mod health;
 mod leases;
--- a/crates/balance/src/placement.rs
+++ b/crates/balance/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which waiting request gets which free slot, and which gives way when not all can be met.
+//! Which queued request gets which free slot, and which is refused when the load is too high.
 
 use std::fmt::Debug;
 use std::hash::Hash;
@@ -18,17 +18,17 @@
 use crate::queue::request_to_shed;
 use crate::target::Target;
 
-/// How much more loaded an upstream in the request's own availability zone may look and still go first.
+/// The load by which an upstream in the request's own availability zone may exceed others and still be preferred.
 const LOCAL_BONUS: f64 = 0.5;
-/// For how many seconds a queue may stand before requests are refused that could still be met.
+/// For how many seconds the queue may stay non-empty before requests are refused that could still meet their deadline.
 const BURST_TOLERANCE: f64 = 5.0;
-/// What share of its time a request may wait when the queue has stood for long.
+/// The share of the time to its deadline that a request may wait once the queue has been non-empty for long.
 const MIN_WAIT_SHARE: f64 = 0.25;
-/// How many waiting requests are looked at when the first ones can use none of the free slots.
+/// How many requests at the head of the shared lane are considered, as the first ones may be unable to use the free slots.
 const LOOK_AHEAD: usize = 8;
 
 impl<K: Clone + Ord + Hash + Debug> Pool<K> {
-    /// Brings the view of the upstreams up to date and gives out what that makes free.
+    /// Re-evaluates the state of the upstreams and grants the slots that this makes available.
     pub(crate) fn refresh(&mut self, now: Time, out: &mut Vec<Decision<K>>) {
         self.targets.retain(|target| !target.can_be_dropped());
         self.panic_mode = self.most_look_unhealthy();
@@ -43,14 +43,14 @@
         self.dispatch(now, out);
     }
 
-    /// The line that an ask waits in: that of its upstream, as long as that one serves.
+    /// The lane for a request: that of the upstream it is pinned to, if that one is usable, or else the shared one.
     pub(crate) fn lane_of(&self, request: &SlotRequest<K>) -> Option<UpstreamName> {
         let name = request.pinned.as_ref()?;
         let usable = self.keeps_pins(name) && !request.avoid.contains(name);
         usable.then(|| name.clone())
     }
 
-    /// Gives free slots to waiting requests, in the order of the queue.
+    /// Grants free slots to queued requests, in queue order.
     pub(crate) fn dispatch(&mut self, now: Time, out: &mut Vec<Decision<K>>) {
         while let Some((key, upstream)) = self.next_grant(now) {
             let Some(request) = self.queue.remove(&key) else {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Refuses requests of a line until the rest can be started in time.
+    /// Refuses requests of a lane until the remaining ones can start in time.
     pub(crate) fn shed(&mut self, upstream: Option<&UpstreamName>, now: Time, out: &mut Vec<Decision<K>>) {
         let servers = match upstream {
             Some(name) => self.pinned_servers(name, now),
@@ -81,7 +81,7 @@
                 return;
             };
             let full = self.queue.len() > self.sharing.queue_limit as usize;
-            // A flow's upstream may be busy for the life of another flow while the service as a whole is not overloaded.
+            // An upstream can be busy for the lifetime of another flow while the service as a whole is not overloaded.
             let max_wait_share = if upstream.is_some() {
                 1.0
             } else {
@@ -102,14 +102,15 @@
         }
     }
 
-    /// What share of its time a request may wait: all of it in a short burst, less when the queue has stood long.
+    /// The share of the time to its deadline that a request may wait: all of it in a short burst, and less the longer the
+    /// queue has been non-empty.
     fn max_wait_share(&self, now: Time) -> f64 {
         let busy_for = now.since(self.last_empty_at).as_secs_f64();
         let excess = (busy_for - BURST_TOLERANCE) / BURST_TOLERANCE;
         1.0 - (1.0 - MIN_WAIT_SHARE) * excess.clamp(0.0, 1.0)
     }
 
-    /// How many requests the service can have in progress, at least one.
+    /// The number of requests that the service can have in progress, at least one.
     pub(crate) fn servers(&self, now: Time) -> f64 {
         let capacity = |target: &Target| target.capacity(self.sharing.slow_start, self.panic_mode, now);
         let sum: u32 = self.targets.iter().map(capacity).sum();
@@ -124,13 +125,13 @@
         f64::from(capacity.max(1))
     }
 
-    /// Whether flows stay pinned to this upstream.
+    /// Whether requests that are pinned to this upstream keep waiting for it.
     fn keeps_pins(&self, name: &UpstreamName) -> bool {
         self.find(name)
             .is_ok_and(|index| self.targets[index].is_eligible(self.panic_mode))
     }
 
-    /// Whether fewer than half of the upstreams that take part look healthy.
+    /// Whether fewer than half of the upstreams in service are eligible by their health.
     fn most_look_unhealthy(&self) -> bool {
         let all = self.targets.iter().filter(|target| target.is_in_service()).count();
         let fit = self.targets.iter().filter(|target| target.is_eligible(false)).count();
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The next request to start, and where.
+    /// The next request to start, and its upstream.
     fn next_grant(&self, now: Time) -> Option<(K, UpstreamName)> {
         let any_free = self.queue.len() > 0 && self.targets.iter().any(|target| self.is_free(target, now));
         if !any_free {
@@ -185,13 +186,13 @@
         None
     }
 
-    /// The least loaded free upstream for a request, if any.
+    /// Returns the least loaded upstream with a free slot for a request.
     fn least_loaded(&self, zone: &ZoneName, avoid: &[UpstreamName], now: Time) -> Option<UpstreamName> {
         let slow_start = self.sharing.slow_start;
         let others = |target: &Target| target.is_eligible(self.panic_mode) && !avoid.contains(&target.name);
-        // Where every upstream has failed a request already, one of them gets another chance.
+        // If every eligible upstream has failed this request already, they are all allowed again.
         let all_avoided = !avoid.is_empty() && !self.targets.iter().any(others);
-        // The later packets of a pinned flow may arrive in any zone, so that of the first one means nothing.
+        // Later packets of a pinned flow may arrive in any zone, so the zone of the first packet is irrelevant.
         let prefers_local = self.sharing.prefer_local_zone && self.sharing.affinity == Affinity::Request;
         let mut best: Option<(f64, &Target)> = None;
         for target in &self.targets {
--- a/crates/balance/src/pool.rs
+++ b/crates/balance/src/pool.rs
@@ -1,4 +1,4 @@
-//! One service's central queue and the slots of its upstreams.
+//! The pool: the central queue of a service and the slots of its upstreams.
 
 use std::fmt::Debug;
 use std::hash::Hash;
@@ -27,14 +27,14 @@
 use crate::service_time::ServiceTimeEstimate;
 use crate::target::Target;
 
-/// How long after its deadline a slot is taken back from an owner that does not settle.
+/// How long after its deadline a lease is revoked that its owner has not settled.
 pub(crate) const EXPIRY_MARGIN: Duration = Duration::from_millis(500);
-/// What a service time is taken for while nothing is known.
+/// The mean service time to assume while there is no estimate, in seconds.
 const DEFAULT_SERVICE_TIME: f64 = 0.02;
 
-/// One service's central queue at its home, and the slots of its upstreams.
+/// The central queue of a service, which its home instance runs, and the slots of the service's upstreams.
 ///
-/// `K` names a request for a slot.
+/// `K` identifies a request for a slot.
 #[derive(Debug, Clone)]
 pub struct Pool<K> {
     pub(crate) sharing: Sharing,
@@ -44,17 +44,18 @@
     pub(crate) leases: Leases<K>,
     pub(crate) estimate: ServiceTimeEstimate,
     retry_budget: RetryBudget,
-    /// Most upstreams look unhealthy, so this view is more likely wrong than they are.
+    /// Set while most upstreams look unhealthy. Health is ignored then, since the health data is more likely wrong than most
+    /// upstreams are to fail at once.
     pub(crate) panic_mode: bool,
-    /// When no request last waited for any upstream.
+    /// When the shared lane was last empty.
     pub(crate) last_empty_at: Time,
     rng: SmallRng,
-    /// The latest time that was told.
+    /// The latest time passed to a method.
     now: Time,
 }
 
 impl<K: Clone + Ord + Hash + Debug> Pool<K> {
-    /// A pool with all slots free. Upstreams are taken for warm until they report their age.
+    /// Creates a pool with all slots free. Upstreams get no slow start unless they report that they started recently.
     pub fn new(service: &Service, seed: u64, now: Time) -> Self {
         let mut targets: Vec<Target> = service
             .upstreams
@@ -76,9 +77,9 @@
         }
     }
 
-    /// Takes over a new description of the service. Slots in use stay so; removed upstreams get no new work.
+    /// Applies a new configuration of the service. Leases are kept; removed upstreams get no new requests.
     ///
-    /// `leaving` names the upstreams that are known to leave. The queue may go to any other at once.
+    /// `leaving` lists the upstreams that are known to be draining, so that queued requests go to the others at once.
     pub fn configure(&mut self, service: &Service, leaving: &[UpstreamName], now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         self.sharing = service.sharing.clone();
@@ -102,8 +103,8 @@
         self.refresh(now, out);
     }
 
-    /// Asks for a slot. The decision comes at once if a slot is free or the ask is refused. An ask whose key waits or
-    /// holds a slot already is ignored.
+    /// Requests a slot. The decision is immediate if a slot is free or the request is refused. A request whose key is
+    /// already queued or holds a lease is ignored.
     pub fn acquire(&mut self, request: SlotRequest<K>, now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         if self.queue.contains(&request.key) || self.leases.contains(&request.key) {
@@ -127,7 +128,7 @@
         self.shed(lane.as_ref(), now, out);
     }
 
-    /// Takes an ask back, be it waiting or granted and unused.
+    /// Cancels a request that is queued, or granted and not used.
     pub fn withdraw(&mut self, key: &K, now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         if self.queue.remove(key).is_some() {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Learns of a slot that is in use already.
+    /// Adds a lease that was granted elsewhere, on a slot that is already in use.
     pub fn hold(&mut self, key: K, upstream: UpstreamName, deadline: Time, now: Time) {
         self.now = now;
         if self.leases.contains(&key) {
@@ -155,7 +156,7 @@
         self.add_lease(key, lease, now);
     }
 
-    /// A call ended and its slot is free. A key that holds no slot is ignored.
+    /// Releases the slot of a call that ended and records its outcome. A key without a lease is ignored.
     pub fn settle(&mut self, key: &K, outcome: Outcome, took: Duration, now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         let Some(lease) = self.leases.remove(key) else {
@@ -166,7 +167,7 @@
         self.refresh(now, out);
     }
 
-    /// Drops the asks of owners that died. The slots they hold are freed at the deadline.
+    /// Drops the requests whose keys fail `keep`, because their owners died. Leases of these owners expire at their deadline.
     pub fn retain(&mut self, keep: impl Fn(&K) -> bool, now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         self.queue.retain(&keep);
@@ -175,7 +176,7 @@
         self.refresh(now, out);
     }
 
-    /// Learns what an upstream says of itself, or that it said nothing.
+    /// Records the report of an upstream, or `None` if polling it failed.
     pub fn report(&mut self, upstream: &UpstreamName, report: Option<Report>, now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         let Ok(index) = self.find(upstream) else {
@@ -185,7 +186,7 @@
         self.refresh(now, out);
     }
 
-    /// An upstream takes no new work in its present life. Requests that wait for it may go elsewhere from the next
+    /// Stops new requests to an upstream until it restarts. Requests that are queued for it may go to others from the next
     /// tick on.
     pub fn announce_drain(&mut self, upstream: &UpstreamName) {
         if let Ok(index) = self.find(upstream) {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// An upstream has begun a new life.
+    /// Resets the state of an upstream that has restarted, and begins its slow start.
     pub fn reset_after_restart(&mut self, upstream: &UpstreamName, now: Time) {
         self.now = now;
         if let Ok(index) = self.find(upstream) {
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Time has passed: refuses what can no longer be met and frees slots that were not settled.
+    /// Advances the time: refuses requests that can no longer meet their deadline and revokes expired leases.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Decision<K>>) {
         self.now = now;
         self.expire(now);
@@ -215,22 +216,22 @@
         }
     }
 
-    /// The upstream whose slot is lent under this key.
+    /// The upstream of the lease with this key.
     pub fn leased_upstream(&self, key: &K) -> Option<&UpstreamName> {
         self.leases.get(key).map(|lease| &lease.upstream)
     }
 
-    /// How many upstreams it knows.
+    /// The number of upstreams, including removed ones that still have requests in progress.
     pub fn upstreams(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether nothing waits and no slot is lent.
+    /// Whether no request is queued and there are no leases.
     pub fn is_idle(&self) -> bool {
         self.queue.len() == 0 && self.leases.is_empty()
     }
 
-    /// All upstreams, for status pages.
+    /// The status of all upstreams, for status pages.
     pub fn statuses(&self) -> Vec<UpstreamStatus> {
         let queued = self.queue.shared_len() as u32;
         let status = |target: &Target| UpstreamStatus {
@@ -246,7 +247,7 @@
         self.targets.iter().map(status).collect()
     }
 
-    /// Where the upstream of this name stands, or where it would.
+    /// Returns the index of the upstream with this name, or the index at which to insert it.
     pub(crate) fn find(&self, name: &UpstreamName) -> Result<usize, usize> {
         self.targets.binary_search_by(|target| target.name.cmp(name))
     }
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Draws from the end of a call what it tells of the upstream and of the service.
+    /// Updates the service time, the retry budget and the state of the upstream after a call.
     fn record_outcome(&mut self, lease: &Lease, outcome: Outcome, took: Duration, now: Time) {
         let mean = self.estimate.mean().unwrap_or(DEFAULT_SERVICE_TIME);
         if outcome == Outcome::Completed {
@@ -296,10 +297,10 @@
             }
             Outcome::Completed | Outcome::TimedOut | Outcome::Unused => {}
         }
-        // A deadline that was short from the start says nothing about the upstream.
+        // A timeout with a deadline that was short from the start is no evidence about the upstream.
         let had_short_deadline = outcome == Outcome::TimedOut && took.as_secs_f64() < 2.0 * mean;
         if !had_short_deadline {
-            // Only a failure is compared with others, so the usual call costs nothing here.
+            // Only failures are compared with the median, so it is not computed for completed calls.
             let median = if outcome == Outcome::Completed {
                 0.0
             } else {
@@ -311,7 +312,7 @@
         }
     }
 
-    /// The share of failed calls of the median upstream.
+    /// The median of the upstreams' failure rates.
     fn median_failure_rate(&self) -> f64 {
         let mut shares: Vec<f64> = self.targets.iter().map(|target| target.health.failure_rate).collect();
         let middle = shares.len() / 2;
@@ -319,7 +320,7 @@
         *median
     }
 
-    /// Refuses an ask, and spreads the time at which its caller comes back.
+    /// Refuses a request, with jitter in the retry delay so that callers do not return all at once.
     pub(crate) fn deny(&mut self, key: K, reason: Reason, out: &mut Vec<Decision<K>>) {
         const MIN_RETRY_AFTER: f64 = 0.05;
         let mean = self.estimate.mean().unwrap_or(DEFAULT_SERVICE_TIME);
--- a/crates/balance/src/queue.rs
+++ b/crates/balance/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot.
+//! The queue of requests that wait for a slot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,23 +10,24 @@
 use crate::SlotRequest;
 use crate::service_time::ServiceTimeEstimate;
 
-/// What share of its time to wait a request may be behind a later one that has less time.
+/// The share of the time to its deadline by which a request is ordered after its arrival.
 ///
-/// With all of it, the earliest deadline goes first, and patient requests wait as soon as there is any queue.
+/// With a share of 1 the queue would be ordered by deadline, and requests with late deadlines would wait as soon as there
+/// is any queue. With 0 it would be ordered by arrival.
 const DEADLINE_ORDER_SHARE: f64 = 0.05;
 
-/// Where a request stands: in order of arrival, but somewhat later if it has much time, and somewhat earlier if it
-/// has little.
+/// The sort key of a queued request: its arrival, delayed by a small share of the time to its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     order_time: Time,
     arrival: u64,
 }
 
-/// Requests that wait for the same slots.
+/// Requests that wait for the same slots, in queue order.
 pub(crate) type Lane<K> = BTreeMap<QueuePosition, SlotRequest<K>>;
 
-/// All waiting requests of a service: one line for any upstream, and one for each upstream that flows are pinned to.
+/// All queued requests of a service: one lane for requests that any upstream can serve, and one for each upstream that
+/// queued requests are pinned to.
 #[derive(Debug, Clone)]
 pub(crate) struct Queue<K> {
     shared: Lane<K>,
@@ -45,27 +46,27 @@
         }
     }
 
-    /// How many requests wait in all.
+    /// The number of queued requests in all lanes.
     pub(crate) fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether this request waits.
+    /// Whether this request is queued.
     pub(crate) fn contains(&self, key: &K) -> bool {
         self.positions.contains_key(key)
     }
 
-    /// How many requests wait for any upstream.
+    /// The number of requests in the shared lane.
     pub(crate) fn shared_len(&self) -> usize {
         self.shared.len()
     }
 
-    /// How many requests wait for this very upstream.
+    /// The number of requests pinned to this upstream.
     pub(crate) fn pinned_len(&self, upstream: &UpstreamName) -> usize {
         self.pinned.get(upstream).map_or(0, BTreeMap::len)
     }
 
-    /// The line for this upstream, or for any.
+    /// Returns the lane of this upstream, or the shared one for `None`.
     pub(crate) fn lane(&self, upstream: Option<&UpstreamName>) -> Option<&Lane<K>> {
         match upstream {
             Some(name) => self.pinned.get(name),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Adds a request to the line of an upstream, or to the shared one.
+    /// Adds a request to the lane of an upstream, or to the shared one for `None`.
     pub(crate) fn push(&mut self, request: SlotRequest<K>, upstream: Option<UpstreamName>, now: Time) {
         self.arrivals += 1;
         let position = QueuePosition {
@@ -88,7 +89,7 @@
         lane.insert(position, request);
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, key: &K) -> Option<SlotRequest<K>> {
         let (upstream, position) = self.positions.remove(key)?;
         let Some(name) = upstream else {
@@ -102,23 +103,23 @@
         request
     }
 
-    /// The first request of each line for one upstream.
+    /// Returns the first request of each pinned lane.
     pub(crate) fn pinned_heads(&self) -> impl Iterator<Item = (&UpstreamName, QueuePosition, &SlotRequest<K>)> {
         let head = |(name, lane)| Lane::first_key_value(lane).map(|(position, request)| (name, *position, request));
         self.pinned.iter().filter_map(head)
     }
 
-    /// Some waiting request.
+    /// Returns the key of an arbitrary queued request.
     pub(crate) fn any_key(&self) -> Option<K> {
         self.positions.keys().next().cloned()
     }
 
-    /// The upstreams that requests wait for.
+    /// The upstreams that queued requests are pinned to.
     pub(crate) fn pinned_upstreams(&self) -> Vec<UpstreamName> {
         self.pinned.keys().cloned().collect()
     }
 
-    /// Lets the requests that wait for this upstream wait for any.
+    /// Moves the requests pinned to this upstream to the shared lane. They keep their queue positions.
     pub(crate) fn unpin(&mut self, upstream: &UpstreamName) {
         let Some(lane) = self.pinned.remove(upstream) else {
             return;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes out the requests that fail `keep`.
+    /// Removes the requests whose keys fail `keep`.
     pub(crate) fn retain(&mut self, keep: impl Fn(&K) -> bool) {
         let rejected: Vec<K> = self.positions.keys().filter(|key| !keep(key)).cloned().collect();
         for key in rejected {
@@ -138,10 +139,11 @@
     }
 }
 
-/// The request that gives way when a line cannot start all of its requests in time, or when the queue is full.
+/// Selects the request to refuse when a lane cannot start all of its requests in time, or when the queue is full.
 ///
-/// The line is served by `servers` slots. The first request that would start too late is found, and of those up to
-/// it the one is named that brings least per second of a slot; of equals, the one that came last.
+/// The lane is served by `servers` slots. Of the requests up to and including the first one that would start too late,
+/// returns the one with the least value per second of slot time; of equal ones, the last to arrive. A request whose
+/// deadline has passed is returned itself.
 pub(crate) fn request_to_shed<K: Clone>(
     lane: &Lane<K>,
     estimate: &ServiceTimeEstimate,
@@ -177,13 +179,13 @@
     }
 }
 
-/// What a second of a slot brings when it is spent on requests of this weight and mean service time.
+/// The value per second of slot time of requests with this weight and mean service time.
 fn value_density(weight: Weight, service: f64) -> f64 {
     const MIN_SERVICE_TIME: f64 = 1e-6;
     f64::from(weight.0) / service.max(MIN_SERVICE_TIME)
 }
 
-/// The point in time that lies `span` before `time`.
+/// Returns the timestamp that lies `duration` before `time`.
 pub(crate) fn time_before(time: Time, duration: Duration) -> Time {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
     Time(time.0.saturating_sub(micros))
--- a/crates/balance/src/request.rs
+++ b/crates/balance/src/request.rs
@@ -1,4 +1,4 @@
-//! What a pool is asked, and what it decides.
+//! Requests for slots, and the decisions on them.
 
 use units::Millis;
 use units::Time;
@@ -7,40 +7,40 @@
 use units::ZoneName;
 use wire::Reason;
 
-/// Asks for a slot of an upstream.
+/// A request for a slot of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRequest<K> {
-    /// Names this request for a slot.
+    /// Identifies this request.
     pub key: K,
-    /// How much the request counts once it is completed.
+    /// The value of the request once it is completed.
     pub weight: Weight,
     /// The availability zone in which the request arrived.
     pub zone: ZoneName,
-    /// When the caller stops waiting for the answer.
+    /// When the caller stops waiting for the reply.
     pub deadline: Time,
-    /// The upstream that the request's flow keeps, if the service pins flows.
+    /// The upstream that the request's flow is pinned to, if the service pins flows.
     pub pinned: Option<UpstreamName>,
-    /// Upstreams that have failed this request. If there are any, this is a retry.
+    /// Upstreams that have failed this request. If there are any, the request is a retry.
     pub avoid: Vec<UpstreamName>,
 }
 
-/// What becomes of an ask.
+/// The decision on a [`SlotRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision<K> {
     /// The request may use a slot.
     Grant {
-        /// The ask.
+        /// The key of the request.
         key: K,
-        /// The upstream whose slot it is.
+        /// The upstream that owns the slot.
         upstream: UpstreamName,
     },
-    /// The request gets no slot.
+    /// The request is refused.
     Deny {
-        /// The ask.
+        /// The key of the request.
         key: K,
-        /// Why.
+        /// Why it is refused.
         reason: Reason,
-        /// When asking again makes sense.
+        /// How long the caller should wait before it retries.
         retry_after: Millis,
     },
 }
--- a/crates/balance/src/retry_budget.rs
+++ b/crates/balance/src/retry_budget.rs
@@ -1,11 +1,11 @@
-//! The retry budget: retries are a share of successes.
+//! The retry budget, which limits retries to a share of the completed requests.
 
-/// Retries that are always allowed at first, so that a quiet service can retry at all.
+/// The retries available at the start, so that a service with little traffic can retry at all.
 const INITIAL_RETRIES: f64 = 3.0;
-/// How many successes a budget remembers at most, so that a long calm does not pay for a storm.
+/// How many successes can be credited at most, so that a long quiet period does not allow a retry storm.
 const MAX_COUNTED_SUCCESSES: f64 = 100.0;
 
-/// Counts what successes have earned and retries have spent.
+/// A token bucket that completed requests fill and retries drain.
 #[derive(Debug, Clone)]
 pub(crate) struct RetryBudget {
     retries_per_success: f64,
@@ -13,7 +13,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of this many retries for each hundred successes.
+    /// Creates a budget that allows `percent` retries for each hundred successes.
     pub(crate) fn new(percent: u32) -> Self {
         let available = if percent == 0 { 0.0 } else { INITIAL_RETRIES };
         Self {
@@ -22,23 +22,23 @@
         }
     }
 
-    /// Changes the share and keeps what is left, within the new bounds.
+    /// Changes the share and keeps the available retries, up to the new limit.
     pub(crate) fn set_percent(&mut self, percent: u32) {
         self.retries_per_success = f64::from(percent) / 100.0;
         self.available = self.available.min(self.limit());
     }
 
-    /// A request was completed.
+    /// Credits a completed request.
     pub(crate) fn record_success(&mut self) {
         self.available = (self.available + self.retries_per_success).min(self.limit());
     }
 
-    /// An attempt surely did not run, so trying again repeats no work.
+    /// Credits one retry for an attempt that certainly did not run, since retrying it repeats no work.
     pub(crate) fn refund(&mut self) {
         self.available = (self.available + 1.0).min(self.limit());
     }
 
-    /// Whether a retry may be made now; if so, it is paid for.
+    /// Takes one retry from the budget. Returns false if none is available.
     pub(crate) fn try_spend(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
--- a/crates/balance/src/service_time.rs
+++ b/crates/balance/src/service_time.rs
@@ -1,16 +1,16 @@
-//! How long requests take, learned from completed ones.
+//! Mean service times, estimated from completed requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use units::Weight;
 
-/// How many completions an average looks back on, once it has seen that many.
+/// The number of samples after which the mean turns from arithmetic into exponentially weighted.
 const WINDOW: f64 = 256.0;
-/// Below this many completions nothing is known.
+/// The number of samples below which there is no estimate.
 const MIN_SAMPLES: f64 = 8.0;
 
-/// A moving average that is exact at first and forgets later.
+/// A mean that is arithmetic for the first [`WINDOW`] samples and exponentially weighted after that.
 #[derive(Debug, Default, Clone)]
 struct MovingMean {
     count: f64,
@@ -28,9 +28,9 @@
     }
 }
 
-/// The mean service time of a service, in all and for each weight.
+/// The mean service time of a service, overall and for each weight.
 ///
-/// Kinds of request with one weight share an average, since a pool does not know kinds.
+/// Request kinds of equal weight share a mean, because a pool does not know kinds.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct ServiceTimeEstimate {
     overall: MovingMean,
@@ -38,7 +38,7 @@
 }
 
 impl ServiceTimeEstimate {
-    /// A request was completed.
+    /// Records the service time of a completed request.
     pub(crate) fn record(&mut self, weight: Option<Weight>, took: Duration) {
         let seconds = took.as_secs_f64();
         self.overall.record(seconds);
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The mean service time in seconds, if enough is known.
+    /// Returns the overall mean service time in seconds, or `None` if there are too few samples.
     pub(crate) fn mean(&self) -> Option<f64> {
         self.overall.get()
     }
 
-    /// The mean service time in seconds of requests of this weight, zero if nothing is known.
+    /// Returns the mean service time in seconds of requests of this weight. Falls back to the overall mean, then to zero.
     pub(crate) fn mean_of(&self, weight: Weight) -> f64 {
         let of_weight = self.by_weight.get(&weight).and_then(MovingMean::get);
         of_weight.or_else(|| self.overall.get()).unwrap_or(0.0)
--- a/crates/balance/src/status.rs
+++ b/crates/balance/src/status.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, and what a pool says of them.
+//! Reports by upstreams, and the status of upstreams in a pool.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,39 +8,39 @@
 use units::Slots;
 use units::UpstreamName;
 
-/// What an upstream says of itself. It may lag or mislead.
+/// An upstream's report on itself. It may be outdated or wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// Whether it says that it is fit to serve.
+    /// Whether it reports to be healthy.
     pub healthy: bool,
-    /// Whether it says that it takes no new work.
+    /// Whether it reports to be draining, so that it takes no new requests.
     pub draining: bool,
-    /// How many requests it says it is serving.
+    /// The number of requests that it reports to be serving.
     pub busy: Slots,
-    /// How long ago it started.
+    /// The time since it started.
     pub age: Duration,
 }
 
-/// Whether an upstream gets new work, and why not.
+/// Whether an upstream gets new requests, and why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// It gets its full share of new requests.
     Active,
-    /// It started lately and gets a growing share.
+    /// It started recently and gets a growing share of new requests.
     Warming,
-    /// It failed and gets nothing for some time.
+    /// It failed and gets no requests for some time.
     Ejected,
-    /// It failed, and a few requests try whether it serves again.
+    /// It failed, and single requests probe whether it has recovered.
     Probing,
-    /// It finishes what it has, since it or an operator said so.
+    /// It finishes its requests and gets no new ones, as it or an operator requested.
     Draining,
-    /// It is no longer in the document and finishes what it has.
+    /// It is no longer in the configuration document and finishes its requests.
     Removed,
 }
 
 impl State {
-    /// The state as a metric label and on status pages.
+    /// The name of the state in metric labels and on status pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Active => "active",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Why the upstream gets new work or not, for operators.
+    /// Explains to operators why the upstream gets new requests or not.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Active => "it gets new work",
@@ -71,22 +71,22 @@
     }
 }
 
-/// An upstream as its pool sees it.
+/// The status of an upstream in its pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamStatus {
     /// Its name.
     pub name: UpstreamName,
-    /// Whether it gets new work.
+    /// Whether it gets new requests.
     pub state: State,
-    /// How many of its slots this pool has lent.
+    /// The number of its slots that this pool has leased.
     pub busy: u32,
-    /// How many requests it serves at a time.
+    /// The number of requests that it can serve concurrently.
     pub slots: Slots,
-    /// How many requests wait for this very upstream.
+    /// The number of queued requests that are pinned to it.
     pub pinned: u32,
-    /// How many requests wait for any upstream of the service.
+    /// The number of queued requests that any upstream of the service can serve.
     pub queued: u32,
-    /// The smoothed share of its slots that were in use, from 0 on.
+    /// The smoothed share of its slots that this pool has leased; 0 is idle, and it may exceed 1.
     pub utilisation: f64,
     /// The smoothed share of its calls that failed, from 0 to 1.
     pub failure_rate: f64,
--- a/crates/balance/src/target.rs
+++ b/crates/balance/src/target.rs
@@ -1,4 +1,4 @@
-//! One upstream: its slots, its load over time, and whether it may get new work.
+//! The state of one upstream: its slots, its load over time, and whether it may get new requests.
 
 use std::time::Duration;
 
@@ -15,39 +15,40 @@
 use crate::health::Health;
 use crate::health::HealthState;
 
-/// How far back the smoothed utilisation looks, in seconds.
+/// The time constant of the smoothed utilisation, in seconds.
 const UTILISATION_WINDOW: f64 = 5.0;
-/// The share of the service's requests, relative to a warm one, that an upstream gets at the very start.
+/// The share of requests that an upstream gets at the beginning of its slow start, relative to its usual share.
 const SLOW_START_MIN_SHARE: f64 = 0.1;
-/// How many times that share of its slots it may use when the others are busy.
+/// During slow start, an upstream may use up to this many times its share of its slots when the others are busy.
 const SLOW_START_HEADROOM: f64 = 4.0;
-/// How much of a new report on foreign use counts.
+/// The weight of one report in the smoothed number of slots that are in use by others.
 const BUSY_ELSEWHERE_GAIN: f64 = 0.2;
 
-/// One upstream as its pool sees it.
+/// The state of one upstream in its pool.
 #[derive(Debug, Clone)]
 pub(crate) struct Target {
     pub(crate) name: UpstreamName,
     pub(crate) zone: ZoneName,
     pub(crate) slots: Slots,
     pub(crate) health: Health,
-    /// How many slots this pool has lent.
+    /// The number of slots that this pool has leased.
     pub(crate) busy: u32,
-    /// The document says that it drains.
+    /// Whether the configuration document marks it as draining.
     draining: bool,
-    /// It said itself, or somebody said of it, that it leaves. This stands until its next life.
+    /// Whether it was announced to be draining, by itself or by others. Reset when it restarts.
     drain_announced: bool,
-    /// The document no longer names it.
+    /// Whether the configuration document no longer lists it.
     removed: bool,
-    /// Slots of calls that failed fast, kept until a call of usual length would have ended.
+    /// One entry for each slot of a call that failed fast: the slot stays reserved until a call of mean duration would have
+    /// ended.
     reserved_until: Vec<Time>,
-    /// It shed work and gets none until then.
+    /// It refused a request because of overload and gets no new ones until this time.
     backoff_until: Time,
-    /// When it started, while that is not long ago.
+    /// When its slow start began, if it may still be in progress.
     slow_start_since: Option<Time>,
     utilisation: f64,
     utilisation_at: Time,
-    /// The smoothed number of its slots that others seem to use.
+    /// The smoothed number of its slots that seem to be in use by others.
     busy_elsewhere: f64,
 }
 
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The document names it, perhaps with new properties.
+    /// Applies its current settings from the configuration document.
     pub(crate) fn configure(&mut self, upstream: &Upstream) {
         self.zone = upstream.zone.clone();
         self.slots = upstream.slots;
@@ -79,22 +80,22 @@
         self.removed = false;
     }
 
-    /// The document no longer names it.
+    /// Marks it as no longer listed in the configuration document.
     pub(crate) fn remove(&mut self) {
         self.removed = true;
     }
 
-    /// Whether nothing is left to remember of it.
+    /// Whether it is removed and has no request in progress.
     pub(crate) fn can_be_dropped(&self) -> bool {
         self.removed && self.busy == 0
     }
 
-    /// It takes no new work in this life.
+    /// Stops new requests until it restarts.
     pub(crate) fn announce_drain(&mut self) {
         self.drain_announced = true;
     }
 
-    /// It has begun a new life, so nothing that was learned of the old one holds.
+    /// Discards what was learned about the previous process after a restart, and begins a slow start.
     pub(crate) fn reset_after_restart(&mut self, now: Time) {
         self.drain_announced = false;
         self.health = Health::new();
@@ -103,23 +104,23 @@
         self.begin_slow_start(now);
     }
 
-    /// Starts the slow start at this time.
+    /// Begins the slow start at `started`.
     pub(crate) fn begin_slow_start(&mut self, started: Time) {
         self.slow_start_since = Some(started);
     }
 
-    /// Whether it takes part at all, be it healthy or not.
+    /// Whether it is meant to get new requests, regardless of its health.
     pub(crate) fn is_in_service(&self) -> bool {
         !self.draining && !self.drain_announced && !self.removed
     }
 
-    /// Whether it may get new work now or soon. With `panic_mode`, no matter how its calls ended.
+    /// Whether it may get new requests. In `panic_mode` its health is ignored.
     pub(crate) fn is_eligible(&self, panic_mode: bool) -> bool {
         let ejected = matches!(self.health.state, HealthState::Ejected(_));
         self.is_in_service() && (panic_mode || !ejected)
     }
 
-    /// How many requests it may have at a time.
+    /// The number of concurrent requests that it may get.
     pub(crate) fn capacity(&self, slow_start: Duration, panic_mode: bool, now: Time) -> u32 {
         if !self.is_eligible(panic_mode) {
             return 0;
@@ -132,14 +133,14 @@
         (f64::from(slots) * share).ceil() as u32
     }
 
-    /// Whether it may get a request now.
+    /// Whether it has a slot for a request now.
     pub(crate) fn is_free(&self, slow_start: Duration, panic_mode: bool, now: Time) -> bool {
         let reserved = self.reserved_until.iter().filter(|until| **until > now).count();
         let used = self.busy + reserved as u32;
         now >= self.backoff_until && used < self.capacity(slow_start, panic_mode, now)
     }
 
-    /// The share of the usual number of requests that it gets, which grows while it is cold.
+    /// Its share of the usual number of requests, which grows to 1 during slow start.
     fn slow_start_share(&self, slow_start: Duration, now: Time) -> f64 {
         let Some(since) = self.slow_start_since else {
             return 1.0;
@@ -152,14 +153,15 @@
         SLOW_START_MIN_SHARE + (1.0 - SLOW_START_MIN_SHARE) * warm
     }
 
-    /// How loaded it looks, in slots' shares: its use now and lately, and what speaks against it.
+    /// The load for comparison with other upstreams: current and recent utilisation, scaled up during slow start, plus the
+    /// failure rate.
     pub(crate) fn load(&self, slow_start: Duration, now: Time) -> f64 {
         let slots = f64::from(self.slots.0.max(1));
         let used = (f64::from(self.busy) + self.busy_elsewhere) / slots;
         (used + self.utilisation(now)) / self.slow_start_share(slow_start, now) + self.health.failure_rate
     }
 
-    /// The smoothed share of its slots that was in use.
+    /// The smoothed share of its slots that this pool has leased.
     pub(crate) fn utilisation(&self, now: Time) -> f64 {
         let slots = f64::from(self.slots.0.max(1));
         let elapsed = now.since(self.utilisation_at).as_secs_f64();
@@ -167,13 +169,13 @@
         self.utilisation + (f64::from(self.busy) / slots - self.utilisation) * gain
     }
 
-    /// A slot is lent.
+    /// Records that a slot is leased.
     pub(crate) fn acquire_slot(&mut self, now: Time) {
         self.update_utilisation(now);
         self.busy += 1;
     }
 
-    /// A slot is given back.
+    /// Records that a slot is released.
     pub(crate) fn release_slot(&mut self, now: Time) {
         self.update_utilisation(now);
         self.busy = self.busy.saturating_sub(1);
@@ -185,17 +187,17 @@
         self.reserved_until.retain(|until| *until > now);
     }
 
-    /// Keeps a slot of a call that failed fast, so that failing fast does not attract more work.
+    /// Keeps the slot of a call that failed fast reserved, so that failing fast does not attract more requests.
     pub(crate) fn reserve_slot(&mut self, until: Time) {
         self.reserved_until.push(until);
     }
 
-    /// It shed work, so its slots are in use by somebody else.
+    /// Stops new requests until the given time. It refused one because of overload, so others are using its slots.
     pub(crate) fn back_off(&mut self, until: Time) {
         self.backoff_until = until;
     }
 
-    /// It said something of itself, or nothing.
+    /// Records the result of a poll, which is `None` if the poll failed.
     pub(crate) fn record_report(
         &mut self,
         report: Option<Report>,
@@ -211,14 +213,14 @@
         let others = f64::from(report.busy.0) - f64::from(self.busy);
         self.busy_elsewhere += (others.max(0.0) - self.busy_elsewhere) * BUSY_ELSEWHERE_GAIN;
         if report.age >= slow_start {
-            // It is new to this pool only, as when its service has a new home.
+            // It is new to this pool only, for example because the service moved to a new home.
             self.slow_start_since = None;
         } else if self.slow_start_since.is_none() {
             self.begin_slow_start(crate::queue::time_before(now, report.age));
         }
     }
 
-    /// Whether it gets new work, for status pages.
+    /// The state shown on status pages.
     pub(crate) fn state(&self, slow_start: Duration, now: Time) -> State {
         if self.removed {
             return State::Removed;
--- a/crates/balance/tests/invariants.rs
+++ b/crates/balance/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Random histories of a pool: what must hold whatever it is told.
+//! Property tests: invariants of a pool under random sequences of events.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -95,7 +95,7 @@
     format!("u{upstream}").parse().unwrap()
 }
 
-/// A service without one of the upstreams.
+/// The service with all upstreams except number `without`.
 fn service(without: usize) -> Service {
     let upstream = |number| Upstream {
         name: name(number),
@@ -122,7 +122,7 @@
     }
 }
 
-/// A pool and what is known of it from outside.
+/// A pool, and the state that its caller can expect it to be in.
 struct Model {
     now: Time,
     pool: Pool<u64>,
@@ -163,7 +163,7 @@
                 let keys: Vec<u64> = self.granted.keys().chain(self.held.keys()).copied().collect();
                 if let Some(key) = keys.get(which % keys.len().max(1)) {
                     let upstream = self.granted.remove(key).or_else(|| self.held.remove(key)).unwrap();
-                    // After the deadline the slot may have been taken back, and its end tells nothing any more.
+                    // After the deadline the lease may have been revoked, and the outcome is ignored then.
                     let known = self.now < self.deadlines[key];
                     if *outcome == Outcome::Draining && known {
                         self.draining_upstreams.insert(upstream);
@@ -231,7 +231,7 @@
             }
         }
         self.check_decisions(&out);
-        // An upstream that a document dropped is forgotten, so a later one of its name is a new one.
+        // The pool forgets removed upstreams, so an upstream that is added later under the same name is a new one.
         let statuses = self.pool.statuses();
         self.draining_upstreams
             .retain(|name| statuses.iter().any(|status| status.name == *name));
@@ -241,16 +241,16 @@
         for decision in out {
             match decision {
                 Decision::Grant { key, upstream } => {
-                    assert!(self.waiting.remove(key), "{key} was granted and did not wait");
+                    assert!(self.waiting.remove(key), "{key} was granted but was not waiting");
                     assert!(
                         !self.draining_upstreams.contains(upstream),
-                        "{upstream} left and got {key}"
+                        "{upstream} is draining but was granted to {key}"
                     );
                     self.granted.insert(*key, upstream.clone());
                 }
                 Decision::Deny { key, retry_after, .. } => {
-                    assert!(self.waiting.remove(key), "{key} was denied and did not wait");
-                    assert!(retry_after.0 > 0, "{key} is to come back at once");
+                    assert!(self.waiting.remove(key), "{key} was denied but was not waiting");
+                    assert!(retry_after.0 > 0, "{key} was denied without a retry delay");
                 }
             }
         }
@@ -260,20 +260,17 @@
             };
             let all = self.pool.statuses();
             let status = all.iter().find(|status| status.name == *upstream).unwrap();
-            assert!(
-                status.busy <= u32::from(SLOTS),
-                "{upstream} was given more than its slots"
-            );
+            assert!(status.busy <= u32::from(SLOTS), "{upstream} has more leases than slots");
             assert_ne!(status.state, State::Removed);
         }
     }
 
-    /// Lets all deadlines pass.
+    /// Advances the time past all deadlines, and checks that nothing is left.
     fn pass_all_deadlines(&mut self) {
         for _ in 0..3 {
             self.apply(&Step::Wait(10_000));
         }
-        assert_eq!(self.waiting, BTreeSet::new(), "some request was never answered");
+        assert_eq!(self.waiting, BTreeSet::new(), "some requests got no decision");
         for status in self.pool.statuses() {
             assert_eq!(
                 (status.busy, status.queued, status.pinned),
@@ -285,7 +282,7 @@
     }
 }
 
-/// A fixed set of histories; `PROPTEST_CASES` and `PROPTEST_RNG_SEED` give others.
+/// Uses a fixed seed, so that runs are reproducible. `PROPTEST_CASES` and `PROPTEST_RNG_SEED` override the defaults.
 fn proptest_config() -> ProptestConfig {
     const MIN_CASES: u32 = 3_000;
     let defaults = ProptestConfig::default();
--- a/crates/balance/tests/scripts.rs
+++ b/crates/balance/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Scripts of what a pool is told and what it decides. `REWRITE=1` writes the files anew.
+//! Data-driven tests of a pool's decisions. `REWRITE=1` updates the expected output in the script files.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -55,7 +55,10 @@
             }
             return format_decisions(&out);
         }
-        let pool = self.pool.as_mut().expect("a script starts with a service");
+        let pool = self
+            .pool
+            .as_mut()
+            .expect("a script must begin with a `service` directive");
         if case.directive == "states" {
             return format_statuses(pool);
         }
@@ -69,7 +72,7 @@
     }
 }
 
-/// Does one line of a script: the first word is a key or an upstream.
+/// Runs one line of a directive's input. Its first word is a request key or an upstream.
 fn run_line(pool: &mut Pool<String>, directive: &str, line: &str, now: Time, out: &mut Vec<Decision<String>>) {
     let words: Vec<&str> = line.split_whitespace().collect();
     let name = words[0];
@@ -110,7 +113,7 @@
             let report = (!words.contains(&"none")).then_some(report);
             pool.report(&name.parse().unwrap(), report, now, out);
         }
-        other => panic!("no such directive: {other}"),
+        other => panic!("unknown directive: {other}"),
     }
 }
 
@@ -123,7 +126,7 @@
         "failed" => Outcome::Failed,
         "timed-out" => Outcome::TimedOut,
         "unused" => Outcome::Unused,
-        other => panic!("no such outcome: {other}"),
+        other => panic!("unknown outcome: {other}"),
     }
 }
 
@@ -132,7 +135,7 @@
     Some(text.parse().unwrap())
 }
 
-/// A service with the upstreams of the input, one a line: name, zone, slots, and perhaps `draining`.
+/// Builds a service from the input, which has one upstream per line: name, zone, slots, and optionally `draining`.
 fn build_service(args: &HashMap<String, Vec<String>>, input: &str) -> Service {
     let sharing = Sharing {
         affinity: Affinity::Request,
