--- a/crates/balance/src/retry_budget.rs
+++ b/crates/balance/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget, which limits retries to a share of the completed requests.
 
-/// The retries available at the start, so that a service with little traffic can retry at all.
+/// The retries available at the start, and the minimum limit of a budget, so that a service with little traffic can retry at all.
 const INITIAL_RETRIES: f64 = 3.0;
 /// How many successes can be credited at most, so that a long quiet period does not allow a retry storm.
 const MAX_COUNTED_SUCCESSES: f64 = 100.0;
