--- a/crates/units/src/name.rs
+++ b/crates/units/src/name.rs
@@ -1,4 +1,4 @@
-//! Names given by operators: checked once, cheap to copy afterwards.
+//! Names given by operators. They are validated on construction and cheap to clone.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 63;
 
-/// Why a text is not a name.
+/// Error for text that is not a valid name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
@@ -19,7 +19,7 @@
     TooLong,
     /// The text does not start with a lower-case letter.
     Start,
-    /// The text holds something else than lower-case letters, digits and hyphens.
+    /// The text contains a character other than a lower-case letter, a digit or a hyphen.
     Character,
 }
 
@@ -37,7 +37,7 @@
 
 impl std::error::Error for NameError {}
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     let Some(first) = text.bytes().next() else {
         return Err(NameError::Empty);
     };
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-macro_rules! name {
+macro_rules! define_name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
         pub struct $name(CompactString);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -78,7 +78,7 @@
             type Err = NameError;
 
             fn from_str(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(CompactString::new(text)))
             }
         }
@@ -87,7 +87,7 @@
             type Error = NameError;
 
             fn try_from(text: CompactString) -> Result<Self, NameError> {
-                check(&text)?;
+                validate(&text)?;
                 Ok(Self(text))
             }
         }
@@ -108,23 +108,23 @@
     };
 }
 
-name! {
+define_name! {
     /// The name of an entry instance.
     InstanceName
 }
-name! {
-    /// The name of a kind of request, such as `hold`.
+define_name! {
+    /// The name of a request kind, such as `hold`.
     KindName
 }
-name! {
+define_name! {
     /// The name of a service, such as `availability`.
     ServiceName
 }
-name! {
+define_name! {
     /// The name of an upstream.
     UpstreamName
 }
-name! {
+define_name! {
     /// The name of an availability zone.
     ZoneName
 }
