--- a/crates/membership/examples/start.rs
+++ b/crates/membership/examples/start.rs
@@ -53,29 +53,29 @@
         }
     }
     for span in SPANS {
-        look(&mut fleet, count, span);
+        measure_span(&mut fleet, count, span);
     }
     // Half of the fleet loses power at one moment, which no datagram tells, and comes back.
-    let half = |index: usize| index % 2 == 1;
-    for index in (0..count).filter(|index| half(*index)) {
+    let loses_power = |index: usize| index % 2 == 1;
+    for index in (0..count).filter(|index| loses_power(*index)) {
         fleet.set(index, Condition::Frozen);
     }
-    look(&mut fleet, count, Duration::from_secs(2));
-    for index in (0..count).filter(|index| half(*index)) {
+    measure_span(&mut fleet, count, Duration::from_secs(2));
+    for index in (0..count).filter(|index| loses_power(*index)) {
         fleet.start(index, &[]);
         for seed in 0..SEEDS {
             fleet.introduce(index, seed);
         }
     }
-    look(&mut fleet, count, Duration::from_secs(5));
-    look(&mut fleet, count, Duration::from_secs(15));
+    measure_span(&mut fleet, count, Duration::from_secs(5));
+    measure_span(&mut fleet, count, Duration::from_secs(15));
 }
 
-fn look(fleet: &mut Fleet, count: usize, span: Duration) {
+fn measure_span(fleet: &mut Fleet, count: usize, span: Duration) {
     for process in fleet.processes.values_mut() {
         process.sent_bytes = 0;
-        process.far_bytes = 0;
-        process.learned.clear();
+        process.cross_zone_bytes = 0;
+        process.outputs.clear();
     }
     fleet.run(span);
     let seconds = span.as_secs_f64();
@@ -85,7 +85,7 @@
         .filter(|process| process.condition == Condition::Running);
     let known: Vec<usize> = running.map(|process| process.membership.members().count()).collect();
     let sent: u64 = fleet.processes.values().map(|process| process.sent_bytes).sum();
-    let far: u64 = fleet.processes.values().map(|process| process.far_bytes).sum();
+    let far: u64 = fleet.processes.values().map(|process| process.cross_zone_bytes).sum();
     let busiest = fleet
         .processes
         .values()
--- a/crates/membership/examples/traffic.rs
+++ b/crates/membership/examples/traffic.rs
@@ -22,7 +22,7 @@
 const PAGE: u64 = 4_096;
 
 /// How long a fleet is watched in each state.
-const WATCHED: Duration = Duration::from_mins(2);
+const MEASURED_SPAN: Duration = Duration::from_mins(2);
 
 fn main() {
     println!(
@@ -51,18 +51,18 @@
     assert!(fleet.is_converged(), "the fleet has settled");
     let per_member = resident().saturating_sub(before) / (count * count) as u64;
 
-    let idle = watch(&mut fleet, |_, _| {});
-    let busy = watch(&mut fleet, disturb);
+    let idle = measure_cost(&mut fleet, |_, _| {});
+    let busy = measure_cost(&mut fleet, inject_churn);
     fleet.run(Duration::from_mins(1));
     assert!(fleet.is_converged(), "the fleet has settled again");
     assert_eq!(fleet.false_deaths, 0, "nobody was taken for dead who was not");
 
-    let crash = until(
+    let crash = time_until(
         &mut fleet,
         |fleet| fleet.set(count - 1, Condition::Crashed),
         Fleet::is_converged,
     );
-    let frozen = until(
+    let frozen = time_until(
         &mut fleet,
         |fleet| fleet.set(count - 2, Condition::Frozen),
         Fleet::is_converged,
@@ -79,7 +79,7 @@
         let mut running = fleet.processes.values().filter(running);
         running.all(|process| process.membership.document().is_some_and(|(held, _)| held == revision))
     };
-    let document = until(&mut fleet, publish, in_force);
+    let document = time_until(&mut fleet, publish, in_force);
     println!(
         "{count:>7} {:>9.0} {:>9.0} {:>8.0} {:>8.1} {:>8.0} {per_member:>10} {:>8.2} {:>8.2} {:>9.3}",
         idle.mean, busy.mean, busy.max, idle.frames, idle.micros, crash, frozen, document
@@ -94,16 +94,16 @@
     micros: f64,
 }
 
-fn watch(fleet: &mut Fleet, mut deed: impl FnMut(&mut Fleet, u64)) -> Cost {
+fn measure_cost(fleet: &mut Fleet, mut action: impl FnMut(&mut Fleet, u64)) -> Cost {
     for process in fleet.processes.values_mut() {
         process.sent_bytes = 0;
         process.sent_frames = 0;
-        process.learned.clear();
+        process.outputs.clear();
     }
     let started = Instant::now();
-    let seconds = WATCHED.as_secs();
+    let seconds = MEASURED_SPAN.as_secs();
     for second in 0..seconds {
-        deed(fleet, second);
+        action(fleet, second);
         fleet.run(Duration::from_secs(1));
     }
     let spent = started.elapsed();
@@ -120,7 +120,7 @@
 }
 
 /// A replacement every ten seconds, and a new document every five: far more than on any day.
-fn disturb(fleet: &mut Fleet, second: u64) {
+fn inject_churn(fleet: &mut Fleet, second: u64) {
     let count = fleet.processes.len();
     if second % 10 == 3 {
         let index = 1 + (second as usize * 7) % (count - 1);
@@ -139,9 +139,9 @@
 }
 
 /// Seconds until something holds, by the fleet's own clock.
-fn until(fleet: &mut Fleet, deed: impl FnOnce(&mut Fleet), holds: impl Fn(&Fleet) -> bool) -> f64 {
+fn time_until(fleet: &mut Fleet, action: impl FnOnce(&mut Fleet), holds: impl Fn(&Fleet) -> bool) -> f64 {
     let start: Time = fleet.now;
-    deed(fleet);
+    action(fleet);
     while !holds(fleet) && fleet.now.since(start) < Duration::from_mins(2) {
         fleet.run(Duration::from_millis(5));
     }
--- a/crates/membership/src/news.rs
+++ b/crates/membership/src/broadcast.rs
@@ -5,7 +5,7 @@
 use units::InstanceName;
 use units::UpstreamName;
 
-use crate::lasting::Life;
+use crate::grow_only::InstanceId;
 
 /// What a piece of news is about. Its content is read when it is sent, so it is never older than the sender's view.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -13,16 +13,16 @@
     /// This instance or another one.
     Member(InstanceName),
     /// A hand-over by this incarnation.
-    Successor(Life),
+    Successor(InstanceId),
     /// A leaving upstream.
-    Mark(UpstreamName),
+    LeavingUpstream(UpstreamName),
 }
 
 /// How many topics wait at most. When more comes at once, exchanges of all that is known tell it cheaper.
-const MAX_ITEMS: usize = 48;
+const MAX_QUEUED: usize = 48;
 
 #[derive(Debug, Clone)]
-struct Item {
+struct QueuedTopic {
     topic: Topic,
     sent: u32,
     serial: u64,
@@ -30,12 +30,12 @@
 
 /// What is still to be told.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct News {
-    items: Vec<Item>,
+pub(crate) struct BroadcastQueue {
+    items: Vec<QueuedTopic>,
     serial: u64,
 }
 
-impl News {
+impl BroadcastQueue {
     /// Puts a topic first, and has it told anew as often as if it had not been told before.
     ///
     /// If there are too many, the one that was told most is dropped.
@@ -43,16 +43,16 @@
         self.items.retain(|item| item.topic != topic);
         self.serial += 1;
         let serial = self.serial;
-        self.items.push(Item { topic, sent: 0, serial });
-        if self.items.len() > MAX_ITEMS {
-            self.drop_most_told();
+        self.items.push(QueuedTopic { topic, sent: 0, serial });
+        if self.items.len() > MAX_QUEUED {
+            self.drop_most_sent();
         }
     }
 
-    fn drop_most_told(&mut self) {
+    fn drop_most_sent(&mut self) {
         let items = self.items.iter().enumerate();
-        let most_told = items.max_by_key(|(_, item)| (item.sent, Reverse(item.serial)));
-        if let Some((index, _)) = most_told {
+        let most_sent = items.max_by_key(|(_, item)| (item.sent, Reverse(item.serial)));
+        if let Some((index, _)) = most_sent {
             self.items.swap_remove(index);
         }
     }
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/dissemination.rs
@@ -9,33 +9,33 @@
 use wire::Member;
 use wire::MemberState;
 
-use crate::lasting::Life;
+use crate::broadcast::Topic;
+use crate::grow_only::InstanceId;
 use crate::membership::Membership;
-use crate::news::Topic;
 use crate::output::Output;
-use crate::table::Known;
+use crate::table::MemberEntry;
 use crate::table::member_hash;
 
 /// How many pieces of news ride on one probe, and how many while many wait, as when a whole fleet starts: a member has about 60
 /// bytes, so that a datagram fits a packet of 1,500 bytes as a rule. Of 65 instances that start at once most knew few others for
 /// five seconds with the smaller number alone, and each that knows few takes every part upon itself.
-const NEWS_PER_PROBE: usize = 6;
-const MANY_NEWS_PER_PROBE: usize = 20;
+const UPDATES_PER_PROBE: usize = 6;
+const MAX_UPDATES_PER_PROBE: usize = 20;
 /// With more pieces of news than this waiting, all that is known is exchanged instead.
-const SWAMPED: usize = 24;
+const FULL_SYNC_BACKLOG: usize = 24;
 /// How many members of other zones are told at once of news that its own zone is told of.
-const FAR_FANOUT: usize = 1;
+const CROSS_ZONE_FANOUT: usize = 1;
 /// How many entries go into one frame when everything known is sent.
 const ENTRIES_PER_FRAME: usize = 64;
 
 impl Membership {
     /// Answers a probe.
-    pub(crate) fn answer(&mut self, from: &Life, seq: u64, gossip: &Gossip, out: &mut Vec<Output>) {
-        self.hear(from, gossip, out);
-        let Some(known) = self.table.get(&from.name) else {
+    pub(crate) fn answer_probe(&mut self, from: &InstanceId, seq: u64, gossip: &Gossip, out: &mut Vec<Output>) {
+        self.merge_gossip(from, gossip, out);
+        let Some(entry) = self.table.get(&from.name) else {
             return;
         };
-        let member = known.member.clone();
+        let member = entry.member.clone();
         let mut reply = self.gossip_for(&member);
         if member.incarnation > from.incarnation && !reply.members.contains(&member) {
             reply.members.push(member.clone());
@@ -51,17 +51,17 @@
     /// It holds this instance's own record until the member has seen it, and the member's own record if it is in
     /// doubt, so that it can refute.
     pub(crate) fn gossip_for(&mut self, to: &Member) -> Gossip {
-        let met = self.table.get(&to.name).and_then(|known| known.met);
+        let acked_status = self.table.get(&to.name).and_then(|entry| entry.acked_status);
         let mut gossip = self.introduction();
-        if met == Some(self.shown()) {
+        if acked_status == Some(self.own_status()) {
             gossip.members.clear();
         }
         if matches!(to.state, MemberState::Suspect | MemberState::Dead) {
             gossip.members.push(to.clone());
         }
-        let times = 3 * (self.table.present_len() + 2).ilog2().max(1);
-        let count = (self.news.len() / 2).clamp(NEWS_PER_PROBE, MANY_NEWS_PER_PROBE);
-        for topic in self.news.take(count, times) {
+        let times = 3 * (self.table.present_count() + 2).ilog2().max(1);
+        let count = (self.broadcasts.len() / 2).clamp(UPDATES_PER_PROBE, MAX_UPDATES_PER_PROBE);
+        for topic in self.broadcasts.take(count, times) {
             self.add_topic(&topic, &mut gossip);
         }
         gossip
@@ -78,7 +78,7 @@
     }
 
     /// What others should have seen of this instance's own record.
-    pub(crate) fn shown(&self) -> (u32, MemberState) {
+    pub(crate) fn own_status(&self) -> (u32, MemberState) {
         (self.me.refutation, self.me.state)
     }
 
@@ -86,18 +86,18 @@
         match topic {
             Topic::Member(name) if *name == self.me.name => add_member(&self.me, gossip),
             Topic::Member(name) => {
-                if let Some(known) = self.table.get(name) {
-                    add_member(&known.member, gossip);
+                if let Some(entry) = self.table.get(name) {
+                    add_member(&entry.member, gossip);
                 }
             }
-            Topic::Successor(life) => gossip.successors.extend(self.successors.get(life)),
-            Topic::Mark(name) => gossip.leaving.extend(self.marks.get(name)),
+            Topic::Successor(id) => gossip.successors.extend(self.successors.get(id)),
+            Topic::LeavingUpstream(name) => gossip.leaving.extend(self.leaving_upstreams.get(name)),
         }
     }
 
     /// Sends news to some members at once, chosen at random.
-    pub(crate) fn push_news(&mut self, count: usize, gossip: &Gossip, out: &mut Vec<Output>) {
-        let present = self.table.present().map(|known| &known.member);
+    pub(crate) fn send_to_random(&mut self, count: usize, gossip: &Gossip, out: &mut Vec<Output>) {
+        let present = self.table.present().map(|entry| &entry.member);
         let chosen: Vec<&Member> = present.sample(&mut self.rng, count);
         for member in chosen {
             out.push(send(member, Frame::News(gossip.clone())));
@@ -105,65 +105,65 @@
     }
 
     /// Sends news to some members at once, those of its own availability zone first, and at least one of another.
-    pub(crate) fn push_near(&mut self, gossip: &Gossip, out: &mut Vec<Output>) {
-        let present = self.table.present().map(|known| &known.member);
+    pub(crate) fn send_zone_first(&mut self, gossip: &Gossip, out: &mut Vec<Output>) {
+        let present = self.table.present().map(|entry| &entry.member);
         let (near, far): (Vec<&Member>, Vec<&Member>) = present.partition(|member| member.zone == self.me.zone);
         let near = near.into_iter().sample(&mut self.rng, self.timing.fanout);
         let missing = self.timing.fanout.saturating_sub(near.len());
-        let far = far.into_iter().sample(&mut self.rng, missing.max(FAR_FANOUT));
+        let far = far.into_iter().sample(&mut self.rng, missing.max(CROSS_ZONE_FANOUT));
         for member in near.into_iter().chain(far) {
             out.push(send(member, Frame::News(gossip.clone())));
         }
     }
 
     /// Sends news to one member, if it is known.
-    pub(crate) fn send_news(&self, to: &InstanceName, gossip: Gossip, out: &mut Vec<Output>) {
-        if let Some(known) = self.table.get(to) {
-            out.push(send(&known.member, Frame::News(gossip)));
+    pub(crate) fn send_gossip(&self, to: &InstanceName, gossip: Gossip, out: &mut Vec<Output>) {
+        if let Some(entry) = self.table.get(to) {
+            out.push(send(&entry.member, Frame::News(gossip)));
         }
     }
 
     /// Tells a member that it is in doubt, so that it can refute at once.
-    pub(crate) fn tell(&self, name: &InstanceName, out: &mut Vec<Output>) {
-        let Some(known) = self.table.get(name) else {
+    pub(crate) fn notify_suspicion(&self, name: &InstanceName, out: &mut Vec<Output>) {
+        let Some(entry) = self.table.get(name) else {
             return;
         };
         let gossip = Gossip {
-            members: vec![known.member.clone()],
+            members: vec![entry.member.clone()],
             ..Gossip::default()
         };
-        out.push(send(&known.member, Frame::News(gossip)));
+        out.push(send(&entry.member, Frame::News(gossip)));
     }
 
     /// Tells the sender of news about an old configuration document of the newer one.
-    pub(crate) fn correct(&self, from: &Life, gossip: &Gossip, out: &mut Vec<Output>) {
-        let Some((told, _)) = gossip.document else {
+    pub(crate) fn correct_document(&self, from: &InstanceId, gossip: &Gossip, out: &mut Vec<Output>) {
+        let Some((reported, _)) = gossip.document else {
             return;
         };
-        if self.document.is_none_or(|(held, _)| held <= told) {
+        if self.document.is_none_or(|(held, _)| held <= reported) {
             return;
         }
         let newer = Gossip {
             document: self.document,
             ..Gossip::default()
         };
-        self.send_news(&from.name, newer, out);
+        self.send_gossip(&from.name, newer, out);
     }
 
     /// Tells of a configuration document that is newer than the one held.
-    pub(crate) fn compare_documents(&self, from: &Life, gossip: &Gossip, out: &mut Vec<Output>) {
+    pub(crate) fn compare_documents(&self, from: &InstanceId, gossip: &Gossip, out: &mut Vec<Output>) {
         let Some((revision, digest)) = gossip.document else {
             return;
         };
-        let news = self
+        let is_news = self
             .document
             .is_none_or(|(held, held_digest)| revision > held || (revision == held && digest != held_digest));
-        let Some(known) = self.table.get(&from.name).filter(|_| news) else {
+        let Some(entry) = self.table.get(&from.name).filter(|_| is_news) else {
             return;
         };
         out.push(Output::DocumentSeen {
             from: from.name.clone(),
-            address: known.member.address,
+            address: entry.member.address,
             revision,
             digest,
         });
@@ -174,35 +174,41 @@
     /// A stranger gets it at once. With others a difference counts only when neither has news left to tell, and not
     /// too often, since news that is still on its way is the usual reason for one; or else when there is so much news
     /// that this is the cheaper way to tell it, as when many instances start together.
-    pub(crate) fn compare_views(&mut self, from: &Life, stranger: bool, gossip: &Gossip, out: &mut Vec<Output>) {
+    pub(crate) fn compare_views(
+        &mut self,
+        from: &InstanceId,
+        was_absent: bool,
+        gossip: &Gossip,
+        out: &mut Vec<Output>,
+    ) {
         if gossip.view == 0 || gossip.view == self.view() {
             return;
         }
-        let Some(known) = self.table.life(&from.name, from.incarnation) else {
+        let Some(entry) = self.table.get_incarnation(&from.name, from.incarnation) else {
             return;
         };
-        let newcomer = stranger && known.is_present();
-        let told = gossip.members.is_empty() && gossip.successors.is_empty() && gossip.leaving.is_empty();
-        let quiet = told && self.news.is_empty();
-        let swamped = self.news.len() > SWAMPED;
-        let due = (stranger || quiet || swamped) && self.now >= self.next_sync;
+        let newcomer = was_absent && entry.is_present();
+        let has_no_updates = gossip.members.is_empty() && gossip.successors.is_empty() && gossip.leaving.is_empty();
+        let quiet = has_no_updates && self.broadcasts.is_empty();
+        let backlogged = self.broadcasts.len() > FULL_SYNC_BACKLOG;
+        let due = (was_absent || quiet || backlogged) && self.now >= self.next_sync;
         if !newcomer && !due {
             return;
         }
-        let member = known.member.clone();
+        let member = entry.member.clone();
         self.next_sync = self.now + self.timing.sync_every;
         if newcomer {
-            return self.welcome(&member, out);
+            return self.send_member_sample(&member, out);
         }
-        self.send_all(&member, out);
+        self.send_full_state(&member, out);
     }
 
     /// Tells a newcomer of members, as many as fit one frame: in a large fleet that starts at once, all of them to each would
     /// fill the links of those that are asked first. It hears of the others by their news. With them goes which document is held
     /// here, so that it can ask for it at once.
-    fn welcome(&mut self, to: &Member, out: &mut Vec<Output>) {
-        let known = self.table.iter().map(|known| known.member.clone());
-        let mut members = known.sample(&mut self.rng, ENTRIES_PER_FRAME - 1);
+    fn send_member_sample(&mut self, to: &Member, out: &mut Vec<Output>) {
+        let entries = self.table.iter().map(|entry| entry.member.clone());
+        let mut members = entries.sample(&mut self.rng, ENTRIES_PER_FRAME - 1);
         members.push(self.me.clone());
         let gossip = Gossip {
             members,
@@ -210,18 +216,18 @@
             ..Gossip::default()
         };
         out.push(send(to, Frame::News(gossip)));
-        self.send_lasting(to, out);
+        self.send_grow_only_sets(to, out);
     }
 
-    fn send_all(&self, to: &Member, out: &mut Vec<Output>) {
-        let known = self.table.iter().map(|known: &Known| &known.member);
-        let members: Vec<Member> = known.chain([&self.me]).cloned().collect();
+    fn send_full_state(&self, to: &Member, out: &mut Vec<Output>) {
+        let entries = self.table.iter().map(|entry: &MemberEntry| &entry.member);
+        let members: Vec<Member> = entries.chain([&self.me]).cloned().collect();
         send_members(to, &members, out);
-        self.send_lasting(to, out);
+        self.send_grow_only_sets(to, out);
     }
 
     /// Sends what members have left behind for others.
-    fn send_lasting(&self, to: &Member, out: &mut Vec<Output>) {
+    fn send_grow_only_sets(&self, to: &Member, out: &mut Vec<Output>) {
         let successors: Vec<wire::Successor> = self.successors.iter().collect();
         for part in successors.chunks(ENTRIES_PER_FRAME) {
             let gossip = Gossip {
@@ -230,8 +236,8 @@
             };
             out.push(send(to, Frame::News(gossip)));
         }
-        let marks: Vec<wire::LeavingUpstream> = self.marks.iter().collect();
-        for part in marks.chunks(ENTRIES_PER_FRAME) {
+        let leaving_upstreams: Vec<wire::LeavingUpstream> = self.leaving_upstreams.iter().collect();
+        for part in leaving_upstreams.chunks(ENTRIES_PER_FRAME) {
             let gossip = Gossip {
                 leaving: part.to_vec(),
                 ..Gossip::default()
@@ -243,7 +249,7 @@
     /// The hash over all that instances should agree on. It is never zero.
     fn view(&self) -> u64 {
         let members = self.table.view ^ member_hash(&self.me);
-        (members ^ self.successors.view ^ self.marks.view).max(1)
+        (members ^ self.successors.view ^ self.leaving_upstreams.view).max(1)
     }
 }
 
--- a/crates/membership/src/lasting.rs
+++ b/crates/membership/src/grow_only.rs
@@ -17,46 +17,46 @@
 /// How many hand-overs are remembered.
 const MAX_SUCCESSORS: usize = 1_024;
 /// How many leaving upstreams are remembered.
-const MAX_MARKS: usize = 4_096;
+const MAX_LEAVING_UPSTREAMS: usize = 4_096;
 
 /// One life of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Life {
+pub(crate) struct InstanceId {
     pub(crate) name: InstanceName,
     pub(crate) incarnation: Incarnation,
 }
 
 /// Where the ledgers of an incarnation are now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End<'a> {
+pub(crate) enum HandoverEnd<'a> {
     /// No hand-over is known.
-    Unmoved,
+    NoHandover,
     /// They moved here.
-    At(&'a Life),
+    At(&'a InstanceId),
     /// The records lead in a circle, which no correct instance makes.
-    Circle,
+    Cycle,
 }
 
 /// The known hand-overs.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Successors {
-    records: BTreeMap<Life, Life>,
+    records: BTreeMap<InstanceId, InstanceId>,
     pub(crate) view: u64,
 }
 
 impl Successors {
     /// Adds a record; tells whether it was new. Of two for the same incarnation every instance keeps the same one.
     pub(crate) fn add(&mut self, record: &Successor) -> bool {
-        let from = Life {
+        let from = InstanceId {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         };
-        let to = Life {
+        let to = InstanceId {
             name: record.to.clone(),
             incarnation: record.to_incarnation,
         };
         let held = self.records.get(&from);
-        if from == to || held.is_some_and(|held| rank(held) >= rank(&to)) {
+        if from == to || held.is_some_and(|held| precedence(held) >= precedence(&to)) {
             return false;
         }
         if let Some(held) = held {
@@ -64,15 +64,15 @@
         }
         self.view ^= record_hash(&from, &to);
         self.records.insert(from.clone(), to);
-        self.shrink();
+        self.enforce_limit();
         self.records.contains_key(&from)
     }
 
-    fn shrink(&mut self) {
+    fn enforce_limit(&mut self) {
         if self.records.len() <= MAX_SUCCESSORS {
             return;
         }
-        let age = |(from, to): &(&Life, &Life)| (from.incarnation.max(to.incarnation), (*from).clone());
+        let age = |(from, to): &(&InstanceId, &InstanceId)| (from.incarnation.max(to.incarnation), (*from).clone());
         let oldest = self.records.iter().min_by_key(age).map(|(from, _)| from.clone());
         if let Some((from, to)) = oldest.and_then(|from| self.records.remove_entry(&from)) {
             self.view ^= record_hash(&from, &to);
@@ -80,20 +80,20 @@
     }
 
     /// Follows the records from an incarnation to their end.
-    pub(crate) fn end(&self, from: &Life) -> End<'_> {
+    pub(crate) fn resolve(&self, from: &InstanceId) -> HandoverEnd<'_> {
         let Some(mut last) = self.records.get(from) else {
-            return End::Unmoved;
+            return HandoverEnd::NoHandover;
         };
         for _ in 0..self.records.len() {
             let Some(next) = self.records.get(last) else {
-                return End::At(last);
+                return HandoverEnd::At(last);
             };
             last = next;
         }
-        End::Circle
+        HandoverEnd::Cycle
     }
 
-    pub(crate) fn get(&self, from: &Life) -> Option<Successor> {
+    pub(crate) fn get(&self, from: &InstanceId) -> Option<Successor> {
         self.records.get_key_value(from).map(|(from, to)| successor(from, to))
     }
 
@@ -102,11 +102,11 @@
     }
 }
 
-fn rank(life: &Life) -> (Incarnation, &InstanceName) {
-    (life.incarnation, &life.name)
+fn precedence(id: &InstanceId) -> (Incarnation, &InstanceName) {
+    (id.incarnation, &id.name)
 }
 
-fn successor(from: &Life, to: &Life) -> Successor {
+fn successor(from: &InstanceId, to: &InstanceId) -> Successor {
     Successor {
         from: from.name.clone(),
         from_incarnation: from.incarnation,
@@ -115,19 +115,19 @@
     }
 }
 
-fn record_hash(from: &Life, to: &Life) -> u64 {
+fn record_hash(from: &InstanceId, to: &InstanceId) -> u64 {
     let text = format!("succ {} {} {} {}", from.name, from.incarnation, to.name, to.incarnation);
     hash(text.as_bytes())
 }
 
 /// The highest leaving incarnation of each upstream.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Marks {
+pub(crate) struct LeavingUpstreams {
     highest: BTreeMap<UpstreamName, Incarnation>,
     pub(crate) view: u64,
 }
 
-impl Marks {
+impl LeavingUpstreams {
     /// Adds a mark; tells whether it was new.
     pub(crate) fn add(&mut self, mark: &LeavingUpstream) -> bool {
         let held = self.highest.get(&mark.name).copied();
@@ -135,22 +135,22 @@
             return false;
         }
         if let Some(held) = held {
-            self.view ^= mark_hash(&mark.name, held);
+            self.view ^= leaving_hash(&mark.name, held);
         }
-        self.view ^= mark_hash(&mark.name, mark.incarnation);
+        self.view ^= leaving_hash(&mark.name, mark.incarnation);
         self.highest.insert(mark.name.clone(), mark.incarnation);
-        self.shrink();
+        self.enforce_limit();
         self.is_leaving(&mark.name, mark.incarnation)
     }
 
-    fn shrink(&mut self) {
-        if self.highest.len() <= MAX_MARKS {
+    fn enforce_limit(&mut self) {
+        if self.highest.len() <= MAX_LEAVING_UPSTREAMS {
             return;
         }
         let age = |(name, incarnation): &(&UpstreamName, &Incarnation)| (**incarnation, (*name).clone());
         let oldest = self.highest.iter().min_by_key(age).map(|(name, _)| name.clone());
         if let Some((name, incarnation)) = oldest.and_then(|name| self.highest.remove_entry(&name)) {
-            self.view ^= mark_hash(&name, incarnation);
+            self.view ^= leaving_hash(&name, incarnation);
         }
     }
 
@@ -160,21 +160,21 @@
     }
 
     pub(crate) fn get(&self, name: &UpstreamName) -> Option<LeavingUpstream> {
-        self.highest.get_key_value(name).map(mark)
+        self.highest.get_key_value(name).map(leaving_upstream)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = LeavingUpstream> {
-        self.highest.iter().map(mark)
+        self.highest.iter().map(leaving_upstream)
     }
 }
 
-fn mark((name, incarnation): (&UpstreamName, &Incarnation)) -> LeavingUpstream {
+fn leaving_upstream((name, incarnation): (&UpstreamName, &Incarnation)) -> LeavingUpstream {
     LeavingUpstream {
         name: name.clone(),
         incarnation: *incarnation,
     }
 }
 
-fn mark_hash(name: &UpstreamName, incarnation: Incarnation) -> u64 {
+fn leaving_hash(name: &UpstreamName, incarnation: Incarnation) -> u64 {
     hash(format!("mark {name} {incarnation}").as_bytes())
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,15 +7,15 @@
 //! flows, tokens and ledgers, and nothing safe may hang on what it says: a view may be wrong at any time, and costs
 //! work when it is, never correctness.
 
-mod lasting;
-mod learn;
+mod broadcast;
+mod dissemination;
+mod grow_only;
 mod membership;
-mod news;
+mod merge;
 mod output;
 mod probe;
 mod rendezvous;
 mod seed;
-mod spread;
 mod table;
 mod timing;
 mod view;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -17,11 +17,11 @@
 use wire::MemberState;
 use wire::Successor;
 
-use crate::lasting::Life;
-use crate::lasting::Marks;
-use crate::lasting::Successors;
-use crate::news::News;
-use crate::news::Topic;
+use crate::broadcast::BroadcastQueue;
+use crate::broadcast::Topic;
+use crate::grow_only::InstanceId;
+use crate::grow_only::LeavingUpstreams;
+use crate::grow_only::Successors;
 use crate::output::Output;
 use crate::probe::Probes;
 use crate::rendezvous::member_key;
@@ -34,7 +34,7 @@
 pub(crate) struct Deadline {
     pub(crate) at: Time,
     /// Whether it has been told directly, so that it counts as dead when this is over.
-    pub(crate) told: bool,
+    pub(crate) notified: bool,
 }
 
 /// One instance's part in the fleet.
@@ -49,8 +49,8 @@
     /// When a member that is suspected, or leaving and silent, counts as dead.
     pub(crate) deadlines: BTreeMap<InstanceName, Deadline>,
     pub(crate) successors: Successors,
-    pub(crate) marks: Marks,
-    pub(crate) news: News,
+    pub(crate) leaving_upstreams: LeavingUpstreams,
+    pub(crate) broadcasts: BroadcastQueue,
     pub(crate) probes: Probes,
     pub(crate) seeds: Seeds,
     pub(crate) document: Option<(Revision, Digest)>,
@@ -67,8 +67,8 @@
             state: MemberState::Alive,
             ..me
         };
-        let mut news = News::default();
-        news.push(Topic::Member(me.name.clone()));
+        let mut broadcasts = BroadcastQueue::default();
+        broadcasts.push(Topic::Member(me.name.clone()));
         let mut rng = SmallRng::seed_from_u64(seed);
         Self {
             my_key: member_key(&me.name),
@@ -81,8 +81,8 @@
             table: Table::default(),
             deadlines: BTreeMap::new(),
             successors: Successors::default(),
-            marks: Marks::default(),
-            news,
+            leaving_upstreams: LeavingUpstreams::default(),
+            broadcasts,
             document: None,
             next_sync: now,
             replaced: false,
@@ -101,7 +101,7 @@
         out: &mut Vec<Output>,
     ) {
         self.advance(now);
-        let from = Life {
+        let from = InstanceId {
             name: from.clone(),
             incarnation: from_incarnation,
         };
@@ -110,15 +110,15 @@
             return;
         }
         match frame {
-            Frame::Probe(seq, gossip) => self.answer(&from, *seq, gossip, out),
+            Frame::Probe(seq, gossip) => self.answer_probe(&from, *seq, gossip, out),
             Frame::ProbeAck(seq, gossip) => {
-                self.hear(&from, gossip, out);
-                self.acked(&from, *seq, out);
+                self.merge_gossip(&from, gossip, out);
+                self.handle_ack(&from, *seq, out);
             }
-            Frame::ProbeFor(seq, target) => self.probe_for(&from, *seq, target, out),
+            Frame::ProbeFor(seq, target) => self.relay_probe(&from, *seq, target, out),
             Frame::News(gossip) => {
-                self.hear(&from, gossip, out);
-                self.correct(&from, gossip, out);
+                self.merge_gossip(&from, gossip, out);
+                self.correct_document(&from, gossip, out);
             }
             _ => {}
         }
@@ -143,12 +143,12 @@
         }
         self.me.state = MemberState::Leaving;
         self.me.refutation = self.me.refutation.saturating_add(1);
-        self.news.push(Topic::Member(self.me.name.clone()));
+        self.broadcasts.push(Topic::Member(self.me.name.clone()));
         let gossip = Gossip {
             members: vec![self.me.clone()],
             ..Gossip::default()
         };
-        self.push_news(self.timing.stop_fanout, &gossip, out);
+        self.send_to_random(self.timing.stop_fanout, &gossip, out);
     }
 
     /// Adds a hand-over, one's own or an inherited one, and spreads it.
@@ -157,7 +157,7 @@
         if !self.successors.add(&record) {
             return;
         }
-        self.news.push(Topic::Successor(Life {
+        self.broadcasts.push(Topic::Successor(InstanceId {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         }));
@@ -165,21 +165,21 @@
             successors: vec![record],
             ..Gossip::default()
         };
-        self.push_news(self.timing.stop_fanout, &gossip, out);
+        self.send_to_random(self.timing.stop_fanout, &gossip, out);
     }
 
     /// Marks an incarnation of an upstream, and all before it, as leaving, and spreads this. It is never taken back.
     pub fn add_leaving_upstream(&mut self, mark: LeavingUpstream, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
-        if !self.marks.add(&mark) {
+        if !self.leaving_upstreams.add(&mark) {
             return;
         }
-        self.news.push(Topic::Mark(mark.name.clone()));
+        self.broadcasts.push(Topic::LeavingUpstream(mark.name.clone()));
         let gossip = Gossip {
             leaving: vec![mark],
             ..Gossip::default()
         };
-        self.push_news(self.timing.fanout, &gossip, out);
+        self.send_to_random(self.timing.fanout, &gossip, out);
     }
 
     /// Sets the configuration document that this instance holds, and tells a few others at once if it is newer, or another one of
@@ -198,9 +198,9 @@
             ..Gossip::default()
         };
         if self.timing.near_first {
-            return self.push_near(&gossip, out);
+            return self.send_zone_first(&gossip, out);
         }
-        self.push_news(self.timing.fanout, &gossip, out);
+        self.send_to_random(self.timing.fanout, &gossip, out);
     }
 
     /// The configuration document that this instance holds.
@@ -210,7 +210,7 @@
 
     /// Whether an incarnation of an upstream gets no new work any more.
     pub fn is_leaving(&self, name: &UpstreamName, incarnation: Incarnation) -> bool {
-        self.marks.is_leaving(name, incarnation)
+        self.leaving_upstreams.is_leaving(name, incarnation)
     }
 
     /// Moves to a new time.
--- a/crates/membership/src/learn.rs
+++ b/crates/membership/src/merge.rs
@@ -5,72 +5,72 @@
 use wire::Member;
 use wire::MemberState;
 
-use crate::lasting::Life;
+use crate::broadcast::Topic;
+use crate::grow_only::InstanceId;
 use crate::membership::Deadline;
 use crate::membership::Membership;
-use crate::news::Topic;
 use crate::output::Output;
 use crate::table::Change;
-use crate::table::Known;
-use crate::table::weigh;
+use crate::table::MemberEntry;
+use crate::table::compare_report;
 
 impl Membership {
     /// Takes in a frame's gossip, and the proof of life that the frame itself is.
-    pub(crate) fn hear(&mut self, from: &Life, gossip: &Gossip, out: &mut Vec<Output>) {
-        let stranger = !self.is_present(from);
+    pub(crate) fn merge_gossip(&mut self, from: &InstanceId, gossip: &Gossip, out: &mut Vec<Output>) {
+        let was_absent = !self.is_present(from);
         for report in &gossip.members {
-            self.learn(from, report, out);
+            self.merge_report(from, report, out);
         }
         for record in &gossip.successors {
             if !self.successors.add(record) {
                 continue;
             }
-            self.news.push(Topic::Successor(Life {
+            self.broadcasts.push(Topic::Successor(InstanceId {
                 name: record.from.clone(),
                 incarnation: record.from_incarnation,
             }));
             out.push(Output::Succeeded(record.clone()));
         }
         for mark in &gossip.leaving {
-            if !self.marks.add(mark) {
+            if !self.leaving_upstreams.add(mark) {
                 continue;
             }
-            self.news.push(Topic::Mark(mark.name.clone()));
+            self.broadcasts.push(Topic::LeavingUpstream(mark.name.clone()));
             out.push(Output::UpstreamLeaving(mark.clone()));
         }
-        self.note_life(from);
+        self.record_liveness(from);
         if let Some(document) = gossip.document {
             self.table.set_document(&from.name, from.incarnation, document);
         }
         self.compare_documents(from, gossip, out);
-        self.compare_views(from, stranger, gossip, out);
+        self.compare_views(from, was_absent, gossip, out);
     }
 
     /// Whether an incarnation is in the view and not dead.
-    fn is_present(&self, life: &Life) -> bool {
-        let known = self.table.life(&life.name, life.incarnation);
-        known.is_some_and(Known::is_present)
+    fn is_present(&self, id: &InstanceId) -> bool {
+        let entry = self.table.get_incarnation(&id.name, id.incarnation);
+        entry.is_some_and(MemberEntry::is_present)
     }
 
     /// Takes in a report about a member.
-    fn learn(&mut self, from: &Life, report: &Member, out: &mut Vec<Output>) {
+    fn merge_report(&mut self, from: &InstanceId, report: &Member, out: &mut Vec<Output>) {
         if report.name == self.me.name {
-            self.learn_of_me(from, report, out);
+            self.merge_own_report(from, report, out);
             return;
         }
-        match weigh(self.table.get(&report.name), report) {
+        match compare_report(self.table.get(&report.name), report) {
             Change::None => {}
-            Change::New => self.meet(report.clone(), out),
-            Change::State => self.change(report.clone(), out),
-            Change::Doubt => self.doubt(report, out),
+            Change::New => self.insert_member(report.clone(), out),
+            Change::Update => self.update_member(report.clone(), out),
+            Change::ReportedDead => self.suspect_reported_dead(report, out),
         }
     }
 
     /// Makes a member that others take for dead a suspect with little time, and tells it so that it can refute.
-    fn doubt(&mut self, report: &Member, out: &mut Vec<Output>) {
+    fn suspect_reported_dead(&mut self, report: &Member, out: &mut Vec<Output>) {
         let deadline = Deadline {
-            at: self.now + self.timing.last_chance(),
-            told: true,
+            at: self.now + self.timing.refutation_window(),
+            notified: true,
         };
         if self
             .deadlines
@@ -83,27 +83,27 @@
             state: MemberState::Suspect,
             ..report.clone()
         };
-        self.change(member, out);
+        self.update_member(member, out);
         self.deadlines.insert(report.name.clone(), deadline);
-        self.tell(&report.name, out);
+        self.notify_suspicion(&report.name, out);
     }
 
     /// Refutes a report that this instance is in doubt or dead.
-    fn learn_of_me(&mut self, from: &Life, report: &Member, out: &mut Vec<Output>) {
+    fn merge_own_report(&mut self, from: &InstanceId, report: &Member, out: &mut Vec<Output>) {
         if report.incarnation != self.me.incarnation {
             self.replaced |= report.incarnation > self.me.incarnation;
             return;
         }
-        let doubted = matches!(report.state, MemberState::Suspect | MemberState::Dead);
-        if doubted && report.refutation < self.me.refutation {
+        let disputed = matches!(report.state, MemberState::Suspect | MemberState::Dead);
+        if disputed && report.refutation < self.me.refutation {
             // It was refuted already, but the teller has not heard of that and may be about to take it for true.
             let gossip = Gossip {
                 members: vec![self.me.clone()],
                 ..Gossip::default()
             };
-            return self.send_news(&from.name, gossip, out);
+            return self.send_gossip(&from.name, gossip, out);
         }
-        if !doubted && report.refutation <= self.me.refutation {
+        if !disputed && report.refutation <= self.me.refutation {
             return;
         }
         let before = self.me.refutation;
@@ -113,31 +113,31 @@
             self.me.state != MemberState::Dead,
             "an instance never takes itself for dead"
         );
-        self.news.push(Topic::Member(self.me.name.clone()));
+        self.broadcasts.push(Topic::Member(self.me.name.clone()));
         let gossip = Gossip {
             members: vec![self.me.clone()],
             ..Gossip::default()
         };
-        self.push_news(self.timing.fanout, &gossip, out);
-        self.send_news(&from.name, gossip, out);
+        self.send_to_random(self.timing.fanout, &gossip, out);
+        self.send_gossip(&from.name, gossip, out);
     }
 
     /// Takes in a member that is new, or a new incarnation of its name.
-    fn meet(&mut self, member: Member, out: &mut Vec<Output>) {
-        let known = Known::new(member.clone(), self.now);
-        let old = self.table.put(known);
+    fn insert_member(&mut self, member: Member, out: &mut Vec<Output>) {
+        let entry = MemberEntry::new(member.clone(), self.now);
+        let old = self.table.put(entry);
         self.deadlines.remove(&member.name);
         self.probes.cancel(&member.name);
-        if let Some(old) = old.filter(Known::is_present) {
+        if let Some(old) = old.filter(MemberEntry::is_present) {
             let gone = Member {
                 state: MemberState::Dead,
                 ..old.member
             };
             out.push(Output::Down(gone));
         }
-        self.news.push(Topic::Member(member.name.clone()));
+        self.broadcasts.push(Topic::Member(member.name.clone()));
         if member.state == MemberState::Suspect {
-            self.give_time(&member, 1);
+            self.set_suspicion_deadline(&member, 1);
         }
         match member.state {
             MemberState::Alive | MemberState::Suspect => out.push(Output::Up(member)),
@@ -147,30 +147,30 @@
     }
 
     /// Changes the state of a member in its present incarnation.
-    pub(crate) fn change(&mut self, member: Member, out: &mut Vec<Output>) {
-        let Some(known) = self.table.get(&member.name) else {
+    pub(crate) fn update_member(&mut self, member: Member, out: &mut Vec<Output>) {
+        let Some(entry) = self.table.get(&member.name) else {
             return;
         };
-        let old = known.member.state;
+        let old = entry.member.state;
         debug_assert!(
-            member.refutation >= known.member.refutation,
+            member.refutation >= entry.member.refutation,
             "a refutation never decreases"
         );
         let dead = member.state == MemberState::Dead;
-        let known = Known {
+        let entry = MemberEntry {
             dead_since: dead.then_some(self.now),
-            left: known.left || member.state == MemberState::Leaving,
+            announced_stop: entry.announced_stop || member.state == MemberState::Leaving,
             member: member.clone(),
-            ..known.clone()
+            ..entry.clone()
         };
-        self.table.put(known);
-        self.news.push(Topic::Member(member.name.clone()));
+        self.table.put(entry);
+        self.broadcasts.push(Topic::Member(member.name.clone()));
         self.deadlines.remove(&member.name);
         match member.state {
             MemberState::Alive if old == MemberState::Dead => out.push(Output::Up(member)),
             MemberState::Alive => {}
             MemberState::Suspect => {
-                self.give_time(&member, 1);
+                self.set_suspicion_deadline(&member, 1);
                 if old == MemberState::Dead {
                     out.push(Output::Up(member));
                 }
@@ -185,30 +185,30 @@
     }
 
     /// Gives a member in doubt time to refute, or a part of it.
-    pub(crate) fn give_time(&mut self, member: &Member, divisor: u32) {
-        let patience = self.timing.patience(self.table.present_len() + 1) / divisor;
-        let until_told = patience.saturating_sub(self.timing.last_chance());
-        let at = self.now + until_told;
+    pub(crate) fn set_suspicion_deadline(&mut self, member: &Member, divisor: u32) {
+        let suspicion_timeout = self.timing.suspicion_timeout(self.table.present_count() + 1) / divisor;
+        let until_notice = suspicion_timeout.saturating_sub(self.timing.refutation_window());
+        let at = self.now + until_notice;
         if self.deadlines.get(&member.name).is_some_and(|held| held.at <= at) {
             return;
         }
-        let deadline = Deadline { at, told: false };
+        let deadline = Deadline { at, notified: false };
         self.deadlines.insert(member.name.clone(), deadline);
     }
 
     /// Notes that a frame came from this incarnation itself, so it is not dead.
     ///
     /// A suspect stays one for the others until it refutes, but has all its time again.
-    pub(crate) fn note_life(&mut self, from: &Life) {
-        let Some(known) = self.table.life(&from.name, from.incarnation) else {
+    pub(crate) fn record_liveness(&mut self, from: &InstanceId) {
+        let Some(entry) = self.table.get_incarnation(&from.name, from.incarnation) else {
             return;
         };
-        let member = known.member.clone();
+        let member = entry.member.clone();
         if self.deadlines.remove(&from.name).is_none() {
             return;
         }
         if member.state == MemberState::Suspect {
-            self.give_time(&member, 1);
+            self.set_suspicion_deadline(&member, 1);
         }
     }
 
@@ -224,24 +224,24 @@
             let Some(deadline) = self.deadlines.remove(&name) else {
                 continue;
             };
-            if !deadline.told {
-                let at = now + self.timing.last_chance();
-                self.deadlines.insert(name.clone(), Deadline { at, told: true });
-                self.probe_once(&name, out);
+            if !deadline.notified {
+                let at = now + self.timing.refutation_window();
+                self.deadlines.insert(name.clone(), Deadline { at, notified: true });
+                self.probe_untracked(&name, out);
                 continue;
             }
-            self.bury(&name, out);
+            self.declare_dead(&name, out);
         }
     }
 
-    fn bury(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
-        let Some(known) = self.table.get(name) else {
+    fn declare_dead(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
+        let Some(entry) = self.table.get(name) else {
             return;
         };
         let member = Member {
             state: MemberState::Dead,
-            ..known.member.clone()
+            ..entry.member.clone()
         };
-        self.change(member, out);
+        self.update_member(member, out);
     }
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -13,14 +13,14 @@
 use wire::Member;
 use wire::MemberState;
 
-use crate::lasting::Life;
+use crate::dissemination::send;
+use crate::grow_only::InstanceId;
 use crate::membership::Membership;
 use crate::output::Output;
-use crate::spread::send;
 use crate::timing::Timing;
 
 /// How many probes for others an instance keeps in mind.
-const MAX_ERRANDS: usize = 64;
+const MAX_RELAYED_PROBES: usize = 64;
 /// A refused connection leaves this part of the usual time to refute.
 const REFUSED_DIVISOR: u32 = 2;
 
@@ -36,9 +36,9 @@
 /// A probe of one's own that is not answered yet.
 #[derive(Debug, Clone)]
 struct Pending {
-    target: Life,
+    target: InstanceId,
     /// What of this instance's own record the probe tells.
-    shown: (u32, MemberState),
+    sent_status: (u32, MemberState),
     stage: Stage,
     deadline: Time,
     refused: bool,
@@ -46,7 +46,7 @@
 
 /// A probe on behalf of another member.
 #[derive(Debug, Clone)]
-struct Errand {
+struct RelayedProbe {
     requester: InstanceName,
     seq: u64,
     deadline: Time,
@@ -59,7 +59,7 @@
     next: Time,
     round: Vec<InstanceName>,
     pending: BTreeMap<u64, Pending>,
-    errands: BTreeMap<u64, Errand>,
+    relayed: BTreeMap<u64, RelayedProbe>,
 }
 
 impl Probes {
@@ -70,7 +70,7 @@
             next: now + timing.probe_every.mul_f64(rng.random()),
             round: Vec::new(),
             pending: BTreeMap::new(),
-            errands: BTreeMap::new(),
+            relayed: BTreeMap::new(),
         }
     }
 
@@ -103,10 +103,10 @@
     /// are asked without waiting, and the member gets less time to refute.
     pub fn session_lost(&mut self, now: Time, name: &InstanceName, out: &mut Vec<Output>) {
         self.advance(now);
-        let Some(known) = self.table.get(name).filter(|known| known.is_present()) else {
+        let Some(entry) = self.table.get(name).filter(|entry| entry.is_present()) else {
             return;
         };
-        let member = known.member.clone();
+        let member = entry.member.clone();
         if !self.probes.is_pending(name) {
             self.probe(&member, out);
             return;
@@ -137,14 +137,14 @@
     /// The next member of the round that is still there and not being probed.
     fn next_target(&mut self) -> Option<Member> {
         if self.probes.round.is_empty() {
-            let present = self.table.present().map(|known| known.member.name.clone());
+            let present = self.table.present().map(|entry| entry.member.name.clone());
             self.probes.round = present.collect();
             self.probes.round.shuffle(&mut self.rng);
         }
         while let Some(name) = self.probes.round.pop() {
-            let known = self.table.get(&name).filter(|known| known.is_present());
-            if let Some(known) = known.filter(|_| !self.probes.is_pending(&name)) {
-                return Some(known.member.clone());
+            let entry = self.table.get(&name).filter(|entry| entry.is_present());
+            if let Some(entry) = entry.filter(|_| !self.probes.is_pending(&name)) {
+                return Some(entry.member.clone());
             }
         }
         None
@@ -155,11 +155,11 @@
         let gossip = self.gossip_for(member);
         out.push(send(member, Frame::Probe(seq, gossip)));
         let pending = Pending {
-            target: Life {
+            target: InstanceId {
                 name: member.name.clone(),
                 incarnation: member.incarnation,
             },
-            shown: self.shown(),
+            sent_status: self.own_status(),
             stage: Stage::Direct,
             deadline: self.now + self.timing.probe_timeout,
             refused: false,
@@ -168,53 +168,53 @@
     }
 
     /// Probes a member that is in doubt already. Its answer clears it; its silence adds nothing.
-    pub(crate) fn probe_once(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
-        let Some(known) = self.table.get(name) else {
+    pub(crate) fn probe_untracked(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
+        let Some(entry) = self.table.get(name) else {
             return;
         };
-        let member = known.member.clone();
+        let member = entry.member.clone();
         let seq = self.probes.next_seq();
         let gossip = self.gossip_for(&member);
         out.push(send(&member, Frame::Probe(seq, gossip)));
     }
 
     /// Takes in the answer to a probe, from its target or from a helper.
-    pub(crate) fn acked(&mut self, from: &Life, seq: u64, out: &mut Vec<Output>) {
-        if let Some(errand) = self.probes.errands.remove(&seq) {
-            let Some(known) = self.table.get(&errand.requester) else {
+    pub(crate) fn handle_ack(&mut self, from: &InstanceId, seq: u64, out: &mut Vec<Output>) {
+        if let Some(relayed) = self.probes.relayed.remove(&seq) {
+            let Some(entry) = self.table.get(&relayed.requester) else {
                 return;
             };
-            let requester = known.member.clone();
+            let requester = entry.member.clone();
             let gossip = self.gossip_for(&requester);
-            out.push(send(&requester, Frame::ProbeAck(errand.seq, gossip)));
+            out.push(send(&requester, Frame::ProbeAck(relayed.seq, gossip)));
             return;
         }
         let Some(pending) = self.probes.pending.remove(&seq) else {
             return;
         };
         if pending.target == *from {
-            self.table.set_met(&from.name, pending.shown);
+            self.table.set_acked_status(&from.name, pending.sent_status);
             return;
         }
-        self.note_life(&pending.target);
+        self.record_liveness(&pending.target);
     }
 
     /// Probes a member for another one that got no answer from it.
-    pub(crate) fn probe_for(&mut self, from: &Life, seq: u64, target: &InstanceName, out: &mut Vec<Output>) {
-        let Some(known) = self.table.get(target).filter(|known| known.is_present()) else {
+    pub(crate) fn relay_probe(&mut self, from: &InstanceId, seq: u64, target: &InstanceName, out: &mut Vec<Output>) {
+        let Some(entry) = self.table.get(target).filter(|entry| entry.is_present()) else {
             return;
         };
-        if self.probes.errands.len() >= MAX_ERRANDS {
+        if self.probes.relayed.len() >= MAX_RELAYED_PROBES {
             return;
         }
-        let member = known.member.clone();
+        let member = entry.member.clone();
         let own_seq = self.probes.next_seq();
-        let errand = Errand {
+        let relayed = RelayedProbe {
             requester: from.name.clone(),
             seq,
             deadline: self.now + self.timing.probe_timeout * 2,
         };
-        self.probes.errands.insert(own_seq, errand);
+        self.probes.relayed.insert(own_seq, relayed);
         let gossip = self.gossip_for(&member);
         out.push(send(&member, Frame::Probe(own_seq, gossip)));
     }
@@ -222,15 +222,16 @@
     /// Ends the stages of probes whose time is up.
     pub(crate) fn expire_probes(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        self.probes.errands.retain(|_, errand| errand.deadline > now);
+        self.probes.relayed.retain(|_, relayed| relayed.deadline > now);
         let due = |(seq, pending): (&u64, &Pending)| (pending.deadline <= now).then_some(*seq);
         let seqs: Vec<u64> = self.probes.pending.iter().filter_map(due).collect();
         for seq in seqs {
             let Some(mut pending) = self.probes.pending.remove(&seq) else {
                 continue;
             };
-            let asked = pending.stage == Stage::Direct && self.ask_helpers(seq, &pending.target, out);
-            if !asked {
+            let is_requested =
+                pending.stage == Stage::Direct && self.request_indirect_probes(seq, &pending.target, out);
+            if !is_requested {
                 self.suspect(&pending, out);
                 continue;
             }
@@ -241,14 +242,14 @@
     }
 
     /// Asks other members to probe a silent one; tells whether there are any.
-    fn ask_helpers(&mut self, seq: u64, target: &Life, out: &mut Vec<Output>) -> bool {
-        let present = self.table.present().map(|known| &known.member);
+    fn request_indirect_probes(&mut self, seq: u64, target: &InstanceId, out: &mut Vec<Output>) -> bool {
+        let present = self.table.present().map(|entry| &entry.member);
         let able = present.filter(|member| member.state == MemberState::Alive && member.name != target.name);
-        let helpers: Vec<&Member> = able.sample(&mut self.rng, self.timing.helpers);
-        for helper in &helpers {
-            out.push(send(helper, Frame::ProbeFor(seq, target.name.clone())));
+        let indirect_probers: Vec<&Member> = able.sample(&mut self.rng, self.timing.indirect_probers);
+        for prober in &indirect_probers {
+            out.push(send(prober, Frame::ProbeFor(seq, target.name.clone())));
         }
-        !helpers.is_empty()
+        !indirect_probers.is_empty()
     }
 
     /// Suspects a member that neither answered nor was reached by helpers.
@@ -256,19 +257,19 @@
     /// A member on a planned stop stays `Leaving` for the others, and counts as dead if its silence lasts.
     fn suspect(&mut self, pending: &Pending, out: &mut Vec<Output>) {
         let target = &pending.target;
-        let Some(known) = self.table.life(&target.name, target.incarnation) else {
+        let Some(entry) = self.table.get_incarnation(&target.name, target.incarnation) else {
             return;
         };
         let divisor = if pending.refused { REFUSED_DIVISOR } else { 1 };
-        let mut member = known.member.clone();
+        let mut member = entry.member.clone();
         match member.state {
             MemberState::Alive => {
                 member.state = MemberState::Suspect;
-                self.change(member.clone(), out);
-                self.give_time(&member, divisor);
-                self.tell(&member.name, out);
+                self.update_member(member.clone(), out);
+                self.set_suspicion_deadline(&member, divisor);
+                self.notify_suspicion(&member.name, out);
             }
-            MemberState::Leaving => self.give_time(&member, divisor),
+            MemberState::Leaving => self.set_suspicion_deadline(&member, divisor),
             MemberState::Suspect | MemberState::Dead => {}
         }
     }
--- a/crates/membership/src/seed.rs
+++ b/crates/membership/src/seed.rs
@@ -14,10 +14,10 @@
 use units::ZoneName;
 use wire::Frame;
 
+use crate::dissemination::send_to;
 use crate::membership::Membership;
 use crate::output::Output;
-use crate::spread::send_to;
-use crate::table::Known;
+use crate::table::MemberEntry;
 use crate::timing::Timing;
 
 /// How many hints are kept.
@@ -51,12 +51,12 @@
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict_most_tried(&mut self) {
         if self.hints.len() <= MAX_SEEDS {
             return;
         }
-        let hopeless = self.hints.iter().max_by_key(|(_, seed)| seed.tries);
-        if let Some(name) = hopeless.map(|(name, _)| name.clone()) {
+        let most_tried = self.hints.iter().max_by_key(|(_, seed)| seed.tries);
+        if let Some(name) = most_tried.map(|(name, _)| name.clone()) {
             self.hints.remove(&name);
         }
     }
@@ -78,7 +78,7 @@
             tries,
         };
         self.seeds.hints.insert(name.clone(), seed);
-        self.seeds.make_room();
+        self.seeds.evict_most_tried();
         if self.is_absent(name) && tries == 0 && self.seeds.burst > 0 {
             self.seeds.burst -= 1;
             self.contact(name, out);
@@ -98,7 +98,7 @@
     pub(crate) fn contact_absent(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.seeds.next {
             self.seeds.next = self.now + self.timing.probe_every;
-            let alone = self.table.present_len() == 0;
+            let alone = self.table.present_count() == 0;
             let count = if alone { self.timing.fanout } else { 1 };
             for name in self.least_tried(count, alone) {
                 self.contact(&name, out);
@@ -110,8 +110,11 @@
         self.seeds.next_dead = self.now + self.timing.dead_probe_every;
         let kept = self.now.0.saturating_sub(self.timing.dead_keep.as_micros() as u64);
         self.table.forget_dead_before(Time(kept));
-        let dead = self.table.iter().filter(|known| !known.is_present() && !known.left);
-        let dead = dead.map(|known| &known.member.name);
+        let dead = self
+            .table
+            .iter()
+            .filter(|entry| !entry.is_present() && !entry.announced_stop);
+        let dead = dead.map(|entry| &entry.member.name);
         let listed = self.seeds.hints.keys().filter(|name| self.table.get(name).is_none());
         let chosen = dead.chain(listed).choose(&mut self.rng).cloned();
         if let Some(name) = chosen {
@@ -129,21 +132,21 @@
     }
 
     fn is_absent(&self, name: &InstanceName) -> bool {
-        !self.table.get(name).is_some_and(Known::is_present)
+        !self.table.get(name).is_some_and(MemberEntry::is_present)
     }
 
     /// Probes an absent instance. Nothing follows from its silence, and its answer is enough to know it.
     fn contact(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
-        let known = self.table.get(name).map(|known| known.member.clone());
+        let entry = self.table.get(name).map(|entry| entry.member.clone());
         let listed = self.seeds.hints.get_mut(name).map(|seed| {
             seed.tries += 1;
             seed.address
         });
-        let Some(address) = listed.or(known.as_ref().map(|member| member.address)) else {
+        let Some(address) = listed.or(entry.as_ref().map(|member| member.address)) else {
             return;
         };
         let mut gossip = self.introduction();
-        gossip.members.extend(known);
+        gossip.members.extend(entry);
         let seq = self.probes.next_seq();
         out.push(send_to(name, address, Frame::Probe(seq, gossip)));
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -15,34 +15,34 @@
 
 /// How many dead members are remembered at least. Of a larger fleet, as many as have been there at a time: all of them may die at once,
 /// and who is dead counts where a part of a zone looks whether it is the larger one.
-const LEAST_DEAD: usize = 256;
+const MIN_DEAD_RETAINED: usize = 256;
 
 /// What is known of another instance.
 #[derive(Debug, Clone)]
-pub(crate) struct Known {
+pub(crate) struct MemberEntry {
     pub(crate) member: Member,
     /// The member's hash for rendezvous.
     pub(crate) key: u64,
     /// What of this instance's own record the member has surely seen.
-    pub(crate) met: Option<(u32, MemberState)>,
+    pub(crate) acked_status: Option<(u32, MemberState)>,
     /// Since when it is dead.
     pub(crate) dead_since: Option<Time>,
     /// It announced a planned stop, so it won't come back.
-    pub(crate) left: bool,
+    pub(crate) announced_stop: bool,
     /// The platform's list says that it is leaving.
     pub(crate) listed_leaving: bool,
     /// The configuration document that it told of last.
     pub(crate) document: Option<(Revision, Digest)>,
 }
 
-impl Known {
+impl MemberEntry {
     pub(crate) fn new(member: Member, now: Time) -> Self {
         let dead = member.state == MemberState::Dead;
         Self {
             key: member_key(&member.name),
-            met: None,
+            acked_status: None,
             dead_since: dead.then_some(now),
-            left: member.state == MemberState::Leaving,
+            announced_stop: member.state == MemberState::Leaving,
             listed_leaving: false,
             document: None,
             member,
@@ -56,7 +56,7 @@
 }
 
 /// Whether a member in this state can be home of a service.
-pub(crate) fn serves(state: MemberState) -> bool {
+pub(crate) fn is_eligible_home(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
@@ -68,9 +68,9 @@
     /// The member is new, or a new incarnation of its name.
     New,
     /// The report replaces what is known.
-    State,
+    Update,
     /// The member is taken for dead elsewhere, but not here: it is to refute soon.
-    Doubt,
+    ReportedDead,
 }
 
 /// Weighs a report against what is known of the same name.
@@ -81,11 +81,11 @@
 ///
 /// A report of `Dead` makes a member that is not dead here a suspect with little time, and no more. So no instance
 /// loses a member by hearsay alone, and when a partition heals, the views of the other side don't take down this one.
-pub(crate) fn weigh(known: Option<&Known>, report: &Member) -> Change {
-    let Some(known) = known else {
+pub(crate) fn compare_report(entry: Option<&MemberEntry>, report: &Member) -> Change {
+    let Some(entry) = entry else {
         return Change::New;
     };
-    let old = &known.member;
+    let old = &entry.member;
     if report.incarnation != old.incarnation {
         return if report.incarnation > old.incarnation {
             Change::New
@@ -93,7 +93,7 @@
             Change::None
         };
     }
-    if known.left && report.state < MemberState::Leaving {
+    if entry.announced_stop && report.state < MemberState::Leaving {
         return Change::None;
     }
     let newer = report.refutation > old.refutation;
@@ -101,16 +101,16 @@
     if !newer && !worse {
         return Change::None;
     }
-    if report.state == MemberState::Dead && serves(old.state) {
-        return Change::Doubt;
+    if report.state == MemberState::Dead && is_eligible_home(old.state) {
+        return Change::ReportedDead;
     }
-    Change::State
+    Change::Update
 }
 
 /// The other instances by name.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Table {
-    known: BTreeMap<InstanceName, Known>,
+    entries: BTreeMap<InstanceName, MemberEntry>,
     present: usize,
     /// The most that were present at a time.
     most_present: usize,
@@ -120,63 +120,63 @@
 }
 
 impl Table {
-    pub(crate) fn get(&self, name: &InstanceName) -> Option<&Known> {
-        self.known.get(name)
+    pub(crate) fn get(&self, name: &InstanceName) -> Option<&MemberEntry> {
+        self.entries.get(name)
     }
 
     /// The member with this name, if it is known in just this incarnation.
-    pub(crate) fn life(&self, name: &InstanceName, incarnation: Incarnation) -> Option<&Known> {
-        self.get(name).filter(|known| known.member.incarnation == incarnation)
+    pub(crate) fn get_incarnation(&self, name: &InstanceName, incarnation: Incarnation) -> Option<&MemberEntry> {
+        self.get(name).filter(|entry| entry.member.incarnation == incarnation)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Known> {
-        self.known.values()
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
+        self.entries.values()
     }
 
     /// The members that are not dead.
-    pub(crate) fn present(&self) -> impl Iterator<Item = &Known> {
-        self.iter().filter(|known| known.is_present())
+    pub(crate) fn present(&self) -> impl Iterator<Item = &MemberEntry> {
+        self.iter().filter(|entry| entry.is_present())
     }
 
     /// How many members are not dead.
-    pub(crate) fn present_len(&self) -> usize {
+    pub(crate) fn present_count(&self) -> usize {
         self.present
     }
 
     /// Replaces what is known of a name, and tells what was known before.
-    pub(crate) fn put(&mut self, known: Known) -> Option<Known> {
-        self.count(&known, true);
-        let old = self.known.insert(known.member.name.clone(), known);
+    pub(crate) fn put(&mut self, entry: MemberEntry) -> Option<MemberEntry> {
+        self.count(&entry, true);
+        let old = self.entries.insert(entry.member.name.clone(), entry);
         if let Some(old) = &old {
             self.count(old, false);
         }
         self.most_present = self.most_present.max(self.present);
-        if self.dead > LEAST_DEAD.max(self.most_present) {
+        if self.dead > MIN_DEAD_RETAINED.max(self.most_present) {
             self.forget_oldest();
         }
         old
     }
 
     /// Notes what a member has surely seen of this instance's own record.
-    pub(crate) fn set_met(&mut self, name: &InstanceName, met: (u32, MemberState)) {
-        if let Some(known) = self.known.get_mut(name) {
-            known.met = Some(met);
+    pub(crate) fn set_acked_status(&mut self, name: &InstanceName, acked_status: (u32, MemberState)) {
+        if let Some(entry) = self.entries.get_mut(name) {
+            entry.acked_status = Some(acked_status);
         }
     }
 
     /// Notes the configuration document that an incarnation tells of.
     pub(crate) fn set_document(&mut self, name: &InstanceName, incarnation: Incarnation, held: (Revision, Digest)) {
-        let known = self.known.get_mut(name);
-        if let Some(known) = known.filter(|known| known.member.incarnation == incarnation) {
-            known.document = Some(held);
+        let entry = self.entries.get_mut(name);
+        if let Some(entry) = entry.filter(|entry| entry.member.incarnation == incarnation) {
+            entry.document = Some(held);
         }
     }
 
     /// Notes that the platform's list says that an incarnation is leaving.
     pub(crate) fn set_listed_leaving(&mut self, name: &InstanceName, incarnation: Incarnation) {
-        let known = self.known.get_mut(name);
-        if let Some(known) = known.filter(|known| known.member.incarnation == incarnation) {
-            known.listed_leaving = true;
+        let entry = self.entries.get_mut(name);
+        if let Some(entry) = entry.filter(|entry| entry.member.incarnation == incarnation) {
+            entry.listed_leaving = true;
         }
     }
 
@@ -185,24 +185,24 @@
         if self.dead == 0 {
             return;
         }
-        self.known
-            .retain(|_, known| known.dead_since.is_none_or(|since| since > time));
-        self.dead = self.iter().filter(|known| !known.is_present()).count();
+        self.entries
+            .retain(|_, entry| entry.dead_since.is_none_or(|since| since > time));
+        self.dead = self.iter().filter(|entry| !entry.is_present()).count();
     }
 
     /// Forgets the dead member that was born first. Every instance sees births alike, but not the times of deaths.
     fn forget_oldest(&mut self) {
-        let dead = self.iter().filter(|known| !known.is_present());
-        let oldest = dead.min_by_key(|known| (known.member.incarnation, known.member.name.clone()));
-        if let Some(name) = oldest.map(|known| known.member.name.clone()) {
-            self.known.remove(&name);
+        let dead = self.iter().filter(|entry| !entry.is_present());
+        let oldest = dead.min_by_key(|entry| (entry.member.incarnation, entry.member.name.clone()));
+        if let Some(name) = oldest.map(|entry| entry.member.name.clone()) {
+            self.entries.remove(&name);
             self.dead -= 1;
         }
     }
 
-    fn count(&mut self, known: &Known, add: bool) {
-        let (counter, view) = if known.is_present() {
-            (&mut self.present, member_hash(&known.member))
+    fn count(&mut self, entry: &MemberEntry, add: bool) {
+        let (counter, view) = if entry.is_present() {
+            (&mut self.present, member_hash(&entry.member))
         } else {
             (&mut self.dead, 0)
         };
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -18,7 +18,7 @@
     /// Least time between two exchanges of everything known, newcomers apart.
     pub sync_every: Duration,
     /// How many members are asked to probe one that did not answer.
-    pub helpers: usize,
+    pub indirect_probers: usize,
     /// How many members are told at once of what should not wait for a probe.
     pub fanout: usize,
     /// How many members are told at once of a planned stop and of a hand-over.
@@ -36,7 +36,7 @@
             dead_probe_every: Duration::from_secs(5),
             dead_keep: Duration::from_hours(6),
             sync_every: Duration::from_secs(5),
-            helpers: 3,
+            indirect_probers: 3,
             fanout: 3,
             stop_fanout: 64,
             near_first: false,
@@ -49,12 +49,12 @@
     ///
     /// News needs a number of rounds that grows with the logarithm of the fleet's size to reach the suspect and to
     /// come back.
-    pub fn patience(&self, members: usize) -> Duration {
+    pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let decades = (members.max(10) as f64).log10();
         self.suspect_for.mul_f64(decades)
     }
     /// How long before its time is up a member in doubt is told so directly.
-    pub fn last_chance(&self) -> Duration {
+    pub fn refutation_window(&self) -> Duration {
         self.probe_timeout * 2
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -14,17 +14,17 @@
 use wire::Member;
 use wire::MemberState;
 
-use crate::lasting::End;
-use crate::lasting::Life;
+use crate::grow_only::HandoverEnd;
+use crate::grow_only::InstanceId;
 use crate::membership::Membership;
 use crate::output::Standing;
 use crate::rendezvous::hash;
 use crate::rendezvous::score;
-use crate::table::Known;
-use crate::table::serves;
+use crate::table::MemberEntry;
+use crate::table::is_eligible_home;
 
 /// How many instances of an availability zone watch the platform.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_ZONE: usize = 2;
 
 impl Membership {
     /// This instance's own record.
@@ -34,7 +34,7 @@
 
     /// All members that are not dead, this instance first.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        iter::once(&self.me).chain(self.table.present().map(|known| &known.member))
+        iter::once(&self.me).chain(self.table.present().map(|entry| &entry.member))
     }
 
     /// The member of this name, if it is not dead.
@@ -42,8 +42,8 @@
         if name == &self.me.name {
             return Some(&self.me);
         }
-        let known = self.table.get(name).filter(|known| known.is_present())?;
-        Some(&known.member)
+        let entry = self.table.get(name).filter(|entry| entry.is_present())?;
+        Some(&entry.member)
     }
 
     /// The configuration document that a member told of last. It may hold a newer one by now, and never an older one.
@@ -56,8 +56,8 @@
 
     /// The members that are dead and not yet forgotten.
     pub fn dead(&self) -> impl Iterator<Item = &Member> {
-        let dead = self.table.iter().filter(|known| !known.is_present());
-        dead.map(|known| &known.member)
+        let dead = self.table.iter().filter(|entry| !entry.is_present());
+        dead.map(|entry| &entry.member)
     }
 
     /// Whether a later incarnation of this instance's own name has been seen. Then nobody reckons with this one.
@@ -83,7 +83,7 @@
     pub fn watchers(&self) -> impl Iterator<Item = &Member> {
         let subject = hash(self.me.zone.as_str().as_bytes());
         let zone = self.candidates().filter(|(_, member)| member.zone == self.me.zone);
-        ranked(subject, zone).into_iter().take(WATCHERS)
+        ranked(subject, zone).into_iter().take(WATCHERS_PER_ZONE)
     }
 
     /// All members that may get work, in an order that differs from one round to the next. Instances with the same view agree
@@ -98,11 +98,14 @@
     /// So no two instances name different keepers while a zone is cut in parts; while members come and go, two may for a moment.
     /// An instance that has met nobody yet can't tell, and names none.
     pub fn keeper(&self, subject: u64, zone: &ZoneName) -> Option<&Member> {
-        let has_met_others = self.table.present_len() > 0;
+        let has_met_others = self.table.present_count() > 0;
         let drawn = self.drawn(subject);
         let able: Vec<&Member> = drawn.into_iter().filter(|member| member.zone == *zone).collect();
-        let lost = self.table.iter().filter(|known| !known.is_present() && !known.left);
-        let lost = lost.filter(|known| known.member.zone == *zone).count();
+        let lost = self
+            .table
+            .iter()
+            .filter(|entry| !entry.is_present() && !entry.announced_stop);
+        let lost = lost.filter(|entry| entry.member.zone == *zone).count();
         let sees_most = has_met_others && able.len() > lost;
         able.into_iter().next().filter(|_| sees_most)
     }
@@ -123,28 +126,28 @@
     /// It is alive, and in this availability zone if there is one. Of these it is among the half that started
     /// last, since at a rolling replacement the older ones stop soon; instances that stop together choose apart.
     pub fn successor_candidate(&self) -> Option<&Member> {
-        let mut able: Vec<&Known> = self.table.iter().filter(|known| can_succeed(known)).collect();
-        if able.iter().any(|known| known.member.zone == self.me.zone) {
-            able.retain(|known| known.member.zone == self.me.zone);
+        let mut able: Vec<&MemberEntry> = self.table.iter().filter(|entry| can_take_ledgers(entry)).collect();
+        if able.iter().any(|entry| entry.member.zone == self.me.zone) {
+            able.retain(|entry| entry.member.zone == self.me.zone);
         }
-        able.sort_by_key(|known| Reverse(known.member.incarnation));
+        able.sort_by_key(|entry| Reverse(entry.member.incarnation));
         able.truncate(able.len().div_ceil(2));
-        let ranked = able.into_iter().max_by_key(|known| score(self.my_key, known.key));
-        ranked.map(|known| &known.member)
+        let ranked = able.into_iter().max_by_key(|entry| score(self.my_key, entry.key));
+        ranked.map(|entry| &entry.member)
     }
 
     /// What is known of an incarnation, as the owner of flows.
     ///
     /// A hand-over counts from the moment it is known, also while the instance that handed over still runs.
     pub fn standing(&self, name: &InstanceName, incarnation: Incarnation) -> Standing<'_> {
-        let life = Life {
+        let id = InstanceId {
             name: name.clone(),
             incarnation,
         };
-        match self.successors.end(&life) {
-            End::Unmoved => self.own_standing(&life),
-            End::Circle => Standing::Gone,
-            End::At(last) => match self.own_standing(last) {
+        match self.successors.resolve(&id) {
+            HandoverEnd::NoHandover => self.direct_standing(&id),
+            HandoverEnd::Cycle => Standing::Gone,
+            HandoverEnd::At(last) => match self.direct_standing(last) {
                 Standing::Me => Standing::SucceededByMe,
                 Standing::Alive(member) | Standing::Suspect(member) | Standing::Leaving(member) => {
                     Standing::Succeeded(member)
@@ -154,22 +157,22 @@
         }
     }
 
-    fn own_standing(&self, life: &Life) -> Standing<'_> {
-        if life.name == self.me.name {
-            return match life.incarnation.cmp(&self.me.incarnation) {
+    fn direct_standing(&self, id: &InstanceId) -> Standing<'_> {
+        if id.name == self.me.name {
+            return match id.incarnation.cmp(&self.me.incarnation) {
                 Ordering::Less => Standing::Gone,
                 Ordering::Equal => Standing::Me,
                 Ordering::Greater => Standing::Unknown,
             };
         }
-        let Some(known) = self.table.get(&life.name) else {
+        let Some(entry) = self.table.get(&id.name) else {
             return Standing::Unknown;
         };
-        let member = &known.member;
-        if life.incarnation > member.incarnation {
+        let member = &entry.member;
+        if id.incarnation > member.incarnation {
             return Standing::Unknown;
         }
-        if life.incarnation < member.incarnation {
+        if id.incarnation < member.incarnation {
             return Standing::Gone;
         }
         match member.state {
@@ -183,8 +186,8 @@
     /// The members that can be home of a service, each with its hash.
     fn candidates(&self) -> impl Iterator<Item = (u64, &Member)> {
         let me = iter::once((self.my_key, &self.me));
-        let others = self.table.iter().map(|known| (known.key, &known.member));
-        me.chain(others).filter(|(_, member)| serves(member.state))
+        let others = self.table.iter().map(|entry| (entry.key, &entry.member));
+        me.chain(others).filter(|(_, member)| is_eligible_home(member.state))
     }
 }
 
@@ -195,6 +198,6 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-fn can_succeed(known: &Known) -> bool {
-    known.member.state == MemberState::Alive && !known.listed_leaving
+fn can_take_ledgers(entry: &MemberEntry) -> bool {
+    entry.member.state == MemberState::Alive && !entry.listed_leaving
 }
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -19,16 +19,16 @@
     let mut fleet = Fleet::new(ZONES, seed);
     fleet.start_all(count, 3);
     for _ in 0..steps {
-        disturb(&mut fleet, count, &mut rng);
+        inject_fault(&mut fleet, count, &mut rng);
         fleet.run(Duration::from_millis(rng.random_range(0..4_000)));
     }
-    mend(&mut fleet, count);
+    heal(&mut fleet, count);
     // A dead member is looked for every few seconds, so views heal within a time that grows with their number.
     fleet.run(Duration::from_mins(1));
     assert!(fleet.is_converged(), "{count} members, seed {seed}: views differ");
 }
 
-fn disturb(fleet: &mut Fleet, count: usize, rng: &mut StdRng) {
+fn inject_fault(fleet: &mut Fleet, count: usize, rng: &mut StdRng) {
     let index = rng.random_range(0..count);
     match rng.random_range(0..8) {
         0 => fleet.set(index, Condition::Crashed),
@@ -50,7 +50,7 @@
 }
 
 /// Ends all faults. Members that stand alone get a hint, as the platform's list gives it.
-fn mend(fleet: &mut Fleet, count: usize) {
+fn heal(fleet: &mut Fleet, count: usize) {
     fleet.cut(&[]);
     fleet.loss = 0.0;
     for index in 0..count {
--- a/crates/membership/tests/homes.rs
+++ b/crates/membership/tests/homes.rs
@@ -23,7 +23,7 @@
     (0..SERVICES).map(|index| home(index).name.clone()).collect()
 }
 
-fn settled(count: usize) -> Fleet {
+fn converged_fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new(4, 3);
     fleet.start_all(count, count);
     fleet.run(Duration::from_secs(20));
@@ -33,7 +33,7 @@
 
 #[test]
 fn all_instances_name_the_same_homes_evenly() {
-    let fleet = settled(16);
+    let fleet = converged_fleet(16);
     let mut shares: BTreeMap<InstanceName, usize> = BTreeMap::new();
     for home in homes(&fleet, 0) {
         *shares.entry(home).or_default() += 1;
@@ -46,7 +46,7 @@
 
 #[test]
 fn only_the_services_of_a_lost_or_leaving_member_move() {
-    let mut fleet = settled(16);
+    let mut fleet = converged_fleet(16);
     let before = homes(&fleet, 0);
     fleet.set(5, Condition::Crashed);
     fleet.run(Duration::from_secs(10));
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_region_without_members_has_no_home() {
-    let fleet = settled(4);
+    let fleet = converged_fleet(4);
     let membership = fleet.membership(0);
     assert_eq!(membership.home(&service(0), |_| false), None);
     let zone = fleet.zone(2);
@@ -82,7 +82,7 @@
 
 #[test]
 fn ledgers_go_to_a_young_member_of_the_same_zone() {
-    let mut fleet = settled(16);
+    let mut fleet = converged_fleet(16);
     fleet.start(16, &[0]);
     fleet.run(Duration::from_secs(5));
     let candidate = |fleet: &Fleet, at| {
--- a/crates/membership/tests/keepers.rs
+++ b/crates/membership/tests/keepers.rs
@@ -18,11 +18,11 @@
 const SUBJECTS: u64 = 8;
 const SEEDS: [usize; 3] = [0, 1, 2];
 /// How long an instance keeps nothing after its start.
-const SETTLED: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(100);
 /// How many may keep one thing at a time. Each sends half of what a cold upstream is said to bear, and one more in a second for where it
 /// begins; what is told may be exceeded by half and by five in a second, so three are within it whatever is told.
-const KEEPERS: usize = 3;
+const MAX_KEEPERS: usize = 3;
 
 /// A fleet whose instances are disturbed, and when each of them started.
 struct Run {
@@ -30,8 +30,8 @@
     started: BTreeMap<usize, Time>,
     rng: StdRng,
     /// How often one instance at least kept a subject, over all subjects and steps.
-    kept: usize,
-    looked: usize,
+    checks_with_keeper: usize,
+    checks: usize,
 }
 
 impl Run {
@@ -43,10 +43,10 @@
             fleet,
             started,
             rng: StdRng::seed_from_u64(seed),
-            kept: 0,
-            looked: 0,
+            checks_with_keeper: 0,
+            checks: 0,
         };
-        run.pass(Duration::from_secs(10));
+        run.run_checked(Duration::from_secs(10));
         run
     }
 
@@ -55,21 +55,21 @@
     }
 
     /// Lets time pass, and looks each tenth of a second who keeps what.
-    fn pass(&mut self, span: Duration) {
+    fn run_checked(&mut self, span: Duration) {
         let end = self.fleet.now + span;
         while self.fleet.now < end {
             self.fleet.run(STEP);
-            self.ask_seeds();
-            self.look();
+            self.introduce_isolated();
+            self.check_keepers();
         }
     }
 
     /// Whoever knows nobody asks the first three.
-    fn ask_seeds(&mut self) {
+    fn introduce_isolated(&mut self) {
         for index in 0..self.count() {
             let process = &self.fleet.processes[&name(index)];
-            let is_alone = process.membership.members().nth(1).is_none();
-            if !is_alone || process.condition != Condition::Running {
+            let knows_nobody = process.membership.members().nth(1).is_none();
+            if !knows_nobody || process.condition != Condition::Running {
                 continue;
             }
             for seed in SEEDS {
@@ -78,32 +78,32 @@
         }
     }
 
-    fn look(&mut self) {
+    fn check_keepers(&mut self) {
         for subject in 0..SUBJECTS {
             let zone = self.fleet.zone(subject as usize);
             let is_keeper = |index: &usize| {
                 let process = &self.fleet.processes[&name(*index)];
-                let is_settled = self.fleet.now.since(self.started[index]) >= SETTLED;
+                let is_settled = self.fleet.now.since(self.started[index]) >= SETTLE_TIME;
                 let keeper = process.membership.keeper(subject, &zone);
                 process.condition == Condition::Running
                     && is_settled
                     && keeper.is_some_and(|keeper| keeper.name == name(*index))
             };
             let keepers: Vec<usize> = (0..self.count()).filter(is_keeper).collect();
-            assert!(keepers.len() <= KEEPERS, "{subject} is kept by {keepers:?}");
-            self.looked += 1;
-            self.kept += usize::from(!keepers.is_empty());
+            assert!(keepers.len() <= MAX_KEEPERS, "{subject} is kept by {keepers:?}");
+            self.checks += 1;
+            self.checks_with_keeper += usize::from(!keepers.is_empty());
         }
     }
 
-    fn some(&mut self, share: f64) -> Vec<usize> {
+    fn random_subset(&mut self, share: f64) -> Vec<usize> {
         (0..self.count()).filter(|_| self.rng.random_bool(share)).collect()
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         match self.rng.random_range(0..7) {
             0 => {
-                for index in self.some(0.3) {
+                for index in self.random_subset(0.3) {
                     self.fleet.set(index, Condition::Crashed);
                 }
             }
@@ -114,7 +114,7 @@
                 }
             }
             2 => {
-                let alone = self.some(0.4);
+                let alone = self.random_subset(0.4);
                 self.fleet.isolate(&alone);
             }
             3 => self.fleet.isolate(&[]),
@@ -145,17 +145,17 @@
 fn check(count: usize, steps: usize, seed: u64) {
     let mut run = Run::new(count, seed);
     for _ in 0..steps {
-        run.disturb();
+        run.inject_fault();
         let span = run.rng.random_range(0..4_000);
-        run.pass(Duration::from_millis(span));
+        run.run_checked(Duration::from_millis(span));
     }
     run.fleet.cut(&[]);
     run.fleet.isolate(&[]);
     run.revive();
-    run.pass(Duration::from_mins(1));
-    (run.kept, run.looked) = (0, 0);
-    run.pass(Duration::from_secs(10));
-    assert_eq!(run.kept, run.looked, "in calm, each thing is kept");
+    run.run_checked(Duration::from_mins(1));
+    (run.checks_with_keeper, run.checks) = (0, 0);
+    run.run_checked(Duration::from_secs(10));
+    assert_eq!(run.checks_with_keeper, run.checks, "in calm, each thing is kept");
 }
 
 #[test]
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -85,7 +85,7 @@
         "document" => document(fleet, line),
         "documents" => return documents(fleet),
         "views" => return views(fleet),
-        "learned" => return learned(fleet, line),
+        "learned" => return outputs(fleet, line),
         "standing" => return standing(fleet, line),
         "marked" => return marked(fleet, line),
         "watchers" => return watchers(fleet, line),
@@ -178,13 +178,13 @@
 }
 
 /// Counts what an instance has learned since it was last asked.
-fn learned(fleet: &mut Fleet, line: &Line<'_>) -> String {
+fn outputs(fleet: &mut Fleet, line: &Line<'_>) -> String {
     let process = fleet
         .processes
         .get_mut(&name(number(line, "at", 0)))
         .expect("a process");
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
-    for (_, output) in process.learned.drain(..) {
+    for (_, output) in process.outputs.drain(..) {
         let line = match output {
             Output::Up(member) => format!("up {}", member.name),
             Output::Leaving(member) => format!("leaving {}", member.name),
--- a/crates/membership/tests/size.rs
+++ b/crates/membership/tests/size.rs
@@ -38,11 +38,11 @@
         members: indices.map(|index| member(index, state)).collect(),
         ..Gossip::default()
     };
-    let teller = member(1, MemberState::Alive);
+    let sender = member(1, MemberState::Alive);
     to.handle(
         NOW,
-        &teller.name,
-        teller.incarnation,
+        &sender.name,
+        sender.incarnation,
         &Frame::News(gossip),
         &mut Vec::new(),
     );
@@ -78,7 +78,7 @@
 }
 
 /// Where news of a document go at once.
-fn told_zones(membership: &mut Membership) -> Vec<String> {
+fn notified_zones(membership: &mut Membership) -> Vec<String> {
     let mut out = Vec::new();
     membership.set_document(Revision(7), Digest::of(b"new"), NOW, &mut out);
     let told = out.iter().filter_map(|output| match output {
@@ -91,14 +91,14 @@
 /// Bytes between zones are dear, and one of another zone is enough to tell it.
 #[test]
 fn news_of_a_document_go_to_the_own_zone_and_to_one_member_elsewhere() {
-    let zones = told_zones(&mut member_of(985));
+    let zones = notified_zones(&mut member_of(985));
     assert_eq!(zones.len(), 4);
     assert_eq!(zones.iter().filter(|zone| *zone == "z0").count(), 3, "{zones:?}");
 }
 
 #[test]
 fn whoever_is_alone_in_its_zone_tells_as_many_elsewhere() {
-    let zones = told_zones(&mut member_of(5));
+    let zones = notified_zones(&mut member_of(5));
     assert_eq!(zones.len(), 3);
     assert!(!zones.contains(&"z0".to_owned()), "{zones:?}");
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -41,12 +41,12 @@
 pub struct Process {
     pub membership: Membership,
     pub condition: Condition,
-    pub learned: Vec<(Time, Output)>,
+    pub outputs: Vec<(Time, Output)>,
     pub sent_bytes: u64,
     pub sent_frames: u64,
     /// Bytes that went to other availability zones, of those sent.
-    pub far_bytes: u64,
-    waiting: Vec<Delivery>,
+    pub cross_zone_bytes: u64,
+    inbox: Vec<Delivery>,
 }
 
 #[derive(Debug, Clone)]
@@ -74,8 +74,8 @@
     /// Members that were taken for dead while they ran and could be reached.
     pub false_deaths: usize,
     cut: BTreeSet<ZoneName>,
-    alone: BTreeSet<InstanceName>,
-    flying: BTreeMap<(Time, u64), Delivery>,
+    isolated: BTreeSet<InstanceName>,
+    in_flight: BTreeMap<(Time, u64), Delivery>,
     serial: u64,
     next_tick: Time,
     rng: StdRng,
@@ -103,8 +103,8 @@
             timing: Timing::default(),
             false_deaths: 0,
             cut: BTreeSet::new(),
-            alone: BTreeSet::new(),
-            flying: BTreeMap::new(),
+            isolated: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
             serial: 0,
             next_tick: Time(START),
             rng: StdRng::seed_from_u64(seed),
@@ -129,11 +129,11 @@
         let process = Process {
             membership: Membership::new(me, self.timing.clone(), seed, self.now),
             condition: Condition::Running,
-            learned: Vec::new(),
+            outputs: Vec::new(),
             sent_bytes: 0,
             sent_frames: 0,
-            far_bytes: 0,
-            waiting: Vec::new(),
+            cross_zone_bytes: 0,
+            inbox: Vec::new(),
         };
         self.processes.insert(name(index), process);
         for &hint in hints {
@@ -169,7 +169,7 @@
         if condition != Condition::Running {
             return;
         }
-        for delivery in std::mem::take(&mut process.waiting) {
+        for delivery in std::mem::take(&mut process.inbox) {
             self.deliver(delivery);
         }
     }
@@ -181,7 +181,7 @@
 
     /// Cuts these instances off from all others, each by itself.
     pub fn isolate(&mut self, indices: &[usize]) {
-        self.alone = indices.iter().map(|index| name(*index)).collect();
+        self.isolated = indices.iter().map(|index| name(*index)).collect();
     }
 
     pub fn membership(&self, index: usize) -> &Membership {
@@ -193,11 +193,11 @@
     }
 
     /// Does something to an instance, and sends what comes of it.
-    pub fn act(&mut self, index: usize, deed: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
+    pub fn act(&mut self, index: usize, action: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
         let mut out = Vec::new();
         let now = self.now;
         let process = self.processes.get_mut(&name(index)).expect("a process");
-        deed(&mut process.membership, now, &mut out);
+        action(&mut process.membership, now, &mut out);
         self.carry_out(&name(index), out);
     }
 
@@ -215,7 +215,7 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let next_frame = self.flying.first_key_value().map(|(key, _)| key.0);
+            let next_frame = self.in_flight.first_key_value().map(|(key, _)| key.0);
             let next = next_frame.unwrap_or(end).min(self.next_tick).min(end);
             self.now = self.now.max(next);
             if self.next_tick <= self.now {
@@ -223,8 +223,11 @@
                 self.tick_all();
                 continue;
             }
-            let due = self.flying.first_key_value().is_some_and(|(key, _)| key.0 <= self.now);
-            if let Some((_, delivery)) = due.then(|| self.flying.pop_first()).flatten() {
+            let due = self
+                .in_flight
+                .first_key_value()
+                .is_some_and(|(key, _)| key.0 <= self.now);
+            if let Some((_, delivery)) = due.then(|| self.in_flight.pop_first()).flatten() {
                 self.deliver(delivery);
             }
         }
@@ -246,11 +249,11 @@
     fn deliver(&mut self, delivery: Delivery) {
         let now = self.now;
         let Some(process) = self.processes.get_mut(&delivery.to) else {
-            return self.refuse(&delivery);
+            return self.reject(&delivery);
         };
         match process.condition {
-            Condition::Crashed => return self.refuse(&delivery),
-            Condition::Frozen => return process.waiting.push(delivery),
+            Condition::Crashed => return self.reject(&delivery),
+            Condition::Frozen => return process.inbox.push(delivery),
             Condition::Running => {}
         }
         let mut out = Vec::new();
@@ -266,7 +269,7 @@
     }
 
     /// A frame for a process that is gone: its sender finds the session lost.
-    fn refuse(&mut self, delivery: &Delivery) {
+    fn reject(&mut self, delivery: &Delivery) {
         if !matches!(delivery.content, Content::Frame(..)) {
             return;
         }
@@ -281,15 +284,15 @@
     fn carry_out(&mut self, from: &InstanceName, out: Vec<Output>) {
         for output in out {
             let Output::Send { to, frame, .. } = output else {
-                self.note(from, output);
+                self.record_output(from, output);
                 continue;
             };
             let zone = |name| self.processes.get(name).map(|process| &process.membership.me().zone);
-            let is_far = zone(from) != zone(&to);
+            let crosses_zone = zone(from) != zone(&to);
             let process = self.processes.get_mut(from).expect("a process");
             let bytes = wire::encode_frame(&frame).len() as u64;
             process.sent_bytes += bytes;
-            process.far_bytes += if is_far { bytes } else { 0 };
+            process.cross_zone_bytes += if crosses_zone { bytes } else { 0 };
             process.sent_frames += 1;
             let incarnation = process.membership.me().incarnation;
             let delivery = Delivery {
@@ -301,12 +304,12 @@
         }
     }
 
-    fn note(&mut self, at: &InstanceName, output: Output) {
+    fn record_output(&mut self, at: &InstanceName, output: Output) {
         if let Output::Down(member) = &output {
             let there = self.processes.get(&member.name).is_some_and(|process| {
                 process.condition == Condition::Running && process.membership.me().incarnation == member.incarnation
             });
-            self.false_deaths += usize::from(there && self.is_linked(at, &member.name));
+            self.false_deaths += usize::from(there && self.is_reachable(at, &member.name));
         }
         if let Output::DocumentSeen { revision, digest, .. } = &output {
             self.serial += 1;
@@ -315,19 +318,19 @@
                 to: at.clone(),
                 content: Content::Fetched(*revision, *digest),
             };
-            self.flying.insert((self.now + FETCH, self.serial), fetched);
+            self.in_flight.insert((self.now + FETCH, self.serial), fetched);
         }
         let now = self.now;
         let process = self.processes.get_mut(at).expect("a process");
-        process.learned.push((now, output));
+        process.outputs.push((now, output));
     }
 
-    fn is_linked(&self, a: &InstanceName, b: &InstanceName) -> bool {
+    fn is_reachable(&self, a: &InstanceName, b: &InstanceName) -> bool {
         let zone = |name| {
             let process: Option<&Process> = self.processes.get(name);
             process.map(|process| process.membership.me().zone.clone())
         };
-        if a != b && (self.alone.contains(a) || self.alone.contains(b)) {
+        if a != b && (self.isolated.contains(a) || self.isolated.contains(b)) {
             return false;
         }
         let (a, b) = (zone(a), zone(b));
@@ -337,11 +340,11 @@
 
     fn send(&mut self, delivery: Delivery) {
         let lost = self.loss > 0.0 && self.rng.random_bool(self.loss);
-        if lost || !self.is_linked(&delivery.from, &delivery.to) {
+        if lost || !self.is_reachable(&delivery.from, &delivery.to) {
             return;
         }
         let delay = Duration::from_micros(self.rng.random_range(300..1_500));
         self.serial += 1;
-        self.flying.insert((self.now + delay, self.serial), delivery);
+        self.in_flight.insert((self.now + delay, self.serial), delivery);
     }
 }
