--- a/crates/membership/examples/start.rs
+++ b/crates/membership/examples/start.rs
@@ -1,9 +1,10 @@
-//! What the start of a whole fleet costs the membership, and what it sends between availability zones: by span of time, in virtual time.
+//! Measures the membership traffic of a fleet that starts at once, in total and between availability zones, per span
+//! of virtual time.
 //!
-//! Run: `cargo run --release -p membership --example start -- 300 985`. Every instance knows three others at first. Probes are as the flow
-//! mode sets them. Bytes are those of encoded frames, without the transport's own.
+//! Run: `cargo run --release -p membership --example start -- 300 985`. Every instance knows three others at first.
+//! Probe timing is that of the flow mode. Bytes are those of encoded frames, without the overhead of the transport.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -16,7 +17,7 @@
 
 const ZONES: usize = 5;
 const SEEDS: usize = 3;
-/// The spans that are looked at, each from the end of the one before.
+/// The measured spans; each starts at the end of the previous one.
 const SPANS: [Duration; 4] = [
     Duration::from_secs(5),
     Duration::from_secs(10),
@@ -36,7 +37,7 @@
 fn main() {
     println!("members  span s  known, least and mean  B/s each  far B/s each  busiest B/s  far MB in all");
     for count in env::args().skip(1) {
-        let count = count.parse().expect("a number of members");
+        let count = count.parse().expect("each argument is a number of members");
         measure(count);
     }
 }
@@ -55,7 +56,7 @@
     for span in SPANS {
         measure_span(&mut fleet, count, span);
     }
-    // Half of the fleet loses power at one moment, which no datagram tells, and comes back.
+    // Half of the fleet loses power at once, which no datagram announces, and is then restarted.
     let loses_power = |index: usize| index % 2 == 1;
     for index in (0..count).filter(|index| loses_power(*index)) {
         fleet.set(index, Condition::Frozen);
--- a/crates/membership/examples/traffic.rs
+++ b/crates/membership/examples/traffic.rs
@@ -1,10 +1,10 @@
-//! Measures what membership costs an instance, against the number of members.
+//! Measures the cost of membership per instance against the number of members.
 //!
-//! Run: `cargo run --release -p membership --example traffic`. The fleet lives in virtual time, in one process. Bytes
-//! are those of encoded frames, without the transport's own. Processor time is that of the pure code and of encoding,
-//! together with the fleet's own bookkeeping, so it is an upper bound.
+//! Run: `cargo run --release -p membership --example traffic`. The fleet is simulated in virtual time, in one
+//! process. Bytes are those of encoded frames, without the overhead of the transport. Processor time is that of the
+//! membership code and of encoding, together with the bookkeeping of the simulation, so it is an upper bound.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -21,7 +21,7 @@
 const SIZES: [usize; 5] = [8, 32, 128, 240, 600];
 const PAGE: u64 = 4_096;
 
-/// How long a fleet is watched in each state.
+/// How long a fleet is measured in each state.
 const MEASURED_SPAN: Duration = Duration::from_mins(2);
 
 fn main() {
@@ -48,14 +48,17 @@
     let mut fleet = Fleet::new(3, 1);
     fleet.start_all(count, 3);
     fleet.run(Duration::from_mins(3));
-    assert!(fleet.is_converged(), "the fleet has settled");
+    assert!(fleet.is_converged(), "the fleet has converged");
     let per_member = resident().saturating_sub(before) / (count * count) as u64;
 
     let idle = measure_cost(&mut fleet, |_, _| {});
     let busy = measure_cost(&mut fleet, inject_churn);
     fleet.run(Duration::from_mins(1));
-    assert!(fleet.is_converged(), "the fleet has settled again");
-    assert_eq!(fleet.false_deaths, 0, "nobody was taken for dead who was not");
+    assert!(fleet.is_converged(), "the fleet has converged again");
+    assert_eq!(
+        fleet.false_deaths, 0,
+        "no running and reachable member was declared dead"
+    );
 
     let crash = time_until(
         &mut fleet,
@@ -86,7 +89,7 @@
     );
 }
 
-/// What an instance sends and spends in a second.
+/// The traffic and processor time of an instance per second.
 struct Cost {
     mean: f64,
     max: f64,
@@ -119,7 +122,8 @@
     }
 }
 
-/// A replacement every ten seconds, and a new document every five: far more than on any day.
+/// Replaces an instance every ten seconds, and publishes a document every five: far more churn than in normal
+/// operation.
 fn inject_churn(fleet: &mut Fleet, second: u64) {
     let count = fleet.processes.len();
     if second % 10 == 3 {
@@ -138,7 +142,7 @@
     }
 }
 
-/// Seconds until something holds, by the fleet's own clock.
+/// The seconds of virtual time until a condition holds.
 fn time_until(fleet: &mut Fleet, action: impl FnOnce(&mut Fleet), holds: impl Fn(&Fleet) -> bool) -> f64 {
     let start: Time = fleet.now;
     action(fleet);
@@ -148,7 +152,7 @@
     fleet.now.since(start).as_secs_f64()
 }
 
-/// The memory of this process, in bytes.
+/// The resident memory of this process, in bytes.
 fn resident() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
--- a/crates/membership/src/broadcast.rs
+++ b/crates/membership/src/broadcast.rs
@@ -1,4 +1,4 @@
-//! What is still to be told, newest and least told first.
+//! The queue of updates to piggyback on probes, ordered by fewest transmissions, then newest.
 
 use std::cmp::Reverse;
 
@@ -7,18 +7,19 @@
 
 use crate::grow_only::InstanceId;
 
-/// What a piece of news is about. Its content is read when it is sent, so it is never older than the sender's view.
+/// The subject of an update. Its content is read when it is sent, so it is never older than the sender's view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Topic {
     /// This instance or another one.
     Member(InstanceName),
-    /// A hand-over by this incarnation.
+    /// The hand-over of this incarnation.
     Successor(InstanceId),
     /// A leaving upstream.
     LeavingUpstream(UpstreamName),
 }
 
-/// How many topics wait at most. When more comes at once, exchanges of all that is known tell it cheaper.
+/// The maximum number of queued topics. When more updates arrive at once, full synchronisation transmits them more
+/// cheaply.
 const MAX_QUEUED: usize = 48;
 
 #[derive(Debug, Clone)]
@@ -28,7 +29,7 @@
     serial: u64,
 }
 
-/// What is still to be told.
+/// The queue of updates that still have to be sent.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct BroadcastQueue {
     items: Vec<QueuedTopic>,
@@ -36,9 +37,9 @@
 }
 
 impl BroadcastQueue {
-    /// Puts a topic first, and has it told anew as often as if it had not been told before.
+    /// Queues a topic at the front and resets its transmission count.
     ///
-    /// If there are too many, the one that was told most is dropped.
+    /// If the queue is full, the topic with the most transmissions is dropped.
     pub(crate) fn push(&mut self, topic: Topic) {
         self.items.retain(|item| item.topic != topic);
         self.serial += 1;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes up to `count` topics for one frame. Each is told `times` times in all.
+    /// Returns up to `count` topics for one frame. Each topic is sent `times` times in all.
     pub(crate) fn take(&mut self, count: usize, times: u32) -> Vec<Topic> {
         if self.items.is_empty() {
             return Vec::new();
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! What goes out: gossip on probes, news that should not wait, and everything known to those who lack it.
+//! Outgoing gossip: updates piggybacked on probes, urgent updates sent directly, and full synchronisation.
 
 use std::net::SocketAddr;
 
@@ -16,16 +16,17 @@
 use crate::table::MemberEntry;
 use crate::table::member_hash;
 
-/// How many pieces of news ride on one probe, and how many while many wait, as when a whole fleet starts: a member has about 60
-/// bytes, so that a datagram fits a packet of 1,500 bytes as a rule. Of 65 instances that start at once most knew few others for
-/// five seconds with the smaller number alone, and each that knows few takes every part upon itself.
+/// How many updates are piggybacked on one probe, and the limit while many are queued, such as when a whole fleet
+/// starts. A member record takes about 60 bytes, so that a datagram usually fits a packet of 1,500 bytes. With the
+/// smaller number alone, most of 65 instances that started at once knew few others for five seconds, and an instance
+/// that knows few members takes on every role itself.
 const UPDATES_PER_PROBE: usize = 6;
 const MAX_UPDATES_PER_PROBE: usize = 20;
-/// With more pieces of news than this waiting, all that is known is exchanged instead.
+/// With more queued updates than this, full synchronisation is used instead.
 const FULL_SYNC_BACKLOG: usize = 24;
-/// How many members of other zones are told at once of news that its own zone is told of.
+/// The minimum number of members of other zones that are notified directly, besides those of the own zone.
 const CROSS_ZONE_FANOUT: usize = 1;
-/// How many entries go into one frame when everything known is sent.
+/// The maximum number of entries in one frame of a full synchronisation.
 const ENTRIES_PER_FRAME: usize = 64;
 
 impl Membership {
@@ -46,10 +47,10 @@
         out.push(send(&member, Frame::ProbeAck(seq, reply)));
     }
 
-    /// The gossip for a probe to a member, or for its answer.
+    /// Builds the gossip for a probe to a member, or for the answer to its probe.
     ///
-    /// It holds this instance's own record until the member has seen it, and the member's own record if it is in
-    /// doubt, so that it can refute.
+    /// It contains this instance's own record until the member has acknowledged it, and the member's record if the
+    /// member is suspected or dead, so that it can refute.
     pub(crate) fn gossip_for(&mut self, to: &Member) -> Gossip {
         let acked_status = self.table.get(&to.name).and_then(|entry| entry.acked_status);
         let mut gossip = self.introduction();
@@ -67,7 +68,8 @@
         gossip
     }
 
-    /// Gossip that tells who this instance is, and no news. Whoever does not know it answers with whom it knows.
+    /// Gossip that holds only this instance's own record. A receiver that does not know this instance replies with
+    /// the members that it knows.
     pub fn introduction(&self) -> Gossip {
         Gossip {
             view: self.view(),
@@ -77,7 +79,7 @@
         }
     }
 
-    /// What others should have seen of this instance's own record.
+    /// The refutation and state of this instance that others should know.
     pub(crate) fn own_status(&self) -> (u32, MemberState) {
         (self.me.refutation, self.me.state)
     }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Sends news to some members at once, chosen at random.
+    /// Sends gossip directly to up to `count` members, chosen at random.
     pub(crate) fn send_to_random(&mut self, count: usize, gossip: &Gossip, out: &mut Vec<Output>) {
         let present = self.table.present().map(|entry| &entry.member);
         let chosen: Vec<&Member> = present.sample(&mut self.rng, count);
@@ -104,7 +106,8 @@
         }
     }
 
-    /// Sends news to some members at once, those of its own availability zone first, and at least one of another.
+    /// Sends gossip directly to some members, preferring those of the own availability zone, and to at least one
+    /// member of another zone if there is one.
     pub(crate) fn send_zone_first(&mut self, gossip: &Gossip, out: &mut Vec<Output>) {
         let present = self.table.present().map(|entry| &entry.member);
         let (near, far): (Vec<&Member>, Vec<&Member>) = present.partition(|member| member.zone == self.me.zone);
@@ -116,14 +119,14 @@
         }
     }
 
-    /// Sends news to one member, if it is known.
+    /// Sends gossip to one member, if it is known.
     pub(crate) fn send_gossip(&self, to: &InstanceName, gossip: Gossip, out: &mut Vec<Output>) {
         if let Some(entry) = self.table.get(to) {
             out.push(send(&entry.member, Frame::News(gossip)));
         }
     }
 
-    /// Tells a member that it is in doubt, so that it can refute at once.
+    /// Notifies a member of its recorded state, so that it can refute a suspicion at once.
     pub(crate) fn notify_suspicion(&self, name: &InstanceName, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get(name) else {
             return;
@@ -135,7 +138,7 @@
         out.push(send(&entry.member, Frame::News(gossip)));
     }
 
-    /// Tells the sender of news about an old configuration document of the newer one.
+    /// Sends the newer configuration document's revision and digest to a member that reported an older one.
     pub(crate) fn correct_document(&self, from: &InstanceId, gossip: &Gossip, out: &mut Vec<Output>) {
         let Some((reported, _)) = gossip.document else {
             return;
@@ -150,7 +153,8 @@
         self.send_gossip(&from.name, newer, out);
     }
 
-    /// Tells of a configuration document that is newer than the one held.
+    /// Reports a configuration document of a member that is newer than the one held, or differs from it at the same
+    /// revision.
     pub(crate) fn compare_documents(&self, from: &InstanceId, gossip: &Gossip, out: &mut Vec<Output>) {
         let Some((revision, digest)) = gossip.document else {
             return;
@@ -169,11 +173,12 @@
         });
     }
 
-    /// Sends everything known to an instance that lacks some of it.
+    /// Synchronises with an instance whose view differs from this one's.
     ///
-    /// A stranger gets it at once. With others a difference counts only when neither has news left to tell, and not
-    /// too often, since news that is still on its way is the usual reason for one; or else when there is so much news
-    /// that this is the cheaper way to tell it, as when many instances start together.
+    /// An instance that was absent from the view gets a sample of the members at once. For others, a difference
+    /// usually means that updates are still on their way. So they are sent the full state only when neither side has
+    /// updates left to send, or when so many are queued that a full synchronisation is cheaper, as when many
+    /// instances start together. The full state is also rate-limited by [`sync_every`](crate::Timing::sync_every).
     pub(crate) fn compare_views(
         &mut self,
         from: &InstanceId,
@@ -203,9 +208,10 @@
         self.send_full_state(&member, out);
     }
 
-    /// Tells a newcomer of members, as many as fit one frame: in a large fleet that starts at once, all of them to each would
-    /// fill the links of those that are asked first. It hears of the others by their news. With them goes which document is held
-    /// here, so that it can ask for it at once.
+    /// Sends a newcomer as many members as fit one frame. In a large fleet that starts at once, sending all members
+    /// to each newcomer would saturate the links of the instances that are contacted first. The newcomer learns of
+    /// the others through gossip. The frame also names the configuration document held here, so that the newcomer can
+    /// request it at once.
     fn send_member_sample(&mut self, to: &Member, out: &mut Vec<Output>) {
         let entries = self.table.iter().map(|entry| entry.member.clone());
         let mut members = entries.sample(&mut self.rng, ENTRIES_PER_FRAME - 1);
@@ -226,7 +232,7 @@
         self.send_grow_only_sets(to, out);
     }
 
-    /// Sends what members have left behind for others.
+    /// Sends the known hand-overs and leaving upstreams.
     fn send_grow_only_sets(&self, to: &Member, out: &mut Vec<Output>) {
         let successors: Vec<wire::Successor> = self.successors.iter().collect();
         for part in successors.chunks(ENTRIES_PER_FRAME) {
@@ -246,7 +252,7 @@
         }
     }
 
-    /// The hash over all that instances should agree on. It is never zero.
+    /// The hash over everything that instances should agree on. It is never zero.
     fn view(&self) -> u64 {
         let members = self.table.view ^ member_hash(&self.me);
         (members ^ self.successors.view ^ self.leaving_upstreams.view).max(1)
--- a/crates/membership/src/grow_only.rs
+++ b/crates/membership/src/grow_only.rs
@@ -1,7 +1,7 @@
-//! Facts that hold for ever once they are known: hand-overs, and marks on leaving upstreams.
+//! Grow-only sets of records that stay true once known: ledger hand-overs, and leaving upstreams.
 //!
-//! Both are sets that only grow, but for a bound on their size. The bound drops what is oldest by incarnation, which
-//! every instance sees alike, and not by a local clock, so that instances which exchange all they know end up with
+//! The size of each set is bounded. When a set is full, the record with the lowest incarnation is removed. All
+//! instances agree on incarnations but not on local clocks, so instances that exchange all their records end up with
 //! the same sets.
 
 use std::collections::BTreeMap;
@@ -14,26 +14,26 @@
 
 use crate::rendezvous::hash;
 
-/// How many hand-overs are remembered.
+/// The maximum number of hand-overs that are retained.
 const MAX_SUCCESSORS: usize = 1_024;
-/// How many leaving upstreams are remembered.
+/// The maximum number of leaving upstreams that are retained.
 const MAX_LEAVING_UPSTREAMS: usize = 4_096;
 
-/// One life of an instance.
+/// The name and incarnation of an instance, which identify one run of it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InstanceId {
     pub(crate) name: InstanceName,
     pub(crate) incarnation: Incarnation,
 }
 
-/// Where the ledgers of an incarnation are now.
+/// The result of following the hand-overs of an incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HandoverEnd<'a> {
     /// No hand-over is known.
     NoHandover,
-    /// They moved here.
+    /// The incarnation that the ledgers were last handed over to.
     At(&'a InstanceId),
-    /// The records lead in a circle, which no correct instance makes.
+    /// The records form a cycle, which no correct instance creates.
     Cycle,
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl Successors {
-    /// Adds a record; tells whether it was new. Of two for the same incarnation every instance keeps the same one.
+    /// Adds a record and returns whether it changed the set. Of two records for the same incarnation, every instance
+    /// keeps the same one.
     pub(crate) fn add(&mut self, record: &Successor) -> bool {
         let from = InstanceId {
             name: record.from.clone(),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Follows the records from an incarnation to their end.
+    /// Follows the hand-overs from an incarnation to the last one.
     pub(crate) fn resolve(&self, from: &InstanceId) -> HandoverEnd<'_> {
         let Some(mut last) = self.records.get(from) else {
             return HandoverEnd::NoHandover;
@@ -128,7 +129,7 @@
 }
 
 impl LeavingUpstreams {
-    /// Adds a mark; tells whether it was new.
+    /// Adds a mark and returns whether it changed the set.
     pub(crate) fn add(&mut self, mark: &LeavingUpstream) -> bool {
         let held = self.highest.get(&mark.name).copied();
         if held.is_some_and(|held| held >= mark.incarnation) {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A mark holds for the marked incarnation and all before it.
+    /// Whether an incarnation is leaving. A mark covers the marked incarnation and all earlier ones.
     pub(crate) fn is_leaving(&self, name: &UpstreamName, incarnation: Incarnation) -> bool {
         self.highest.get(name).is_some_and(|highest| *highest >= incarnation)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Who is in the fleet: members, homes, successors, and the spreading of news.
+//! Fleet membership: failure detection, gossip, and the choice of home instances and ledger successors.
 //!
-//! Members probe one another in turn; who does not answer, not even to helpers, is suspected, and dead if it does not
-//! refute this in time. What is new rides on the probes, so the traffic of a member does not grow with the fleet.
+//! This is a SWIM-style protocol. Members probe one another in turn. A member that answers neither a direct probe nor
+//! an indirect one through other members becomes a suspect, and is declared dead unless it refutes the suspicion in
+//! time. Updates are piggybacked on probes, so the traffic per member does not grow with the fleet.
 //!
-//! This crate is pure: it does no I/O, reads no clock and draws on no randomness but from the seed it is given. It knows nothing of
-//! flows, tokens and ledgers, and nothing safe may hang on what it says: a view may be wrong at any time, and costs
-//! work when it is, never correctness.
+//! The crate does no I/O, does not read the clock, and draws random numbers only from a generator seeded by the
+//! caller. It has no notion of flows, tokens or ledger contents. Safety must not depend on it: a view may be wrong at
+//! any time, which costs extra work but never correctness.
 
 mod broadcast;
 mod dissemination;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the fleet: what it is told, and the passing of time.
+//! The membership state of one instance, and its entry points for frames, time and local events.
 
 use std::collections::BTreeMap;
 
@@ -29,15 +29,15 @@
 use crate::table::Table;
 use crate::timing::Timing;
 
-/// How long a member in doubt has.
+/// When the suspicion of a member expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Deadline {
     pub(crate) at: Time,
-    /// Whether it has been told directly, so that it counts as dead when this is over.
+    /// Whether the member was notified directly. If so, it is declared dead at `at`; otherwise it is notified then.
     pub(crate) notified: bool,
 }
 
-/// One instance's part in the fleet.
+/// The membership state machine of one instance.
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(crate) me: Member,
@@ -46,7 +46,7 @@
     pub(crate) rng: SmallRng,
     pub(crate) now: Time,
     pub(crate) table: Table,
-    /// When a member that is suspected, or leaving and silent, counts as dead.
+    /// Deadlines of members that are suspected, or that are leaving and do not answer.
     pub(crate) deadlines: BTreeMap<InstanceName, Deadline>,
     pub(crate) successors: Successors,
     pub(crate) leaving_upstreams: LeavingUpstreams,
@@ -59,9 +59,9 @@
 }
 
 impl Membership {
-    /// The part of the instance `me`, which knows no other yet.
+    /// Creates the state of the instance `me`, which knows no other instance yet.
     ///
-    /// The record's state is taken as `Alive`.
+    /// The state in `me` is ignored and set to `Alive`.
     pub fn new(me: Member, timing: Timing, seed: u64, now: Time) -> Self {
         let me = Member {
             state: MemberState::Alive,
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Takes in a frame from another instance, as its authenticated session names it.
+    /// Handles a frame from another instance, identified by its authenticated session.
     ///
-    /// Frames that are not about membership are ignored.
+    /// Frames that do not concern membership are ignored.
     pub fn handle(
         &mut self,
         now: Time,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Lets time pass. This starts probes, and ends those that were not answered.
+    /// Advances the time: starts due probes, and expires unanswered probes and suspicions.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         self.probe_next(out);
@@ -133,9 +133,9 @@
         self.contact_absent(out);
     }
 
-    /// Announces this instance's own planned stop.
+    /// Announces the planned stop of this instance.
     ///
-    /// Up to [`Timing::stop_fanout`] members are told at once, the others by gossip.
+    /// Up to [`Timing::stop_fanout`] members are notified directly, the others through gossip.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         if self.me.state == MemberState::Leaving {
@@ -151,7 +151,7 @@
         self.send_to_random(self.timing.stop_fanout, &gossip, out);
     }
 
-    /// Adds a hand-over, one's own or an inherited one, and spreads it.
+    /// Adds a ledger hand-over, made by this instance or taken over from another one, and disseminates it.
     pub fn add_successor(&mut self, record: Successor, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         if !self.successors.add(&record) {
@@ -168,7 +168,8 @@
         self.send_to_random(self.timing.stop_fanout, &gossip, out);
     }
 
-    /// Marks an incarnation of an upstream, and all before it, as leaving, and spreads this. It is never taken back.
+    /// Marks an incarnation of an upstream and all earlier ones as leaving, and disseminates this. A mark is never
+    /// withdrawn.
     pub fn add_leaving_upstream(&mut self, mark: LeavingUpstream, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         if !self.leaving_upstreams.add(&mark) {
@@ -182,10 +183,10 @@
         self.send_to_random(self.timing.fanout, &gossip, out);
     }
 
-    /// Sets the configuration document that this instance holds, and tells a few others at once if it is newer, or another one of
-    /// the same revision.
+    /// Sets the configuration document that this instance holds, unless the previous one is the same or has a later
+    /// revision, and notifies a few members directly.
     ///
-    /// Each of them fetches it and tells a few others in turn, so it is everywhere within a few round trips.
+    /// Each of them fetches the document and notifies a few others, so it reaches the fleet within a few round trips.
     pub fn set_document(&mut self, revision: Revision, digest: Digest, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         let is_known = |(held, held_digest)| held > revision || (held, held_digest) == (revision, digest);
@@ -208,15 +209,15 @@
         self.document
     }
 
-    /// Whether an incarnation of an upstream gets no new work any more.
+    /// Whether an incarnation of an upstream is leaving and must get no new work.
     pub fn is_leaving(&self, name: &UpstreamName, incarnation: Incarnation) -> bool {
         self.leaving_upstreams.is_leaving(name, incarnation)
     }
 
-    /// Moves to a new time.
+    /// Moves the clock forward.
     ///
-    /// After a pause of this process itself, every wait starts over by as much: silence during the pause says
-    /// nothing about the others.
+    /// If this process itself was paused, all deadlines are postponed by the length of the pause, since missing
+    /// answers during it say nothing about the other members.
     pub(crate) fn advance(&mut self, now: Time) {
         let pause = now.since(self.now);
         if pause > self.timing.probe_timeout {
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merging what others say into the view.
+//! Merges reports from other instances into the view, and expires suspicions.
 
 use units::InstanceName;
 use wire::Gossip;
@@ -15,7 +15,7 @@
 use crate::table::compare_report;
 
 impl Membership {
-    /// Takes in a frame's gossip, and the proof of life that the frame itself is.
+    /// Merges the gossip of a frame. The frame itself also proves that its sender is alive.
     pub(crate) fn merge_gossip(&mut self, from: &InstanceId, gossip: &Gossip, out: &mut Vec<Output>) {
         let was_absent = !self.is_present(from);
         for report in &gossip.members {
@@ -52,7 +52,7 @@
         entry.is_some_and(MemberEntry::is_present)
     }
 
-    /// Takes in a report about a member.
+    /// Merges a report about a member.
     fn merge_report(&mut self, from: &InstanceId, report: &Member, out: &mut Vec<Output>) {
         if report.name == self.me.name {
             self.merge_own_report(from, report, out);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Makes a member that others take for dead a suspect with little time, and tells it so that it can refute.
+    /// Makes a member that was reported dead a suspect with a short deadline, and notifies it so that it can refute.
     fn suspect_reported_dead(&mut self, report: &Member, out: &mut Vec<Output>) {
         let deadline = Deadline {
             at: self.now + self.timing.refutation_window(),
@@ -88,7 +88,7 @@
         self.notify_suspicion(&report.name, out);
     }
 
-    /// Refutes a report that this instance is in doubt or dead.
+    /// Refutes a report that this instance is suspected or dead.
     fn merge_own_report(&mut self, from: &InstanceId, report: &Member, out: &mut Vec<Output>) {
         if report.incarnation != self.me.incarnation {
             self.replaced |= report.incarnation > self.me.incarnation;
@@ -96,7 +96,8 @@
         }
         let disputed = matches!(report.state, MemberState::Suspect | MemberState::Dead);
         if disputed && report.refutation < self.me.refutation {
-            // It was refuted already, but the teller has not heard of that and may be about to take it for true.
+            // The report was refuted already, but its sender does not know that yet and may be about to declare this
+            // instance dead.
             let gossip = Gossip {
                 members: vec![self.me.clone()],
                 ..Gossip::default()
@@ -108,10 +109,10 @@
         }
         let before = self.me.refutation;
         self.me.refutation = report.refutation.saturating_add(1);
-        assert!(self.me.refutation >= before, "a refutation never decreases");
+        assert!(self.me.refutation >= before, "a refutation number never decreases");
         assert!(
             self.me.state != MemberState::Dead,
-            "an instance never takes itself for dead"
+            "an instance never declares itself dead"
         );
         self.broadcasts.push(Topic::Member(self.me.name.clone()));
         let gossip = Gossip {
@@ -122,7 +123,7 @@
         self.send_gossip(&from.name, gossip, out);
     }
 
-    /// Takes in a member that is new, or a new incarnation of its name.
+    /// Inserts a new member, or a new incarnation of a known name.
     fn insert_member(&mut self, member: Member, out: &mut Vec<Output>) {
         let entry = MemberEntry::new(member.clone(), self.now);
         let old = self.table.put(entry);
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Changes the state of a member in its present incarnation.
+    /// Updates the state of a member in its current incarnation.
     pub(crate) fn update_member(&mut self, member: Member, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get(&member.name) else {
             return;
@@ -154,7 +155,7 @@
         let old = entry.member.state;
         debug_assert!(
             member.refutation >= entry.member.refutation,
-            "a refutation never decreases"
+            "a refutation number never decreases"
         );
         let dead = member.state == MemberState::Dead;
         let entry = MemberEntry {
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Gives a member in doubt time to refute, or a part of it.
+    /// Sets the deadline by which a suspect must refute, unless it has an earlier one. `divisor` shortens the
+    /// timeout.
     pub(crate) fn set_suspicion_deadline(&mut self, member: &Member, divisor: u32) {
         let suspicion_timeout = self.timing.suspicion_timeout(self.table.present_count() + 1) / divisor;
         let until_notice = suspicion_timeout.saturating_sub(self.timing.refutation_window());
@@ -196,9 +198,9 @@
         self.deadlines.insert(member.name.clone(), deadline);
     }
 
-    /// Notes that a frame came from this incarnation itself, so it is not dead.
+    /// Records that a frame came from this incarnation, so it is not dead.
     ///
-    /// A suspect stays one for the others until it refutes, but has all its time again.
+    /// A suspect stays one until it refutes, but its suspicion timeout starts over.
     pub(crate) fn record_liveness(&mut self, from: &InstanceId) {
         let Some(entry) = self.table.get_incarnation(&from.name, from.incarnation) else {
             return;
@@ -212,10 +214,10 @@
         }
     }
 
-    /// Takes those for dead that did not refute in time.
+    /// Declares suspects dead that did not refute in time.
     ///
-    /// Most suspicions are hearsay, and the refutation may not have come through. So before its time is up, a member
-    /// is probed directly, and whoever lives answers that at once.
+    /// Most suspicions are reported by others, and the refutation may have been lost. So each suspect is probed
+    /// directly before its timeout ends; a live member answers that at once.
     pub(crate) fn expire_suspects(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let due = |(name, deadline): (&InstanceName, &Deadline)| (deadline.at <= now).then(|| name.clone());
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -1,4 +1,4 @@
-//! What membership wants done, and what it says of an instance.
+//! The outputs of the membership state machine, and the status of an incarnation.
 
 use std::net::SocketAddr;
 
@@ -10,33 +10,35 @@
 use wire::Member;
 use wire::Successor;
 
-/// What membership wants done or has learned. What the caller itself has added is not told back.
+/// An action to carry out, or a change that was learned from others. Records that the caller added itself are not
+/// reported back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send a frame to another instance.
     Send {
-        /// The instance.
+        /// The receiver.
         to: InstanceName,
-        /// Where it listens for other instances.
+        /// The address where the receiver listens for other instances.
         address: SocketAddr,
         /// The frame.
         frame: Frame,
     },
-    /// An instance is alive that was unknown or dead before. An incarnation may come up again after it was down.
+    /// An instance is alive that was unknown or dead before. The same incarnation may be reported again after it was
+    /// down.
     Up(Member),
     /// An instance announced its planned stop.
     Leaving(Member),
-    /// An instance is gone, or an older incarnation was replaced.
+    /// An instance was declared dead, or a newer incarnation replaced it.
     Down(Member),
-    /// The ledgers of an incarnation have moved.
+    /// The ledgers of an incarnation were handed over.
     Succeeded(Successor),
-    /// An incarnation of an upstream gets no new work any more.
+    /// An incarnation of an upstream is leaving and must get no new work.
     UpstreamLeaving(LeavingUpstream),
     /// Another instance holds a newer configuration document, or a different one of the same revision.
     DocumentSeen {
         /// The instance that holds it.
         from: InstanceName,
-        /// Where that listens for other instances.
+        /// The address where that instance listens for other instances.
         address: SocketAddr,
         /// The document's revision.
         revision: Revision,
@@ -45,23 +47,23 @@
     },
 }
 
-/// What is known of one incarnation of an instance, as the owner of flows.
+/// The status of one incarnation of an instance, as the owner of flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing<'a> {
     /// It is this instance, which still holds its own ledgers.
     Me,
     /// It answers probes.
     Alive(&'a Member),
-    /// It missed a probe, but may still be there.
+    /// It is suspected to have failed, but may still be running.
     Suspect(&'a Member),
-    /// It is on a planned stop and still holds its ledgers.
+    /// It announced a planned stop and still holds its ledgers.
     Leaving(&'a Member),
-    /// Its ledgers have moved, perhaps more than once, to this member.
+    /// Its ledgers were handed over, possibly more than once, and this member holds them now.
     Succeeded(&'a Member),
-    /// Its ledgers have moved to this instance.
+    /// Its ledgers were handed over to this instance.
     SucceededByMe,
-    /// It is dead or replaced, or that holds for the one that its ledgers moved to.
+    /// It is dead or replaced, or the instance that its ledgers were handed over to is.
     Gone,
-    /// Nothing is known of it yet.
+    /// No information about it has arrived yet.
     Unknown,
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,4 +1,5 @@
-//! Probing: one member a period in shuffled rounds, helpers if it is silent, then suspicion.
+//! Failure detection: probes one member per period in shuffled rounds; if it does not answer, requests indirect
+//! probes from other members, then suspects it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,25 +20,25 @@
 use crate::output::Output;
 use crate::timing::Timing;
 
-/// How many probes for others an instance keeps in mind.
+/// The maximum number of probes in progress on behalf of other members.
 const MAX_RELAYED_PROBES: usize = 64;
-/// A refused connection leaves this part of the usual time to refute.
+/// Divides the suspicion timeout of a member that refused the connection.
 const REFUSED_DIVISOR: u32 = 2;
 
-/// How far a probe has come.
+/// The stage of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// The member itself was asked.
+    /// Only the member itself was probed.
     Direct,
-    /// Helpers were asked too.
+    /// Indirect probes were requested too.
     Indirect,
 }
 
-/// A probe of one's own that is not answered yet.
+/// A probe of this instance that is not answered yet.
 #[derive(Debug, Clone)]
 struct Pending {
     target: InstanceId,
-    /// What of this instance's own record the probe tells.
+    /// The refutation and state of this instance that the probe carries.
     sent_status: (u32, MemberState),
     stage: Stage,
     deadline: Time,
@@ -52,7 +53,7 @@
     deadline: Time,
 }
 
-/// The probes in progress, and whose turn it is next.
+/// The probes in progress, and the rest of the current round.
 #[derive(Debug, Clone)]
 pub(crate) struct Probes {
     seq: u64,
@@ -63,7 +64,7 @@
 }
 
 impl Probes {
-    /// Starts at a random point of the period, so that members that start together don't probe in step.
+    /// Starts at a random point of the period, so that members that start together do not probe in lockstep.
     pub(crate) fn new(timing: &Timing, now: Time, rng: &mut SmallRng) -> Self {
         Self {
             seq: 0,
@@ -79,14 +80,14 @@
         self.seq
     }
 
-    /// Gives all probes more time.
+    /// Extends the deadlines of all probes of this instance.
     pub(crate) fn postpone(&mut self, span: Duration) {
         for pending in self.pending.values_mut() {
             pending.deadline = pending.deadline + span;
         }
     }
 
-    /// Drops the probes of a member that is gone.
+    /// Drops the probes of a member that is dead or replaced.
     pub(crate) fn cancel(&mut self, name: &InstanceName) {
         self.pending.retain(|_, pending| pending.target.name != *name);
     }
@@ -97,10 +98,10 @@
 }
 
 impl Membership {
-    /// Takes a hint that a member may be gone: its session ended, or none could be made.
+    /// Handles a hint that a member may have failed: its session ended, or none could be established.
     ///
-    /// The member is probed at once. If that is under way already, the connection for it was refused: then helpers
-    /// are asked without waiting, and the member gets less time to refute.
+    /// The member is probed at once. If a probe is in progress already, its connection was refused: then indirect
+    /// probes are requested without waiting, and the member gets less time to refute.
     pub fn session_lost(&mut self, now: Time, name: &InstanceName, out: &mut Vec<Output>) {
         self.advance(now);
         let Some(entry) = self.table.get(name).filter(|entry| entry.is_present()) else {
@@ -120,12 +121,12 @@
         self.expire_probes(out);
     }
 
-    /// Probes the next member of the round when it is time to.
+    /// Probes the next member of the round if a probe is due.
     pub(crate) fn probe_next(&mut self, out: &mut Vec<Output>) {
         if self.now < self.probes.next {
             return;
         }
-        // After a pause, missed probes are not made up for.
+        // Probes missed during a pause are not made up for.
         let overdue = self.now.since(self.probes.next) >= self.timing.probe_every;
         let base = if overdue { self.now } else { self.probes.next };
         self.probes.next = base + self.timing.probe_every;
@@ -134,7 +135,8 @@
         }
     }
 
-    /// The next member of the round that is still there and not being probed.
+    /// The next member of the round that is not dead and not being probed. Starts a new round when the current one is
+    /// empty.
     fn next_target(&mut self) -> Option<Member> {
         if self.probes.round.is_empty() {
             let present = self.table.present().map(|entry| entry.member.name.clone());
@@ -167,7 +169,8 @@
         self.probes.pending.insert(seq, pending);
     }
 
-    /// Probes a member that is in doubt already. Its answer clears it; its silence adds nothing.
+    /// Probes a suspect, or a leaving member that does not answer, without tracking the probe: an answer lifts or
+    /// restarts its deadline, and a missing answer has no further effect.
     pub(crate) fn probe_untracked(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get(name) else {
             return;
@@ -178,7 +181,7 @@
         out.push(send(&member, Frame::Probe(seq, gossip)));
     }
 
-    /// Takes in the answer to a probe, from its target or from a helper.
+    /// Handles the answer to a probe, from its target or from a member that probed it indirectly.
     pub(crate) fn handle_ack(&mut self, from: &InstanceId, seq: u64, out: &mut Vec<Output>) {
         if let Some(relayed) = self.probes.relayed.remove(&seq) {
             let Some(entry) = self.table.get(&relayed.requester) else {
@@ -199,7 +202,7 @@
         self.record_liveness(&pending.target);
     }
 
-    /// Probes a member for another one that got no answer from it.
+    /// Probes a member on behalf of another one that got no answer from it.
     pub(crate) fn relay_probe(&mut self, from: &InstanceId, seq: u64, target: &InstanceName, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get(target).filter(|entry| entry.is_present()) else {
             return;
@@ -219,7 +222,7 @@
         out.push(send(&member, Frame::Probe(own_seq, gossip)));
     }
 
-    /// Ends the stages of probes whose time is up.
+    /// Moves probes whose deadline has passed to the next stage, or suspects their targets.
     pub(crate) fn expire_probes(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         self.probes.relayed.retain(|_, relayed| relayed.deadline > now);
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Asks other members to probe a silent one; tells whether there are any.
+    /// Asks other members to probe one that did not answer, and returns whether there are any.
     fn request_indirect_probes(&mut self, seq: u64, target: &InstanceId, out: &mut Vec<Output>) -> bool {
         let present = self.table.present().map(|entry| &entry.member);
         let able = present.filter(|member| member.state == MemberState::Alive && member.name != target.name);
@@ -252,9 +255,9 @@
         !indirect_probers.is_empty()
     }
 
-    /// Suspects a member that neither answered nor was reached by helpers.
+    /// Suspects a member that answered neither direct nor indirect probes.
     ///
-    /// A member on a planned stop stays `Leaving` for the others, and counts as dead if its silence lasts.
+    /// A member on a planned stop stays `Leaving` in the view, and is declared dead if it stays silent.
     fn suspect(&mut self, pending: &Pending, out: &mut Vec<Output>) {
         let target = &pending.target;
         let Some(entry) = self.table.get_incarnation(&target.name, target.incarnation) else {
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing: every instance with the same view names the same one, and a change moves only what it must.
+//! Rendezvous hashing: instances with the same view choose the same member, and a change of the view moves only the
+//! subjects that it has to.
 
 use units::InstanceName;
 
@@ -10,14 +11,14 @@
     u64::from_le_bytes(first)
 }
 
-/// The hash under which a member takes part.
+/// The key of a member in rendezvous hashing.
 pub(crate) fn member_key(name: &InstanceName) -> u64 {
     hash(name.as_str().as_bytes())
 }
 
-/// How well a member suits a subject. The highest wins.
+/// The rendezvous score of a member for a subject. The highest score wins.
 ///
-/// Both keys come from BLAKE3, so a cheap mixing of the two is enough, and a choice among hundreds of members costs
+/// Both keys come from BLAKE3, so a cheap mixing function is enough, and a choice among hundreds of members takes
 /// well under a microsecond.
 pub(crate) fn score(subject: u64, member: u64) -> u64 {
     let mut mixed = subject ^ member.rotate_left(32);
--- a/crates/membership/src/seed.rs
+++ b/crates/membership/src/seed.rs
@@ -1,8 +1,8 @@
-//! Contacting instances that are not in the view: those from the settings, those from the platform's list, and the
-//! dead.
+//! Contacts instances that are not in the view: those from the settings, those from the platform's list, and dead
+//! members.
 //!
-//! The list lags, so an entry is only a hint where to probe. Who is on the list may be long gone, and who is not may
-//! be alive.
+//! The platform's list lags behind, so an entry is only a hint where to probe: a listed instance may be long gone,
+//! and an unlisted one may be alive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,10 +20,10 @@
 use crate::table::MemberEntry;
 use crate::timing::Timing;
 
-/// How many hints are kept.
+/// The maximum number of hints that are retained.
 const MAX_SEEDS: usize = 256;
 
-/// Where an instance may be found.
+/// A hint where an instance may be reachable.
 #[derive(Debug, Clone)]
 struct Seed {
     zone: ZoneName,
@@ -31,11 +31,11 @@
     tries: u32,
 }
 
-/// The hints, and when to follow them.
+/// The hints, and when to probe them next.
 #[derive(Debug, Clone)]
 pub(crate) struct Seeds {
     hints: BTreeMap<InstanceName, Seed>,
-    /// How many contacts may still be made without waiting, right after the start.
+    /// How many hints may still be probed immediately after the start.
     burst: usize,
     next: Time,
     next_dead: Time,
@@ -63,10 +63,10 @@
 }
 
 impl Membership {
-    /// Takes a hint, from the settings or the platform's list, where an instance may be found.
+    /// Adds a hint from the settings or the platform's list where an instance may be reachable.
     ///
-    /// It is probed if it isn't in the view; the first few at once, others one a period, those of this availability
-    /// zone first.
+    /// If the instance is not in the view, it is probed: the first few hints immediately, the others one per probe
+    /// period, those of this availability zone first.
     pub fn add_seed(&mut self, name: &InstanceName, zone: &ZoneName, address: SocketAddr, out: &mut Vec<Output>) {
         if *name == self.me.name {
             return;
@@ -85,16 +85,17 @@
         }
     }
 
-    /// Takes a hint from the platform's list that an incarnation is leaving.
+    /// Records that the platform's list reports an incarnation as leaving.
     ///
-    /// It gets no ledgers any more. All else waits until the instance says so itself.
+    /// It is no longer chosen as a ledger successor. Everything else waits until the instance announces its stop
+    /// itself.
     pub fn list_leaving(&mut self, name: &InstanceName, incarnation: Incarnation) {
         self.table.set_listed_leaving(name, incarnation);
     }
 
-    /// Contacts instances that are not in the view: new hints soon, the others now and then.
+    /// Probes instances that are not in the view: new hints soon, other hints and dead members occasionally.
     ///
-    /// So views heal after a partition of any length, with the platform or without.
+    /// So views converge after a partition of any length, whether or not the platform is available.
     pub(crate) fn contact_absent(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.seeds.next {
             self.seeds.next = self.now + self.timing.probe_every;
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The absent hints that were tried least; unless this instance is alone, only those never tried.
+    /// The absent hints with the fewest attempts. Unless this instance knows no other member, only those never tried.
     fn least_tried(&self, count: usize, alone: bool) -> Vec<InstanceName> {
         let seeds = self.seeds.hints.iter();
         let absent = seeds.filter(|(name, seed)| (alone || seed.tries == 0) && self.is_absent(name));
@@ -135,7 +136,7 @@
         !self.table.get(name).is_some_and(MemberEntry::is_present)
     }
 
-    /// Probes an absent instance. Nothing follows from its silence, and its answer is enough to know it.
+    /// Probes an absent instance. A missing answer has no effect; an answer adds the instance to the view.
     fn contact(&mut self, name: &InstanceName, out: &mut Vec<Output>) {
         let entry = self.table.get(name).map(|entry| entry.member.clone());
         let listed = self.seeds.hints.get_mut(name).map(|seed| {
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! What is known of the other instances, one record a name, and which report of two wins.
+//! The member table: one entry per instance name, and the rules for which of two reports takes precedence.
 
 use std::collections::BTreeMap;
 
@@ -13,25 +13,26 @@
 use crate::rendezvous::hash;
 use crate::rendezvous::member_key;
 
-/// How many dead members are remembered at least. Of a larger fleet, as many as have been there at a time: all of them may die at once,
-/// and who is dead counts where a part of a zone looks whether it is the larger one.
+/// The minimum number of dead members that the table can retain. A larger fleet retains as many as were ever present
+/// at once: all of them may die together, and the dead members are needed to decide whether one part of a split zone
+/// is the majority.
 const MIN_DEAD_RETAINED: usize = 256;
 
-/// What is known of another instance.
+/// What this instance knows about another one.
 #[derive(Debug, Clone)]
 pub(crate) struct MemberEntry {
     pub(crate) member: Member,
-    /// The member's hash for rendezvous.
+    /// The member's hash for rendezvous hashing.
     pub(crate) key: u64,
-    /// What of this instance's own record the member has surely seen.
+    /// The refutation and state of this instance that the member has acknowledged.
     pub(crate) acked_status: Option<(u32, MemberState)>,
-    /// Since when it is dead.
+    /// When the member was declared dead.
     pub(crate) dead_since: Option<Time>,
-    /// It announced a planned stop, so it won't come back.
+    /// Whether it announced a planned stop, after which this incarnation does not return.
     pub(crate) announced_stop: bool,
-    /// The platform's list says that it is leaving.
+    /// Whether the platform's list reports it as leaving.
     pub(crate) listed_leaving: bool,
-    /// The configuration document that it told of last.
+    /// The configuration document that it last reported.
     pub(crate) document: Option<(Revision, Digest)>,
 }
 
@@ -49,38 +50,41 @@
         }
     }
 
-    /// Whether it is to be probed in turn.
+    /// Whether the member is not dead, and so takes part in the probe rounds.
     pub(crate) fn is_present(&self) -> bool {
         self.member.state != MemberState::Dead
     }
 }
 
-/// Whether a member in this state can be home of a service.
+/// Whether a member in this state can be the home of a service.
 pub(crate) fn is_eligible_home(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
-/// What a report about a member changes.
+/// The effect of a report about a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Nothing: it is old, or known already.
+    /// No change: the report is outdated or already known.
     None,
-    /// The member is new, or a new incarnation of its name.
+    /// The member is new, or this is a new incarnation of its name.
     New,
-    /// The report replaces what is known.
+    /// The report replaces the existing entry.
     Update,
-    /// The member is taken for dead elsewhere, but not here: it is to refute soon.
+    /// The member is reported dead but is alive or suspected in this view: it becomes a suspect with a short
+    /// deadline.
     ReportedDead,
 }
 
-/// Weighs a report against what is known of the same name.
+/// Compares a report with the existing entry of the same name.
 ///
-/// A higher refutation beats every report with a lower one, `Dead` included: a process that was frozen past every
-/// timeout, or cut off, may come back in the same incarnation. Nothing unsafe follows, since who may run a request is
-/// decided by tokens and ledgers and never by views.
+/// A report with a higher refutation number takes precedence over every one with a lower number, including `Dead`: a
+/// process that was frozen for longer than every timeout, or was partitioned, may return in the same incarnation.
+/// This is safe because tokens and ledgers, not views, decide who may run a request.
 ///
-/// A report of `Dead` makes a member that is not dead here a suspect with little time, and no more. So no instance
-/// loses a member by hearsay alone, and when a partition heals, the views of the other side don't take down this one.
+/// A report of `Dead` only makes a member that is alive or suspected here a suspect with a short deadline; it is
+/// accepted as it is for a leaving member. So an instance never removes a member that has not announced its stop on
+/// another's report alone, and when a partition heals, the views of the other side do not remove the members of this
+/// one.
 pub(crate) fn compare_report(entry: Option<&MemberEntry>, report: &Member) -> Change {
     let Some(entry) = entry else {
         return Change::New;
@@ -112,10 +116,10 @@
 pub(crate) struct Table {
     entries: BTreeMap<InstanceName, MemberEntry>,
     present: usize,
-    /// The most that were present at a time.
+    /// The highest number of members that were present at once.
     most_present: usize,
     dead: usize,
-    /// A hash over those that are not dead.
+    /// A hash over the members that are not dead.
     pub(crate) view: u64,
 }
 
@@ -124,7 +128,7 @@
         self.entries.get(name)
     }
 
-    /// The member with this name, if it is known in just this incarnation.
+    /// The entry of this name, if it has exactly this incarnation.
     pub(crate) fn get_incarnation(&self, name: &InstanceName, incarnation: Incarnation) -> Option<&MemberEntry> {
         self.get(name).filter(|entry| entry.member.incarnation == incarnation)
     }
@@ -143,7 +147,7 @@
         self.present
     }
 
-    /// Replaces what is known of a name, and tells what was known before.
+    /// Inserts or replaces the entry of a name and returns the previous one.
     pub(crate) fn put(&mut self, entry: MemberEntry) -> Option<MemberEntry> {
         self.count(&entry, true);
         let old = self.entries.insert(entry.member.name.clone(), entry);
@@ -157,14 +161,14 @@
         old
     }
 
-    /// Notes what a member has surely seen of this instance's own record.
+    /// Records which refutation and state of this instance a member has acknowledged.
     pub(crate) fn set_acked_status(&mut self, name: &InstanceName, acked_status: (u32, MemberState)) {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.acked_status = Some(acked_status);
         }
     }
 
-    /// Notes the configuration document that an incarnation tells of.
+    /// Records the configuration document that an incarnation reports.
     pub(crate) fn set_document(&mut self, name: &InstanceName, incarnation: Incarnation, held: (Revision, Digest)) {
         let entry = self.entries.get_mut(name);
         if let Some(entry) = entry.filter(|entry| entry.member.incarnation == incarnation) {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Notes that the platform's list says that an incarnation is leaving.
+    /// Records that the platform's list reports an incarnation as leaving.
     pub(crate) fn set_listed_leaving(&mut self, name: &InstanceName, incarnation: Incarnation) {
         let entry = self.entries.get_mut(name);
         if let Some(entry) = entry.filter(|entry| entry.member.incarnation == incarnation) {
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Forgets members that died before this time.
+    /// Removes members that were declared dead at or before this time.
     pub(crate) fn forget_dead_before(&mut self, time: Time) {
         if self.dead == 0 {
             return;
@@ -190,7 +194,8 @@
         self.dead = self.iter().filter(|entry| !entry.is_present()).count();
     }
 
-    /// Forgets the dead member that was born first. Every instance sees births alike, but not the times of deaths.
+    /// Removes the dead member with the lowest incarnation. All instances agree on incarnations, but not on when a
+    /// member was declared dead.
     fn forget_oldest(&mut self) {
         let dead = self.iter().filter(|entry| !entry.is_present());
         let oldest = dead.min_by_key(|entry| (entry.member.incarnation, entry.member.name.clone()));
@@ -211,7 +216,7 @@
     }
 }
 
-/// What two instances must agree on about a member: its incarnation, and whether it is leaving.
+/// A hash of what two instances must agree on about a member: its incarnation, and whether it is leaving.
 pub(crate) fn member_hash(member: &Member) -> u64 {
     let leaving = member.state == MemberState::Leaving;
     hash(format!("member {} {} {leaving}", member.name, member.incarnation).as_bytes())
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -1,29 +1,30 @@
-//! How often and how patiently members look after one another.
+//! Intervals, timeouts and fan-out of the membership protocol.
 
 use std::time::Duration;
 
-/// How often and how patiently members look after one another, and whom they tell.
+/// Intervals, timeouts and fan-out of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two probes that a member starts.
     pub probe_every: Duration,
-    /// How long an answer may take before helpers are asked; helpers get twice that.
+    /// How long to wait for an answer before indirect probes are requested; these get twice as long.
     pub probe_timeout: Duration,
-    /// How long a suspect has to refute in a fleet of up to ten; this grows with the logarithm of the fleet's size.
+    /// The suspicion timeout in a fleet of up to ten members. It grows with the logarithm of the fleet's size.
     pub suspect_for: Duration,
-    /// Time between two probes of members that are dead, or on the platform's list only.
+    /// Time between two probes of members that are dead, or known from the platform's list only.
     pub dead_probe_every: Duration,
-    /// How long a dead member is remembered.
+    /// How long a dead member is retained.
     pub dead_keep: Duration,
-    /// Least time between two exchanges of everything known, newcomers apart.
+    /// Minimum time between two full synchronisations, except those with newcomers.
     pub sync_every: Duration,
     /// How many members are asked to probe one that did not answer.
     pub indirect_probers: usize,
-    /// How many members are told at once of what should not wait for a probe.
+    /// How many members are notified directly of urgent updates, which do not wait for a probe.
     pub fanout: usize,
-    /// How many members are told at once of a planned stop and of a hand-over.
+    /// How many members are notified directly of a planned stop or a hand-over.
     pub stop_fanout: usize,
-    /// Whether news of a document go to the own availability zone first, where bytes between zones are dear.
+    /// Whether updates about a configuration document go to the own availability zone first, because traffic between
+    /// zones is expensive.
     pub near_first: bool,
 }
 
@@ -45,15 +46,15 @@
 }
 
 impl Timing {
-    /// How long a suspect in a fleet of `members` has to refute.
+    /// How long a suspect has to refute in a fleet of `members`.
     ///
-    /// News needs a number of rounds that grows with the logarithm of the fleet's size to reach the suspect and to
-    /// come back.
+    /// An update needs a number of rounds that grows with the logarithm of the fleet's size to reach the suspect, and
+    /// the refutation needs as many to return.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let decades = (members.max(10) as f64).log10();
         self.suspect_for.mul_f64(decades)
     }
-    /// How long before its time is up a member in doubt is told so directly.
+    /// How long before the end of the suspicion timeout a suspect is notified directly.
     pub fn refutation_window(&self) -> Duration {
         self.probe_timeout * 2
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! What the view says: members, homes, watchers, standings.
+//! Queries on the view: members, homes, watchers, keepers, and the status of incarnations.
 
 use std::cmp::Ordering;
 use std::cmp::Reverse;
@@ -23,7 +23,7 @@
 use crate::table::MemberEntry;
 use crate::table::is_eligible_home;
 
-/// How many instances of an availability zone watch the platform.
+/// How many instances of each availability zone watch the platform.
 const WATCHERS_PER_ZONE: usize = 2;
 
 impl Membership {
@@ -46,7 +46,8 @@
         Some(&entry.member)
     }
 
-    /// The configuration document that a member told of last. It may hold a newer one by now, and never an older one.
+    /// The configuration document that a member last reported. The member may hold a newer one by now, but never an
+    /// older one.
     pub fn document_of(&self, name: &InstanceName) -> Option<(Revision, Digest)> {
         if name == &self.me.name {
             return self.document;
@@ -54,22 +55,24 @@
         self.table.get(name)?.document
     }
 
-    /// The members that are dead and not yet forgotten.
+    /// The dead members that are still retained.
     pub fn dead(&self) -> impl Iterator<Item = &Member> {
         let dead = self.table.iter().filter(|entry| !entry.is_present());
         dead.map(|entry| &entry.member)
     }
 
-    /// Whether a later incarnation of this instance's own name has been seen. Then nobody reckons with this one.
+    /// Whether a later incarnation of this instance's own name was seen, so that the others no longer take this one
+    /// into account.
     pub fn is_replaced(&self) -> bool {
         self.replaced
     }
 
-    /// The home of a service among the members whose availability zone is in the region.
+    /// The home of a service among the members whose availability zone is in the region, or `None` if no member of
+    /// the region can be a home.
     ///
-    /// This is rendezvous hashing by name, so every instance with the same view names the same home, and a member
-    /// that comes or goes moves only the services that it gains or loses. Suspects count as present, since most of
-    /// them refute. `None` if no member of the region can be a home.
+    /// The home is chosen by rendezvous hashing of names, so every instance with the same view chooses the same one,
+    /// and a member that joins or leaves moves only the services that it gains or loses. Suspects count as present,
+    /// since most of them refute.
     pub fn home(&self, service: &ServiceName, in_region: impl Fn(&ZoneName) -> bool) -> Option<&Member> {
         let subject = hash(service.as_str().as_bytes());
         let candidates = self.candidates().filter(|(_, member)| in_region(&member.zone));
@@ -77,26 +80,27 @@
         ranked.map(|(_, member)| member)
     }
 
-    /// The instances of this one's availability zone that watch the platform: two, or one if there are no more.
+    /// The instances of this availability zone that watch the platform: two, or one if there are no more.
     ///
-    /// An instance that is cut off from its zone counts itself, so the platform is watched whatever the views.
+    /// An instance that is cut off from its zone counts itself, so the platform is watched however the views differ.
     pub fn watchers(&self) -> impl Iterator<Item = &Member> {
         let subject = hash(self.me.zone.as_str().as_bytes());
         let zone = self.candidates().filter(|(_, member)| member.zone == self.me.zone);
         ranked(subject, zone).into_iter().take(WATCHERS_PER_ZONE)
     }
 
-    /// All members that may get work, in an order that differs from one round to the next. Instances with the same view agree
-    /// on it.
+    /// All eligible members, in a pseudo-random order that depends on `round`. Instances with the same view get the
+    /// same order.
     pub fn drawn(&self, round: u64) -> Vec<&Member> {
         ranked(hash(&round.to_le_bytes()), self.candidates())
     }
 
-    /// The one member of an availability zone that keeps something for all, if this instance sees more than half of the zone's
-    /// members alive. Of those that it sees no more, the ones that announced their stop don't count.
+    /// The member of an availability zone that is responsible for a subject, or `None` unless this instance sees the
+    /// majority of the zone's members alive. Dead members count towards the total, except those that announced their
+    /// stop.
     ///
-    /// So no two instances name different keepers while a zone is cut in parts; while members come and go, two may for a moment.
-    /// An instance that has met nobody yet can't tell, and names none.
+    /// So the parts of a split zone never choose different keepers, but two keepers may exist briefly while members
+    /// join and leave. An instance that knows no other member cannot tell, and returns `None`.
     pub fn keeper(&self, subject: u64, zone: &ZoneName) -> Option<&Member> {
         let has_met_others = self.table.present_count() > 0;
         let drawn = self.drawn(subject);
@@ -110,7 +114,7 @@
         able.into_iter().next().filter(|_| sees_most)
     }
 
-    /// In how many availability zones there are members that are not dead.
+    /// The number of availability zones with members that are not dead.
     pub fn zone_count(&self) -> usize {
         let zones: BTreeSet<&ZoneName> = self.members().map(|member| &member.zone).collect();
         zones.len()
@@ -121,10 +125,11 @@
         self.watchers().any(|member| member.name == self.me.name)
     }
 
-    /// The member that the ledgers go to at a planned stop.
+    /// The member that takes over this instance's ledgers at a planned stop.
     ///
-    /// It is alive, and in this availability zone if there is one. Of these it is among the half that started
-    /// last, since at a rolling replacement the older ones stop soon; instances that stop together choose apart.
+    /// It is alive, and in the same availability zone if that has a candidate. It is chosen among the half of the
+    /// candidates that started last, because in a rolling replacement the older ones stop soon. The choice depends on
+    /// the name of this instance, so that instances that stop together spread over the candidates.
     pub fn successor_candidate(&self) -> Option<&Member> {
         let mut able: Vec<&MemberEntry> = self.table.iter().filter(|entry| can_take_ledgers(entry)).collect();
         if able.iter().any(|entry| entry.member.zone == self.me.zone) {
@@ -136,9 +141,9 @@
         ranked.map(|entry| &entry.member)
     }
 
-    /// What is known of an incarnation, as the owner of flows.
+    /// The status of an incarnation, as the owner of flows.
     ///
-    /// A hand-over counts from the moment it is known, also while the instance that handed over still runs.
+    /// A hand-over takes effect as soon as it is known, even while the instance that handed over is still running.
     pub fn standing(&self, name: &InstanceName, incarnation: Incarnation) -> Standing<'_> {
         let id = InstanceId {
             name: name.clone(),
@@ -183,7 +188,7 @@
         }
     }
 
-    /// The members that can be home of a service, each with its hash.
+    /// The members that can be the home of a service, each with its rendezvous key.
     fn candidates(&self) -> impl Iterator<Item = (u64, &Member)> {
         let me = iter::once((self.my_key, &self.me));
         let others = self.table.iter().map(|entry| (entry.key, &entry.member));
@@ -191,7 +196,7 @@
     }
 }
 
-/// Members by how well they suit a subject, best first.
+/// Sorts members by their rendezvous score for a subject, highest first.
 fn ranked<'a>(subject: u64, members: impl Iterator<Item = (u64, &'a Member)>) -> Vec<&'a Member> {
     let mut ranked: Vec<(u64, &Member)> = members.map(|(key, member)| (score(subject, key), member)).collect();
     ranked.sort_by(|a, b| (b.0, &b.1.name).cmp(&(a.0, &a.1.name)));
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -1,6 +1,6 @@
-//! Long runs with random faults, and long runs with none.
+//! Long runs with random faults, and long runs without any.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 mod support;
 
 use std::time::Duration;
@@ -23,7 +23,7 @@
         fleet.run(Duration::from_millis(rng.random_range(0..4_000)));
     }
     heal(&mut fleet, count);
-    // A dead member is looked for every few seconds, so views heal within a time that grows with their number.
+    // Dead members are probed every few seconds, so the time that views take to converge grows with their number.
     fleet.run(Duration::from_mins(1));
     assert!(fleet.is_converged(), "{count} members, seed {seed}: views differ");
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Ends all faults. Members that stand alone get a hint, as the platform's list gives it.
+/// Ends all faults and gives each member a hint, as the platform's list does.
 fn heal(fleet: &mut Fleet, count: usize) {
     fleet.cut(&[]);
     fleet.loss = 0.0;
--- a/crates/membership/tests/homes.rs
+++ b/crates/membership/tests/homes.rs
@@ -1,6 +1,6 @@
-//! Rendezvous: who is home of what, and what moves when the fleet changes.
+//! Tests the choice of homes and ledger successors, and which services move when the fleet changes.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 mod support;
 
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 const SERVICES: usize = 4_000;
 
 fn service(index: usize) -> ServiceName {
-    format!("s{index}").parse().expect("a name")
+    format!("s{index}").parse().expect("a valid service name")
 }
 
 fn homes(fleet: &Fleet, at: usize) -> Vec<InstanceName> {
@@ -91,11 +91,15 @@
             .successor_candidate()
             .map(|member| member.name.clone())
     };
-    // Of the zone's four others the younger two are 12 and 16.
+    // Of the four other members of the zone, 12 and 16 started last.
     assert!([Some(name(12)), Some(name(16))].contains(&candidate(&fleet, 0)));
     let listed = fleet.incarnation(16);
     fleet.act(0, |membership, _, _| membership.list_leaving(&name(16), listed));
-    assert_ne!(candidate(&fleet, 0), Some(name(16)), "the list says that it is leaving");
+    assert_ne!(
+        candidate(&fleet, 0),
+        Some(name(16)),
+        "the platform's list reports it as leaving"
+    );
     for index in [0, 4, 8, 12] {
         fleet.set(index, Condition::Crashed);
     }
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Whatever other instances say, in any order and with any numbers, some things hold.
+//! Checks the invariants that hold whatever frames other instances send, in any order and with any numbers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -34,14 +34,14 @@
 }
 
 fn name(rng: &mut SmallRng) -> InstanceName {
-    pick(rng, &NAMES).parse().expect("a name")
+    pick(rng, &NAMES).parse().expect("a valid name")
 }
 
 fn member(rng: &mut SmallRng) -> Member {
     Member {
         name: name(rng),
         incarnation: Incarnation(pick(rng, &NUMBERS)),
-        zone: "z".parse().expect("a name"),
+        zone: "z".parse().expect("a valid name"),
         address: SocketAddr::from(([10, 0, 0, 1], 7_000)),
         state: pick(rng, &STATES),
         refutation: pick(rng, &REFUTATIONS),
@@ -59,7 +59,7 @@
             to_incarnation: Incarnation(pick(rng, &NUMBERS)),
         }],
         leaving: vec![LeavingUpstream {
-            name: "target".parse().expect("a name"),
+            name: "target".parse().expect("a valid name"),
             incarnation: Incarnation(rng.random_range(0..3)),
         }],
         document: None,
@@ -80,7 +80,7 @@
     let me = Member {
         incarnation: Incarnation(1),
         refutation: 0,
-        name: "me".parse().expect("a name"),
+        name: "me".parse().expect("a valid name"),
         ..member(&mut rng)
     };
     let mut now = Time(1_000_000);
@@ -100,23 +100,23 @@
         assert_ne!(membership.me().state, MemberState::Dead, "seed {seed}");
         assert!(
             membership.me().refutation >= refutation,
-            "seed {seed}: a refutation decreased"
+            "seed {seed}: the refutation number decreased"
         );
         refutation = membership.me().refutation;
         let names: Vec<&InstanceName> = membership.members().map(|member| &member.name).collect();
         let distinct: BTreeSet<&InstanceName> = names.iter().copied().collect();
-        assert_eq!(names.len(), distinct.len(), "seed {seed}: a name stands twice");
-        let target = "target".parse().expect("a name");
+        assert_eq!(names.len(), distinct.len(), "seed {seed}: a name is listed twice");
+        let target = "target".parse().expect("a valid name");
         let count = (0..3)
             .filter(|n| membership.is_leaving(&target, Incarnation(*n)))
             .count();
-        assert!(count >= marked, "seed {seed}: a mark was taken back");
+        assert!(count >= marked, "seed {seed}: a leaving mark was withdrawn");
         marked = count;
     }
-    // The records lead in circles and to unknown lives by now, and every chain still ends.
+    // By now the records form cycles and lead to unknown incarnations, and following each chain must still end.
     for name in NAMES {
         for number in NUMBERS {
-            let name = name.parse().expect("a name");
+            let name = name.parse().expect("a valid name");
             membership.standing(&name, Incarnation(number));
         }
     }
--- a/crates/membership/tests/keepers.rs
+++ b/crates/membership/tests/keepers.rs
@@ -1,6 +1,7 @@
-//! However views differ, few instances at a time take themselves for the keeper of one thing, as each may send it something.
+//! Checks that only a few instances at a time take themselves for the keeper of one subject, however their views
+//! differ, since each keeper may send traffic for its subject.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 mod support;
 
 use std::collections::BTreeMap;
@@ -17,19 +18,20 @@
 const ZONES: usize = 3;
 const SUBJECTS: u64 = 8;
 const SEEDS: [usize; 3] = [0, 1, 2];
-/// How long an instance keeps nothing after its start.
+/// How long after its start an instance acts as no keeper.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(100);
-/// How many may keep one thing at a time. Each sends half of what a cold upstream is said to bear, and one more in a second for where it
-/// begins; what is told may be exceeded by half and by five in a second, so three are within it whatever is told.
+/// The maximum number of keepers of one subject at a time. Each sends half of the rate that a cold upstream is
+/// declared to bear, plus up to one request per second because of where a second begins. The declared rate may be
+/// exceeded by half plus five requests per second, so three keepers stay within it for any declared rate.
 const MAX_KEEPERS: usize = 3;
 
-/// A fleet whose instances are disturbed, and when each of them started.
+/// A fleet with injected faults, and the time at which each instance last started.
 struct Run {
     fleet: Fleet,
     started: BTreeMap<usize, Time>,
     rng: StdRng,
-    /// How often one instance at least kept a subject, over all subjects and steps.
+    /// The number of checks that found at least one keeper, over all subjects and steps.
     checks_with_keeper: usize,
     checks: usize,
 }
@@ -54,7 +56,7 @@
         self.started.len()
     }
 
-    /// Lets time pass, and looks each tenth of a second who keeps what.
+    /// Lets time pass, and checks the keepers every tenth of a second.
     fn run_checked(&mut self, span: Duration) {
         let end = self.fleet.now + span;
         while self.fleet.now < end {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Whoever knows nobody asks the first three.
+    /// Introduces each instance that knows no other to the first three.
     fn introduce_isolated(&mut self) {
         for index in 0..self.count() {
             let process = &self.fleet.processes[&name(index)];
@@ -90,7 +92,10 @@
                     && keeper.is_some_and(|keeper| keeper.name == name(*index))
             };
             let keepers: Vec<usize> = (0..self.count()).filter(is_keeper).collect();
-            assert!(keepers.len() <= MAX_KEEPERS, "{subject} is kept by {keepers:?}");
+            assert!(
+                keepers.len() <= MAX_KEEPERS,
+                "subject {subject} has too many keepers: {keepers:?}"
+            );
             self.checks += 1;
             self.checks_with_keeper += usize::from(!keepers.is_empty());
         }
@@ -141,7 +146,7 @@
     }
 }
 
-/// Whatever happens, few keep one thing; and where nothing happens, each is kept.
+/// Under faults, each subject has at most three keepers; once the fleet has settled, each has at least one.
 fn check(count: usize, steps: usize, seed: u64) {
     let mut run = Run::new(count, seed);
     for _ in 0..steps {
@@ -155,7 +160,10 @@
     run.run_checked(Duration::from_mins(1));
     (run.checks_with_keeper, run.checks) = (0, 0);
     run.run_checked(Duration::from_secs(10));
-    assert_eq!(run.checks_with_keeper, run.checks, "in calm, each thing is kept");
+    assert_eq!(
+        run.checks_with_keeper, run.checks,
+        "without faults, each subject has a keeper"
+    );
 }
 
 #[test]
--- a/crates/membership/tests/newcomers.rs
+++ b/crates/membership/tests/newcomers.rs
@@ -1,4 +1,5 @@
-//! What a fleet that starts at once costs whoever is asked first, and how soon newcomers know of others.
+//! Checks what the start of a whole fleet costs the instance that is contacted first, and how soon newcomers learn of
+//! others.
 
 use std::net::SocketAddr;
 
@@ -28,7 +29,7 @@
     Membership::new(member(number), Timing::default(), u64::from(number), NOW)
 }
 
-/// What the seed answers a newcomer that introduces itself: the members of each frame.
+/// The answer of the seed to a newcomer that introduces itself: the members in each frame.
 fn answer(seed: &mut Membership, newcomer: u16) -> Vec<Vec<Member>> {
     let me = member(newcomer);
     let frame = Frame::News(membership(newcomer).introduction());
@@ -45,32 +46,36 @@
     frames.collect()
 }
 
-/// A newcomer is told at once whom there is to know, also at the first word that it says.
+/// A newcomer learns the known members from the answer to its first frame.
 #[test]
 fn a_newcomer_is_told_of_others_at_once() {
     let mut seed = membership(1);
     for newcomer in 2..60 {
         let told = answer(&mut seed, newcomer).concat();
         for known in 1..newcomer {
-            assert!(told.contains(&member(known)), "{newcomer} is not told of {known}");
+            assert!(
+                told.contains(&member(known)),
+                "newcomer {newcomer} did not learn of member {known}"
+            );
         }
     }
 }
 
-/// In a fleet of thousands that starts at once, each newcomer costs the seed one frame of 64 members, about 4 kB. All members to
-/// each would be 350 MB for 2,400.
+/// In a fleet of thousands that starts at once, each newcomer costs the seed one frame of 64 members, about 4 kB.
+/// Sending all members to each newcomer would take 350 MB for 2,400 members.
 #[test]
 fn a_newcomer_costs_one_frame_however_large_the_fleet_is() {
     let mut seed = membership(1);
     for newcomer in 2..1_000 {
         let told = answer(&mut seed, newcomer);
-        assert_eq!(told.len(), 1, "{newcomer}");
+        assert_eq!(told.len(), 1, "newcomer {newcomer}");
         assert!(told[0].len() <= 64);
         assert!(told[0].contains(&member(1)));
     }
 }
 
-/// Of many news, as when a fleet starts, more ride on each answer to a probe, and never more than fit a packet.
+/// When many updates are queued, as when a fleet starts, more of them are piggybacked on each answer to a probe, but
+/// never more than fit a packet.
 #[test]
 fn many_news_travel_with_each_probe_but_fit_a_packet() {
     let mut seed = membership(1);
--- a/crates/membership/tests/scenarios.rs
+++ b/crates/membership/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Scripted scenarios, in the files under `scenarios`.
+//! Runs the scripted scenarios in the files under `scenarios`.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 mod support;
 
 use std::collections::BTreeMap;
@@ -24,14 +24,14 @@
     datadriven::walk("tests/scenarios", |file| {
         let mut fleet = Fleet::new(1, 0);
         file.run(|case| {
-            assert_eq!(case.directive, "do", "the one directive");
+            assert_eq!(case.directive, "do", "`do` is the only directive");
             let lines = case.input.lines().map(Line::from);
             lines.map(|line| step(&mut fleet, &line)).collect::<String>()
         });
     });
 }
 
-/// One line of a script: a verb, then `key=1` or `key=1,2`.
+/// One line of a script: a verb, then arguments of the form `key=1` or `key=1,2`.
 struct Line<'a> {
     verb: &'a str,
     args: BTreeMap<&'a str, Vec<usize>>,
@@ -40,11 +40,13 @@
 impl<'a> From<&'a str> for Line<'a> {
     fn from(text: &'a str) -> Self {
         let mut words = text.split_whitespace();
-        let verb = words.next().expect("a verb");
+        let verb = words.next().expect("the line starts with a verb");
         let mut args = BTreeMap::new();
         for word in words {
-            let (key, values) = word.split_once('=').expect("key=value");
-            let values = values.split(',').map(|value| value.parse().expect("a number"));
+            let (key, values) = word.split_once('=').expect("an argument has the form key=value");
+            let values = values
+                .split(',')
+                .map(|value| value.parse().expect("an argument value is a number"));
             args.insert(key, values.collect());
         }
         Self { verb, args }
@@ -90,7 +92,7 @@
         "marked" => return marked(fleet, line),
         "watchers" => return watchers(fleet, line),
         "false-deaths" => return format!("false deaths: {}\n", fleet.false_deaths),
-        other => panic!("no such verb: {other}"),
+        other => panic!("unknown verb: {other}"),
     }
     String::new()
 }
@@ -116,7 +118,7 @@
 
 fn mark(fleet: &mut Fleet, line: &Line<'_>) {
     let mark = LeavingUpstream {
-        name: "target".parse().expect("a name"),
+        name: "target".parse().expect("a valid name"),
         incarnation: Incarnation(number(line, "incarnation", 0) as u64),
     };
     let at = number(line, "at", 0);
@@ -125,7 +127,7 @@
     });
 }
 
-/// Puts a document in force at one instance. Each that sees it fetches it.
+/// Publishes a document at one instance. Each instance that learns of it fetches it.
 fn document(fleet: &mut Fleet, line: &Line<'_>) {
     let revision = Revision(number(line, "revision", 0) as u64);
     let digest = Digest::of(&revision.0.to_le_bytes());
@@ -172,17 +174,17 @@
         } else {
             writeln!(text, "{} see {}", by.join(" "), seen.join(" "))
         };
-        line.expect("a string takes text");
+        line.expect("writing to a string cannot fail");
     }
     text
 }
 
-/// Counts what an instance has learned since it was last asked.
+/// Counts the changes that an instance has reported since the last call.
 fn outputs(fleet: &mut Fleet, line: &Line<'_>) -> String {
     let process = fleet
         .processes
         .get_mut(&name(number(line, "at", 0)))
-        .expect("a process");
+        .expect("the process exists");
     let mut lines: BTreeMap<String, usize> = BTreeMap::new();
     for (_, output) in process.outputs.drain(..) {
         let line = match output {
@@ -198,7 +200,7 @@
     }
     let mut text = String::new();
     for (line, count) in lines {
-        writeln!(text, "{line} x{count}").expect("a string takes text");
+        writeln!(text, "{line} x{count}").expect("writing to a string cannot fail");
     }
     text
 }
@@ -222,7 +224,7 @@
 
 /// Counts the running instances that hold a mark for an incarnation.
 fn marked(fleet: &Fleet, line: &Line<'_>) -> String {
-    let upstream = "target".parse().expect("a name");
+    let upstream = "target".parse().expect("a valid name");
     let incarnation = Incarnation(number(line, "incarnation", 0) as u64);
     let running = fleet
         .processes
--- a/crates/membership/tests/size.rs
+++ b/crates/membership/tests/size.rs
@@ -1,4 +1,5 @@
-//! What a member remembers follows the fleet, and what strangers make up does not.
+//! Checks that the number of retained dead members follows the size of the fleet, and that invented members cannot
+//! raise it.
 
 use std::net::SocketAddr;
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// Tells a member of others in this state.
+/// Sends a member reports of others in this state.
 fn tell(to: &mut Membership, indices: impl Iterator<Item = usize>, state: MemberState) {
     let gossip = Gossip {
         members: indices.map(|index| member(index, state)).collect(),
@@ -58,7 +59,7 @@
     membership
 }
 
-/// More than half of a fleet goes at once: all who went are remembered.
+/// More than half of a fleet stops at once: all of these members are retained.
 #[test]
 fn all_who_died_at_once_are_remembered_in_a_large_fleet() {
     for count in [985, 2_400] {
@@ -66,7 +67,7 @@
         let dead = || (2..count).filter(|index| index % 20 < 11);
         tell(&mut membership, dead(), MemberState::Leaving);
         tell(&mut membership, dead(), MemberState::Dead);
-        assert_eq!(membership.dead().count(), dead().count(), "of {count}");
+        assert_eq!(membership.dead().count(), dead().count(), "fleet of {count}");
     }
 }
 
@@ -77,7 +78,7 @@
     assert!(membership.dead().count() <= 256);
 }
 
-/// Where news of a document go at once.
+/// The zones of the members that are notified directly of a new document.
 fn notified_zones(membership: &mut Membership) -> Vec<String> {
     let mut out = Vec::new();
     membership.set_document(Revision(7), Digest::of(b"new"), NOW, &mut out);
@@ -88,7 +89,7 @@
     told.map(|member| member.zone.to_string()).collect()
 }
 
-/// Bytes between zones are dear, and one of another zone is enough to tell it.
+/// Traffic between zones is expensive, and notifying one member of another zone is enough.
 #[test]
 fn news_of_a_document_go_to_the_own_zone_and_to_one_member_elsewhere() {
     let zones = notified_zones(&mut member_of(985));
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time, whose members exchange frames in memory: with loss, partitions, crashes and freezes.
+//! Simulates a fleet in virtual time. Its members exchange frames in memory, with message loss, partitions, crashes
+//! and frozen processes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,10 +26,10 @@
 const TICK: Duration = Duration::from_millis(50);
 /// How long it takes to fetch a document from a member.
 const FETCH: Duration = Duration::from_millis(3);
-/// When a fleet starts, in microseconds.
+/// The virtual time at which a fleet starts, in microseconds.
 const START: u64 = 1_000_000;
 
-/// What happens to a process.
+/// The condition of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     Running,
@@ -36,7 +37,6 @@
     Crashed,
 }
 
-/// One process.
 #[derive(Debug)]
 pub struct Process {
     pub membership: Membership,
@@ -44,7 +44,7 @@
     pub outputs: Vec<(Time, Output)>,
     pub sent_bytes: u64,
     pub sent_frames: u64,
-    /// Bytes that went to other availability zones, of those sent.
+    /// The part of `sent_bytes` that went to other availability zones.
     pub cross_zone_bytes: u64,
     inbox: Vec<Delivery>,
 }
@@ -63,7 +63,7 @@
     content: Content,
 }
 
-/// The instances, and the frames between them.
+/// The simulated instances, and the frames in flight between them.
 #[derive(Debug)]
 pub struct Fleet {
     pub now: Time,
@@ -71,7 +71,7 @@
     pub zones: usize,
     pub loss: f64,
     pub timing: Timing,
-    /// Members that were taken for dead while they ran and could be reached.
+    /// The number of times that a member was declared dead while it was running and reachable.
     pub false_deaths: usize,
     cut: BTreeSet<ZoneName>,
     isolated: BTreeSet<InstanceName>,
@@ -82,7 +82,7 @@
 }
 
 pub fn name(index: usize) -> InstanceName {
-    format!("i{index}").parse().expect("a name")
+    format!("i{index}").parse().expect("a valid name")
 }
 
 pub fn address(index: usize) -> SocketAddr {
@@ -112,10 +112,10 @@
     }
 
     pub fn zone(&self, index: usize) -> ZoneName {
-        format!("z{}", index % self.zones).parse().expect("a zone")
+        format!("z{}", index % self.zones).parse().expect("a valid zone name")
     }
 
-    /// Starts a process, or starts it anew, with hints to these others.
+    /// Starts or restarts a process, with hints to these others.
     pub fn start(&mut self, index: usize, hints: &[usize]) {
         let me = Member {
             name: name(index),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// An instance tells another, of which it knows the address only, that it is there.
+    /// Sends an introduction from an instance to another one of which it knows only the address.
     pub fn introduce(&mut self, index: usize, to: usize) {
         let membership = self.membership(index);
         let frame = Frame::News(membership.introduction());
@@ -164,7 +164,7 @@
     }
 
     pub fn set(&mut self, index: usize, condition: Condition) {
-        let process = self.processes.get_mut(&name(index)).expect("a process");
+        let process = self.processes.get_mut(&name(index)).expect("the process exists");
         process.condition = condition;
         if condition != Condition::Running {
             return;
@@ -174,12 +174,12 @@
         }
     }
 
-    /// Cuts these zones off from all others, each by itself.
+    /// Cuts each of these zones off from all other zones.
     pub fn cut(&mut self, zones: &[usize]) {
         self.cut = zones.iter().map(|zone| self.zone(*zone)).collect();
     }
 
-    /// Cuts these instances off from all others, each by itself.
+    /// Cuts each of these instances off from all other instances.
     pub fn isolate(&mut self, indices: &[usize]) {
         self.isolated = indices.iter().map(|index| name(*index)).collect();
     }
@@ -192,16 +192,16 @@
         self.membership(index).me().incarnation
     }
 
-    /// Does something to an instance, and sends what comes of it.
+    /// Applies an action to an instance, and carries out the resulting outputs.
     pub fn act(&mut self, index: usize, action: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
         let mut out = Vec::new();
         let now = self.now;
-        let process = self.processes.get_mut(&name(index)).expect("a process");
+        let process = self.processes.get_mut(&name(index)).expect("the process exists");
         action(&mut process.membership, now, &mut out);
         self.carry_out(&name(index), out);
     }
 
-    /// Whether each running process sees just the running ones, in their present incarnations.
+    /// Whether each running process sees exactly the running ones, in their current incarnations.
     pub fn is_converged(&self) -> bool {
         let running = || {
             self.processes
@@ -240,7 +240,7 @@
         let names: Vec<InstanceName> = self.processes.iter().filter_map(running).collect();
         for name in names {
             let mut out = Vec::new();
-            let process = self.processes.get_mut(&name).expect("a process");
+            let process = self.processes.get_mut(&name).expect("the process exists");
             process.membership.tick(self.now, &mut out);
             self.carry_out(&name, out);
         }
@@ -268,7 +268,7 @@
         self.carry_out(&delivery.to, out);
     }
 
-    /// A frame for a process that is gone: its sender finds the session lost.
+    /// Handles a frame for a process that has ended: the sender's session is lost.
     fn reject(&mut self, delivery: &Delivery) {
         if !matches!(delivery.content, Content::Frame(..)) {
             return;
@@ -289,7 +289,7 @@
             };
             let zone = |name| self.processes.get(name).map(|process| &process.membership.me().zone);
             let crosses_zone = zone(from) != zone(&to);
-            let process = self.processes.get_mut(from).expect("a process");
+            let process = self.processes.get_mut(from).expect("the process exists");
             let bytes = wire::encode_frame(&frame).len() as u64;
             process.sent_bytes += bytes;
             process.cross_zone_bytes += if crosses_zone { bytes } else { 0 };
@@ -321,7 +321,7 @@
             self.in_flight.insert((self.now + FETCH, self.serial), fetched);
         }
         let now = self.now;
-        let process = self.processes.get_mut(at).expect("a process");
+        let process = self.processes.get_mut(at).expect("the process exists");
         process.outputs.push((now, output));
     }
 
