--- a/crates/membership/examples/start.rs
+++ b/crates/membership/examples/start.rs
@@ -86,7 +86,7 @@
         .filter(|process| process.condition == Condition::Running);
     let known: Vec<usize> = running.map(|process| process.membership.members().count()).collect();
     let sent: u64 = fleet.processes.values().map(|process| process.sent_bytes).sum();
-    let far: u64 = fleet.processes.values().map(|process| process.cross_zone_bytes).sum();
+    let cross_zone: u64 = fleet.processes.values().map(|process| process.cross_zone_bytes).sum();
     let busiest = fleet
         .processes
         .values()
@@ -99,8 +99,8 @@
         known.iter().min().unwrap_or(&0),
         known.iter().sum::<usize>() as f64 / known.len().max(1) as f64,
         each(sent),
-        each(far),
+        each(cross_zone),
         busiest as f64 / seconds,
-        far as f64 / 1e6,
+        cross_zone as f64 / 1e6,
     );
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -72,7 +72,7 @@
     /// the members that it knows.
     pub fn introduction(&self) -> Gossip {
         Gossip {
-            view: self.view(),
+            view: self.view_hash(),
             members: vec![self.me.clone()],
             document: self.document,
             ..Gossip::default()
@@ -178,7 +178,7 @@
     /// An instance that was absent from the view gets a sample of the members at once. For others, a difference
     /// usually means that updates are still on their way. So they are sent the full state only when neither side has
     /// updates left to send, or when so many are queued that a full synchronisation is cheaper, as when many
-    /// instances start together. The full state is also rate-limited by [`sync_every`](crate::Timing::sync_every).
+    /// instances start together. The full state is also rate-limited by [`sync_interval`](crate::Timing::sync_interval).
     pub(crate) fn compare_views(
         &mut self,
         from: &InstanceId,
@@ -186,7 +186,7 @@
         gossip: &Gossip,
         out: &mut Vec<Output>,
     ) {
-        if gossip.view == 0 || gossip.view == self.view() {
+        if gossip.view == 0 || gossip.view == self.view_hash() {
             return;
         }
         let Some(entry) = self.table.get_incarnation(&from.name, from.incarnation) else {
@@ -196,12 +196,12 @@
         let has_no_updates = gossip.members.is_empty() && gossip.successors.is_empty() && gossip.leaving.is_empty();
         let quiet = has_no_updates && self.broadcasts.is_empty();
         let backlogged = self.broadcasts.len() > FULL_SYNC_BACKLOG;
-        let due = (was_absent || quiet || backlogged) && self.now >= self.next_sync;
+        let due = (was_absent || quiet || backlogged) && self.now >= self.next_sync_at;
         if !newcomer && !due {
             return;
         }
         let member = entry.member.clone();
-        self.next_sync = self.now + self.timing.sync_every;
+        self.next_sync_at = self.now + self.timing.sync_interval;
         if newcomer {
             return self.send_member_sample(&member, out);
         }
@@ -253,9 +253,9 @@
     }
 
     /// The hash over everything that instances should agree on. It is never zero.
-    fn view(&self) -> u64 {
-        let members = self.table.view ^ member_hash(&self.me);
-        (members ^ self.successors.view ^ self.leaving_upstreams.view).max(1)
+    fn view_hash(&self) -> u64 {
+        let members = self.table.view_hash ^ member_hash(&self.me);
+        (members ^ self.successors.view_hash ^ self.leaving_upstreams.view_hash).max(1)
     }
 }
 
--- a/crates/membership/src/grow_only.rs
+++ b/crates/membership/src/grow_only.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Successors {
     records: BTreeMap<InstanceId, InstanceId>,
-    pub(crate) view: u64,
+    pub(crate) view_hash: u64,
 }
 
 impl Successors {
@@ -61,9 +61,9 @@
             return false;
         }
         if let Some(held) = held {
-            self.view ^= record_hash(&from, held);
+            self.view_hash ^= record_hash(&from, held);
         }
-        self.view ^= record_hash(&from, &to);
+        self.view_hash ^= record_hash(&from, &to);
         self.records.insert(from.clone(), to);
         self.enforce_limit();
         self.records.contains_key(&from)
@@ -76,7 +76,7 @@
         let age = |(from, to): &(&InstanceId, &InstanceId)| (from.incarnation.max(to.incarnation), (*from).clone());
         let oldest = self.records.iter().min_by_key(age).map(|(from, _)| from.clone());
         if let Some((from, to)) = oldest.and_then(|from| self.records.remove_entry(&from)) {
-            self.view ^= record_hash(&from, &to);
+            self.view_hash ^= record_hash(&from, &to);
         }
     }
 
@@ -125,7 +125,7 @@
 #[derive(Debug, Default, Clone)]
 pub(crate) struct LeavingUpstreams {
     highest: BTreeMap<UpstreamName, Incarnation>,
-    pub(crate) view: u64,
+    pub(crate) view_hash: u64,
 }
 
 impl LeavingUpstreams {
@@ -136,9 +136,9 @@
             return false;
         }
         if let Some(held) = held {
-            self.view ^= leaving_hash(&mark.name, held);
+            self.view_hash ^= leaving_hash(&mark.name, held);
         }
-        self.view ^= leaving_hash(&mark.name, mark.incarnation);
+        self.view_hash ^= leaving_hash(&mark.name, mark.incarnation);
         self.highest.insert(mark.name.clone(), mark.incarnation);
         self.enforce_limit();
         self.is_leaving(&mark.name, mark.incarnation)
@@ -151,7 +151,7 @@
         let age = |(name, incarnation): &(&UpstreamName, &Incarnation)| (**incarnation, (*name).clone());
         let oldest = self.highest.iter().min_by_key(age).map(|(name, _)| name.clone());
         if let Some((name, incarnation)) = oldest.and_then(|name| self.highest.remove_entry(&name)) {
-            self.view ^= leaving_hash(&name, incarnation);
+            self.view_hash ^= leaving_hash(&name, incarnation);
         }
     }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -54,7 +54,7 @@
     pub(crate) probes: Probes,
     pub(crate) seeds: Seeds,
     pub(crate) document: Option<(Revision, Digest)>,
-    pub(crate) next_sync: Time,
+    pub(crate) next_sync_at: Time,
     pub(crate) replaced: bool,
 }
 
@@ -84,7 +84,7 @@
             leaving_upstreams: LeavingUpstreams::default(),
             broadcasts,
             document: None,
-            next_sync: now,
+            next_sync_at: now,
             replaced: false,
         }
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -247,8 +247,8 @@
     /// Asks other members to probe one that did not answer, and returns whether there are any.
     fn request_indirect_probes(&mut self, seq: u64, target: &InstanceId, out: &mut Vec<Output>) -> bool {
         let present = self.table.present().map(|entry| &entry.member);
-        let able = present.filter(|member| member.state == MemberState::Alive && member.name != target.name);
-        let indirect_probers: Vec<&Member> = able.sample(&mut self.rng, self.timing.indirect_probers);
+        let candidates = present.filter(|member| member.state == MemberState::Alive && member.name != target.name);
+        let indirect_probers: Vec<&Member> = candidates.sample(&mut self.rng, self.timing.indirect_probers);
         for prober in &indirect_probers {
             out.push(send(prober, Frame::ProbeFor(seq, target.name.clone())));
         }
--- a/crates/membership/src/seed.rs
+++ b/crates/membership/src/seed.rs
@@ -38,7 +38,7 @@
     /// How many hints may still be probed immediately after the start.
     burst: usize,
     next: Time,
-    next_dead: Time,
+    next_dead_probe: Time,
 }
 
 impl Seeds {
@@ -47,7 +47,7 @@
             hints: BTreeMap::new(),
             burst: timing.fanout,
             next: now + timing.probe_every,
-            next_dead: now + timing.dead_probe_every,
+            next_dead_probe: now + timing.dead_probe_every,
         }
     }
 
@@ -99,18 +99,18 @@
     pub(crate) fn contact_absent(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.seeds.next {
             self.seeds.next = self.now + self.timing.probe_every;
-            let alone = self.table.present_count() == 0;
-            let count = if alone { self.timing.fanout } else { 1 };
-            for name in self.least_tried(count, alone) {
+            let knows_nobody = self.table.present_count() == 0;
+            let count = if knows_nobody { self.timing.fanout } else { 1 };
+            for name in self.least_tried(count, knows_nobody) {
                 self.contact(&name, out);
             }
         }
-        if self.now < self.seeds.next_dead {
+        if self.now < self.seeds.next_dead_probe {
             return;
         }
-        self.seeds.next_dead = self.now + self.timing.dead_probe_every;
-        let kept = self.now.0.saturating_sub(self.timing.dead_keep.as_micros() as u64);
-        self.table.forget_dead_before(Time(kept));
+        self.seeds.next_dead_probe = self.now + self.timing.dead_probe_every;
+        let retained_since = self.now.0.saturating_sub(self.timing.dead_retention.as_micros() as u64);
+        self.table.forget_dead_before(Time(retained_since));
         let dead = self
             .table
             .iter()
@@ -124,9 +124,9 @@
     }
 
     /// The absent hints with the fewest attempts. Unless this instance knows no other member, only those never tried.
-    fn least_tried(&self, count: usize, alone: bool) -> Vec<InstanceName> {
+    fn least_tried(&self, count: usize, knows_nobody: bool) -> Vec<InstanceName> {
         let seeds = self.seeds.hints.iter();
-        let absent = seeds.filter(|(name, seed)| (alone || seed.tries == 0) && self.is_absent(name));
+        let absent = seeds.filter(|(name, seed)| (knows_nobody || seed.tries == 0) && self.is_absent(name));
         let mut ranked: Vec<(&InstanceName, &Seed)> = absent.collect();
         ranked.sort_by_key(|(name, seed)| (seed.tries, seed.zone != self.me.zone, *name));
         ranked.into_iter().take(count).map(|(name, _)| name.clone()).collect()
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -120,7 +120,7 @@
     most_present: usize,
     dead: usize,
     /// A hash over the members that are not dead.
-    pub(crate) view: u64,
+    pub(crate) view_hash: u64,
 }
 
 impl Table {
@@ -206,13 +206,13 @@
     }
 
     fn count(&mut self, entry: &MemberEntry, add: bool) {
-        let (counter, view) = if entry.is_present() {
+        let (counter, hash_change) = if entry.is_present() {
             (&mut self.present, member_hash(&entry.member))
         } else {
             (&mut self.dead, 0)
         };
         *counter = if add { *counter + 1 } else { *counter - 1 };
-        self.view ^= view;
+        self.view_hash ^= hash_change;
     }
 }
 
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -14,9 +14,9 @@
     /// Time between two probes of members that are dead, or known from the platform's list only.
     pub dead_probe_every: Duration,
     /// How long a dead member is retained.
-    pub dead_keep: Duration,
+    pub dead_retention: Duration,
     /// Minimum time between two full synchronisations, except those with newcomers.
-    pub sync_every: Duration,
+    pub sync_interval: Duration,
     /// How many members are asked to probe one that did not answer.
     pub indirect_probers: usize,
     /// How many members are notified directly of urgent updates, which do not wait for a probe.
@@ -35,8 +35,8 @@
             probe_timeout: Duration::from_millis(300),
             suspect_for: Duration::from_millis(1_500),
             dead_probe_every: Duration::from_secs(5),
-            dead_keep: Duration::from_hours(6),
-            sync_every: Duration::from_secs(5),
+            dead_retention: Duration::from_hours(6),
+            sync_interval: Duration::from_secs(5),
             indirect_probers: 3,
             fanout: 3,
             stop_fanout: 64,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -104,14 +104,14 @@
     pub fn keeper(&self, subject: u64, zone: &ZoneName) -> Option<&Member> {
         let has_met_others = self.table.present_count() > 0;
         let drawn = self.drawn(subject);
-        let able: Vec<&Member> = drawn.into_iter().filter(|member| member.zone == *zone).collect();
+        let candidates: Vec<&Member> = drawn.into_iter().filter(|member| member.zone == *zone).collect();
         let lost = self
             .table
             .iter()
             .filter(|entry| !entry.is_present() && !entry.announced_stop);
         let lost = lost.filter(|entry| entry.member.zone == *zone).count();
-        let sees_most = has_met_others && able.len() > lost;
-        able.into_iter().next().filter(|_| sees_most)
+        let sees_most = has_met_others && candidates.len() > lost;
+        candidates.into_iter().next().filter(|_| sees_most)
     }
 
     /// The number of availability zones with members that are not dead.
@@ -131,13 +131,13 @@
     /// candidates that started last, because in a rolling replacement the older ones stop soon. The choice depends on
     /// the name of this instance, so that instances that stop together spread over the candidates.
     pub fn successor_candidate(&self) -> Option<&Member> {
-        let mut able: Vec<&MemberEntry> = self.table.iter().filter(|entry| can_take_ledgers(entry)).collect();
-        if able.iter().any(|entry| entry.member.zone == self.me.zone) {
-            able.retain(|entry| entry.member.zone == self.me.zone);
+        let mut candidates: Vec<&MemberEntry> = self.table.iter().filter(|entry| can_take_ledgers(entry)).collect();
+        if candidates.iter().any(|entry| entry.member.zone == self.me.zone) {
+            candidates.retain(|entry| entry.member.zone == self.me.zone);
         }
-        able.sort_by_key(|entry| Reverse(entry.member.incarnation));
-        able.truncate(able.len().div_ceil(2));
-        let ranked = able.into_iter().max_by_key(|entry| score(self.my_key, entry.key));
+        candidates.sort_by_key(|entry| Reverse(entry.member.incarnation));
+        candidates.truncate(candidates.len().div_ceil(2));
+        let ranked = candidates.into_iter().max_by_key(|entry| score(self.my_key, entry.key));
         ranked.map(|entry| &entry.member)
     }
 
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -14,7 +14,7 @@
 
 const ZONES: usize = 3;
 
-fn check_heals(count: usize, steps: usize, seed: u64) {
+fn check_convergence(count: usize, steps: usize, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = Fleet::new(ZONES, seed);
     fleet.start_all(count, 3);
@@ -64,17 +64,17 @@
 }
 
 #[test]
-fn views_heal_after_any_faults() {
+fn views_converge_after_random_faults() {
     for seed in 0..40 {
-        check_heals(5, 40, seed);
+        check_convergence(5, 40, seed);
     }
     for seed in 0..4 {
-        check_heals(32, 40, seed);
+        check_convergence(32, 40, seed);
     }
 }
 
 #[test]
-fn nobody_dies_without_a_fault() {
+fn no_member_is_declared_dead_without_a_fault() {
     for (count, loss, seconds) in [(9, 0.0, 3_600), (9, 0.05, 3_600), (64, 0.0, 600), (64, 0.05, 300)] {
         let mut fleet = Fleet::new(ZONES, 7);
         fleet.loss = loss;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_pause_of_any_length_is_survived_in_the_same_incarnation() {
+fn an_instance_keeps_its_incarnation_after_a_pause_of_any_length() {
     for seconds in [1, 3, 10, 100] {
         let mut fleet = Fleet::new(ZONES, seconds);
         fleet.start_all(9, 9);
@@ -102,7 +102,7 @@
     }
 }
 
-fn check_heals_without_a_false_death(count: usize, seed: u64) {
+fn check_partition_heals(count: usize, seed: u64) {
     let mut fleet = Fleet::new(ZONES, seed);
     fleet.start_all(count, count);
     fleet.run(Duration::from_secs(20));
@@ -117,9 +117,9 @@
 #[test]
 fn a_partition_heals_without_a_false_death() {
     for seed in 0..60 {
-        check_heals_without_a_false_death(9, seed);
+        check_partition_heals(9, seed);
     }
     for seed in 0..6 {
-        check_heals_without_a_false_death(32, seed);
+        check_partition_heals(32, seed);
     }
 }
--- a/crates/membership/tests/homes.rs
+++ b/crates/membership/tests/homes.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn all_instances_name_the_same_homes_evenly() {
+fn all_instances_choose_the_same_evenly_spread_homes() {
     let fleet = converged_fleet(16);
     let mut shares: BTreeMap<InstanceName, usize> = BTreeMap::new();
     for home in homes(&fleet, 0) {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn ledgers_go_to_a_young_member_of_the_same_zone() {
+fn ledgers_go_to_a_recently_started_member_of_the_same_zone() {
     let mut fleet = converged_fleet(16);
     fleet.start(16, &[0]);
     fleet.run(Duration::from_secs(5));
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn nothing_that_others_say_breaks_a_view() {
+fn invariants_hold_for_arbitrary_frames() {
     for seed in 0..400 {
         check(seed);
     }
--- a/crates/membership/tests/keepers.rs
+++ b/crates/membership/tests/keepers.rs
@@ -27,7 +27,7 @@
 const MAX_KEEPERS: usize = 3;
 
 /// A fleet with injected faults, and the time at which each instance last started.
-struct Run {
+struct KeeperTest {
     fleet: Fleet,
     started: BTreeMap<usize, Time>,
     rng: StdRng,
@@ -36,7 +36,7 @@
     checks: usize,
 }
 
-impl Run {
+impl KeeperTest {
     fn new(count: usize, seed: u64) -> Self {
         let mut fleet = Fleet::new(ZONES, seed);
         fleet.start_all(count, 0);
@@ -119,8 +119,8 @@
                 }
             }
             2 => {
-                let alone = self.random_subset(0.4);
-                self.fleet.isolate(&alone);
+                let isolated = self.random_subset(0.4);
+                self.fleet.isolate(&isolated);
             }
             3 => self.fleet.isolate(&[]),
             4 => {
@@ -148,7 +148,7 @@
 
 /// Under faults, each subject has at most three keepers; once the fleet has settled, each has at least one.
 fn check(count: usize, steps: usize, seed: u64) {
-    let mut run = Run::new(count, seed);
+    let mut run = KeeperTest::new(count, seed);
     for _ in 0..steps {
         run.inject_fault();
         let span = run.rng.random_range(0..4_000);
@@ -167,14 +167,14 @@
 }
 
 #[test]
-fn nine_instances_keep_one_thing_by_three_at_most() {
+fn nine_instances_have_at_most_three_keepers_per_subject() {
     for seed in 0..30 {
         check(9, 40, seed);
     }
 }
 
 #[test]
-fn sixty_seven_instances_keep_one_thing_by_three_at_most() {
+fn sixty_seven_instances_have_at_most_three_keepers_per_subject() {
     for seed in 0..3 {
         check(67, 30, seed);
     }
--- a/crates/membership/tests/newcomers.rs
+++ b/crates/membership/tests/newcomers.rs
@@ -48,13 +48,13 @@
 
 /// A newcomer learns the known members from the answer to its first frame.
 #[test]
-fn a_newcomer_is_told_of_others_at_once() {
+fn a_newcomer_learns_the_known_members_at_once() {
     let mut seed = membership(1);
     for newcomer in 2..60 {
-        let told = answer(&mut seed, newcomer).concat();
+        let listed = answer(&mut seed, newcomer).concat();
         for known in 1..newcomer {
             assert!(
-                told.contains(&member(known)),
+                listed.contains(&member(known)),
                 "newcomer {newcomer} did not learn of member {known}"
             );
         }
@@ -67,17 +67,17 @@
 fn a_newcomer_costs_one_frame_however_large_the_fleet_is() {
     let mut seed = membership(1);
     for newcomer in 2..1_000 {
-        let told = answer(&mut seed, newcomer);
-        assert_eq!(told.len(), 1, "newcomer {newcomer}");
-        assert!(told[0].len() <= 64);
-        assert!(told[0].contains(&member(1)));
+        let listed = answer(&mut seed, newcomer);
+        assert_eq!(listed.len(), 1, "newcomer {newcomer}");
+        assert!(listed[0].len() <= 64);
+        assert!(listed[0].contains(&member(1)));
     }
 }
 
 /// When many updates are queued, as when a fleet starts, more of them are piggybacked on each answer to a probe, but
 /// never more than fit a packet.
 #[test]
-fn many_news_travel_with_each_probe_but_fit_a_packet() {
+fn many_queued_updates_share_a_probe_answer_but_fit_a_packet() {
     let mut seed = membership(1);
     for newcomer in 2..100 {
         answer(&mut seed, newcomer);
@@ -86,12 +86,12 @@
     let probe = Frame::Probe(1, membership(2).introduction());
     let mut out = Vec::new();
     seed.handle(NOW, &prober.name, prober.incarnation, &probe, &mut out);
-    let told = out.into_iter().find_map(|output| match output {
+    let listed = out.into_iter().find_map(|output| match output {
         Output::Send {
             frame: Frame::ProbeAck(_, gossip),
             ..
         } => Some(gossip.members.len()),
         _ => None,
     });
-    assert!(told.is_some_and(|told| (15..=22).contains(&told)), "{told:?}");
+    assert!(listed.is_some_and(|listed| (15..=22).contains(&listed)), "{listed:?}");
 }
--- a/crates/membership/tests/size.rs
+++ b/crates/membership/tests/size.rs
@@ -34,7 +34,7 @@
 }
 
 /// Sends a member reports of others in this state.
-fn tell(to: &mut Membership, indices: impl Iterator<Item = usize>, state: MemberState) {
+fn report_members(to: &mut Membership, indices: impl Iterator<Item = usize>, state: MemberState) {
     let gossip = Gossip {
         members: indices.map(|index| member(index, state)).collect(),
         ..Gossip::default()
@@ -55,26 +55,26 @@
         ..Timing::default()
     };
     let mut membership = Membership::new(member(0, MemberState::Alive), timing, 1, NOW);
-    tell(&mut membership, 1..count, MemberState::Alive);
+    report_members(&mut membership, 1..count, MemberState::Alive);
     membership
 }
 
 /// More than half of a fleet stops at once: all of these members are retained.
 #[test]
-fn all_who_died_at_once_are_remembered_in_a_large_fleet() {
+fn all_members_that_die_at_once_are_retained_in_a_large_fleet() {
     for count in [985, 2_400] {
         let mut membership = member_of(count);
         let dead = || (2..count).filter(|index| index % 20 < 11);
-        tell(&mut membership, dead(), MemberState::Leaving);
-        tell(&mut membership, dead(), MemberState::Dead);
+        report_members(&mut membership, dead(), MemberState::Leaving);
+        report_members(&mut membership, dead(), MemberState::Dead);
         assert_eq!(membership.dead().count(), dead().count(), "fleet of {count}");
     }
 }
 
 #[test]
-fn dead_members_that_nobody_ever_saw_alive_are_forgotten() {
+fn dead_members_that_were_never_seen_alive_are_limited() {
     let mut membership = member_of(9);
-    tell(&mut membership, 100..3_000, MemberState::Dead);
+    report_members(&mut membership, 100..3_000, MemberState::Dead);
     assert!(membership.dead().count() <= 256);
 }
 
@@ -82,23 +82,23 @@
 fn notified_zones(membership: &mut Membership) -> Vec<String> {
     let mut out = Vec::new();
     membership.set_document(Revision(7), Digest::of(b"new"), NOW, &mut out);
-    let told = out.iter().filter_map(|output| match output {
+    let notified = out.iter().filter_map(|output| match output {
         Output::Send { to, .. } => membership.member(to),
         _ => None,
     });
-    told.map(|member| member.zone.to_string()).collect()
+    notified.map(|member| member.zone.to_string()).collect()
 }
 
 /// Traffic between zones is expensive, and notifying one member of another zone is enough.
 #[test]
-fn news_of_a_document_go_to_the_own_zone_and_to_one_member_elsewhere() {
+fn document_updates_go_to_the_own_zone_and_one_member_elsewhere() {
     let zones = notified_zones(&mut member_of(985));
     assert_eq!(zones.len(), 4);
     assert_eq!(zones.iter().filter(|zone| *zone == "z0").count(), 3, "{zones:?}");
 }
 
 #[test]
-fn whoever_is_alone_in_its_zone_tells_as_many_elsewhere() {
+fn a_member_alone_in_its_zone_notifies_as_many_elsewhere() {
     let zones = notified_zones(&mut member_of(5));
     assert_eq!(zones.len(), 3);
     assert!(!zones.contains(&"z0".to_owned()), "{zones:?}");
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -198,7 +198,7 @@
         let now = self.now;
         let process = self.processes.get_mut(&name(index)).expect("the process exists");
         action(&mut process.membership, now, &mut out);
-        self.carry_out(&name(index), out);
+        self.apply_outputs(&name(index), out);
     }
 
     /// Whether each running process sees exactly the running ones, in their current incarnations.
@@ -242,7 +242,7 @@
             let mut out = Vec::new();
             let process = self.processes.get_mut(&name).expect("the process exists");
             process.membership.tick(self.now, &mut out);
-            self.carry_out(&name, out);
+            self.apply_outputs(&name, out);
         }
     }
 
@@ -265,7 +265,7 @@
             Content::Fetched(revision, digest) => membership.set_document(*revision, *digest, now, &mut out),
             Content::Lost => membership.session_lost(now, &delivery.from, &mut out),
         }
-        self.carry_out(&delivery.to, out);
+        self.apply_outputs(&delivery.to, out);
     }
 
     /// Handles a frame for a process that has ended: the sender's session is lost.
@@ -281,7 +281,7 @@
         self.send(answer);
     }
 
-    fn carry_out(&mut self, from: &InstanceName, out: Vec<Output>) {
+    fn apply_outputs(&mut self, from: &InstanceName, out: Vec<Output>) {
         for output in out {
             let Output::Send { to, frame, .. } = output else {
                 self.record_output(from, output);
@@ -306,10 +306,10 @@
 
     fn record_output(&mut self, at: &InstanceName, output: Output) {
         if let Output::Down(member) = &output {
-            let there = self.processes.get(&member.name).is_some_and(|process| {
+            let is_running = self.processes.get(&member.name).is_some_and(|process| {
                 process.condition == Condition::Running && process.membership.me().incarnation == member.incarnation
             });
-            self.false_deaths += usize::from(there && self.is_reachable(at, &member.name));
+            self.false_deaths += usize::from(is_running && self.is_reachable(at, &member.name));
         }
         if let Output::DocumentSeen { revision, digest, .. } = &output {
             self.serial += 1;
