--- a/crates/jayquayd/src/forward/check.rs
+++ b/crates/jayquayd/src/forward/check.rs
@@ -195,7 +195,7 @@
         }
         let round = self.round();
         let members = self.shared.members();
-        let first = members.drawn(round).first().map(|member| &member.name);
+        let first = members.ranked_members(round).first().map(|member| &member.name);
         (first == Some(&members.me().name)).then(|| Question::first(round))
     }
 
@@ -275,7 +275,7 @@
     /// Hands a question on to the next in the round's order.
     fn hand_on(&self, question: Question) {
         let members = self.shared.members();
-        let drawn = members.drawn(question.round);
+        let drawn = members.ranked_members(question.round);
         for rank in question.next() {
             let Some(member) = drawn.get(rank) else {
                 return;
--- a/crates/jayquayd/src/forward/failures.rs
+++ b/crates/jayquayd/src/forward/failures.rs
@@ -26,7 +26,7 @@
     let members = shared.members();
     let own = &members.me().name;
     for report in reports {
-        let drawn = members.drawn(report.upstream.0);
+        let drawn = members.ranked_members(report.upstream.0);
         let zone = of_zone(&drawn, core.zone_of(report.upstream));
         for member in zone.iter().take(AGGREGATORS) {
             if member.name == *own {
--- a/crates/jayquayd/src/forward/gossip.rs
+++ b/crates/jayquayd/src/forward/gossip.rs
@@ -54,11 +54,11 @@
 /// bound for a change to be in force, and costs each instance about two datagrams a second.
 pub(crate) fn timing() -> Timing {
     Timing {
-        probe_every: Duration::from_secs(1),
+        probe_interval: Duration::from_secs(1),
         probe_timeout: Duration::from_millis(300),
-        suspect_for: Duration::from_secs(1),
-        dead_probe_every: Duration::from_secs(3),
-        near_first: true,
+        base_suspicion_timeout: Duration::from_secs(1),
+        dead_probe_interval: Duration::from_secs(3),
+        prefer_own_zone: true,
         ..Timing::default()
     }
 }
--- a/crates/jayquayd/src/forward/summing.rs
+++ b/crates/jayquayd/src/forward/summing.rs
@@ -27,7 +27,7 @@
     upstream: UpstreamId,
     zone: Option<&ZoneName>,
 ) -> Vec<&'a Member> {
-    let drawn = members.drawn(upstream.0);
+    let drawn = members.ranked_members(upstream.0);
     let mut aggregators = of_zone(&drawn, zone);
     aggregators.truncate(AGGREGATORS);
     aggregators
@@ -43,7 +43,7 @@
 
 /// Who may have seen an upstream answer, this instance left out: all of its zone, and some others where these are few.
 pub(crate) fn witnesses<'a>(members: &'a Membership, upstream: UpstreamId, zone: Option<&ZoneName>) -> Vec<&'a Member> {
-    let drawn = members.drawn(upstream.0);
+    let drawn = members.ranked_members(upstream.0);
     let own = &members.me().name;
     let others = drawn.into_iter().filter(|member| member.name != *own);
     let (mut near, far): (Vec<&Member>, Vec<&Member>) = others.partition(|member| Some(&member.zone) == zone);
--- a/crates/jayquayd/tests/check.rs
+++ b/crates/jayquayd/tests/check.rs
@@ -72,7 +72,7 @@
     /// The instances in the order of a round.
     fn drawn(&self, round: u64) -> Vec<usize> {
         let number = |member: &Member| member.name.as_str().trim_start_matches("entry-").parse().unwrap();
-        self.members.drawn(round).into_iter().map(number).collect()
+        self.members.ranked_members(round).into_iter().map(number).collect()
     }
 
     /// Plays a round in which the store serves all but some.
--- a/crates/membership/examples/start.rs
+++ b/crates/membership/examples/start.rs
@@ -27,9 +27,9 @@
 
 fn timing() -> Timing {
     Timing {
-        probe_every: Duration::from_secs(1),
-        suspect_for: Duration::from_secs(1),
-        dead_probe_every: Duration::from_secs(3),
+        probe_interval: Duration::from_secs(1),
+        base_suspicion_timeout: Duration::from_secs(1),
+        dead_probe_interval: Duration::from_secs(3),
         ..Timing::default()
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -198,7 +198,7 @@
             document: self.document,
             ..Gossip::default()
         };
-        if self.timing.near_first {
+        if self.timing.prefer_own_zone {
             return self.send_zone_first(&gossip, out);
         }
         self.send_to_random(self.timing.fanout, &gossip, out);
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -68,7 +68,7 @@
     pub(crate) fn new(timing: &Timing, now: Time, rng: &mut SmallRng) -> Self {
         Self {
             seq: 0,
-            next: now + timing.probe_every.mul_f64(rng.random()),
+            next: now + timing.probe_interval.mul_f64(rng.random()),
             round: Vec::new(),
             pending: BTreeMap::new(),
             relayed: BTreeMap::new(),
@@ -127,9 +127,9 @@
             return;
         }
         // Probes missed during a pause are not made up for.
-        let overdue = self.now.since(self.probes.next) >= self.timing.probe_every;
+        let overdue = self.now.since(self.probes.next) >= self.timing.probe_interval;
         let base = if overdue { self.now } else { self.probes.next };
-        self.probes.next = base + self.timing.probe_every;
+        self.probes.next = base + self.timing.probe_interval;
         if let Some(member) = self.next_target() {
             self.probe(&member, out);
         }
--- a/crates/membership/src/seed.rs
+++ b/crates/membership/src/seed.rs
@@ -46,8 +46,8 @@
         Self {
             hints: BTreeMap::new(),
             burst: timing.fanout,
-            next: now + timing.probe_every,
-            next_dead_probe: now + timing.dead_probe_every,
+            next: now + timing.probe_interval,
+            next_dead_probe: now + timing.dead_probe_interval,
         }
     }
 
@@ -89,7 +89,7 @@
     ///
     /// It is no longer chosen as a ledger successor. Everything else waits until the instance announces its stop
     /// itself.
-    pub fn list_leaving(&mut self, name: &InstanceName, incarnation: Incarnation) {
+    pub fn set_listed_leaving(&mut self, name: &InstanceName, incarnation: Incarnation) {
         self.table.set_listed_leaving(name, incarnation);
     }
 
@@ -98,7 +98,7 @@
     /// So views converge after a partition of any length, whether or not the platform is available.
     pub(crate) fn contact_absent(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.seeds.next {
-            self.seeds.next = self.now + self.timing.probe_every;
+            self.seeds.next = self.now + self.timing.probe_interval;
             let knows_nobody = self.table.present_count() == 0;
             let count = if knows_nobody { self.timing.fanout } else { 1 };
             for name in self.least_tried(count, knows_nobody) {
@@ -108,7 +108,7 @@
         if self.now < self.seeds.next_dead_probe {
             return;
         }
-        self.seeds.next_dead_probe = self.now + self.timing.dead_probe_every;
+        self.seeds.next_dead_probe = self.now + self.timing.dead_probe_interval;
         let retained_since = self.now.0.saturating_sub(self.timing.dead_retention.as_micros() as u64);
         self.table.forget_dead_before(Time(retained_since));
         let dead = self
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -6,13 +6,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two probes that a member starts.
-    pub probe_every: Duration,
+    pub probe_interval: Duration,
     /// How long to wait for an answer before indirect probes are requested; these get twice as long.
     pub probe_timeout: Duration,
     /// The suspicion timeout in a fleet of up to ten members. It grows with the logarithm of the fleet's size.
-    pub suspect_for: Duration,
+    pub base_suspicion_timeout: Duration,
     /// Time between two probes of members that are dead, or known from the platform's list only.
-    pub dead_probe_every: Duration,
+    pub dead_probe_interval: Duration,
     /// How long a dead member is retained.
     pub dead_retention: Duration,
     /// Minimum time between two full synchronisations, except those with newcomers.
@@ -25,22 +25,22 @@
     pub stop_fanout: usize,
     /// Whether updates about a configuration document go to the own availability zone first, because traffic between
     /// zones is expensive.
-    pub near_first: bool,
+    pub prefer_own_zone: bool,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            probe_every: Duration::from_millis(500),
+            probe_interval: Duration::from_millis(500),
             probe_timeout: Duration::from_millis(300),
-            suspect_for: Duration::from_millis(1_500),
-            dead_probe_every: Duration::from_secs(5),
+            base_suspicion_timeout: Duration::from_millis(1_500),
+            dead_probe_interval: Duration::from_secs(5),
             dead_retention: Duration::from_hours(6),
             sync_interval: Duration::from_secs(5),
             indirect_probers: 3,
             fanout: 3,
             stop_fanout: 64,
-            near_first: false,
+            prefer_own_zone: false,
         }
     }
 }
@@ -52,7 +52,7 @@
     /// the refutation needs as many to return.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let decades = (members.max(10) as f64).log10();
-        self.suspect_for.mul_f64(decades)
+        self.base_suspicion_timeout.mul_f64(decades)
     }
     /// How long before the end of the suspicion timeout a suspect is notified directly.
     pub fn refutation_window(&self) -> Duration {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -91,7 +91,7 @@
 
     /// All eligible members, in a pseudo-random order that depends on `round`. Instances with the same view get the
     /// same order.
-    pub fn drawn(&self, round: u64) -> Vec<&Member> {
+    pub fn ranked_members(&self, round: u64) -> Vec<&Member> {
         ranked(hash(&round.to_le_bytes()), self.candidates())
     }
 
@@ -103,8 +103,8 @@
     /// join and leave. An instance that knows no other member cannot tell, and returns `None`.
     pub fn keeper(&self, subject: u64, zone: &ZoneName) -> Option<&Member> {
         let has_met_others = self.table.present_count() > 0;
-        let drawn = self.drawn(subject);
-        let candidates: Vec<&Member> = drawn.into_iter().filter(|member| member.zone == *zone).collect();
+        let ranked = self.ranked_members(subject);
+        let candidates: Vec<&Member> = ranked.into_iter().filter(|member| member.zone == *zone).collect();
         let lost = self
             .table
             .iter()
--- a/crates/membership/tests/homes.rs
+++ b/crates/membership/tests/homes.rs
@@ -94,7 +94,7 @@
     // Of the four other members of the zone, 12 and 16 started last.
     assert!([Some(name(12)), Some(name(16))].contains(&candidate(&fleet, 0)));
     let listed = fleet.incarnation(16);
-    fleet.act(0, |membership, _, _| membership.list_leaving(&name(16), listed));
+    fleet.act(0, |membership, _, _| membership.set_listed_leaving(&name(16), listed));
     assert_ne!(
         candidate(&fleet, 0),
         Some(name(16)),
--- a/crates/membership/tests/size.rs
+++ b/crates/membership/tests/size.rs
@@ -51,7 +51,7 @@
 
 fn member_of(count: usize) -> Membership {
     let timing = Timing {
-        near_first: true,
+        prefer_own_zone: true,
         ..Timing::default()
     };
     let mut membership = Membership::new(member(0, MemberState::Alive), timing, 1, NOW);
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -181,7 +181,7 @@
                     incarnation,
                     leaving: true,
                     ..
-                } => self.membership.list_leaving(&name, incarnation),
+                } => self.membership.set_listed_leaving(&name, incarnation),
                 Listed::Upstream {
                     name,
                     incarnation,
