--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the fleet: what it is told, and the passing of time.
+//! The membership state of one instance, and its entry points for frames, time and local events.
 
 use std::collections::BTreeMap;
 
@@ -17,11 +17,11 @@
 use wire::MemberState;
 use wire::Successor;
 
-use crate::lasting::Life;
-use crate::lasting::Marks;
-use crate::lasting::Successors;
-use crate::news::News;
-use crate::news::Topic;
+use crate::broadcast::BroadcastQueue;
+use crate::broadcast::Topic;
+use crate::grow_only::InstanceId;
+use crate::grow_only::LeavingUpstreams;
+use crate::grow_only::Successors;
 use crate::output::Output;
 use crate::probe::Probes;
 use crate::rendezvous::member_key;
@@ -29,15 +29,15 @@
 use crate::table::Table;
 use crate::timing::Timing;
 
-/// How long a member in doubt has.
+/// When the suspicion of a member expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Deadline {
     pub(crate) at: Time,
-    /// Whether it has been told directly, so that it counts as dead when this is over.
-    pub(crate) told: bool,
+    /// Whether the member was notified directly. If so, it is declared dead at `at`; otherwise it is notified then.
+    pub(crate) notified: bool,
 }
 
-/// One instance's part in the fleet.
+/// The membership state machine of one instance.
 #[derive(Debug, Clone)]
 pub struct Membership {
     pub(crate) me: Member,
@@ -46,29 +46,29 @@
     pub(crate) rng: SmallRng,
     pub(crate) now: Time,
     pub(crate) table: Table,
-    /// When a member that is suspected, or leaving and silent, counts as dead.
+    /// Deadlines of members that are suspected, or that are leaving and do not answer.
     pub(crate) deadlines: BTreeMap<InstanceName, Deadline>,
     pub(crate) successors: Successors,
-    pub(crate) marks: Marks,
-    pub(crate) news: News,
+    pub(crate) leaving_upstreams: LeavingUpstreams,
+    pub(crate) broadcasts: BroadcastQueue,
     pub(crate) probes: Probes,
     pub(crate) seeds: Seeds,
     pub(crate) document: Option<(Revision, Digest)>,
-    pub(crate) next_sync: Time,
+    pub(crate) next_sync_at: Time,
     pub(crate) replaced: bool,
 }
 
 impl Membership {
-    /// The part of the instance `me`, which knows no other yet.
+    /// Creates the state of the instance `me`, which knows no other instance yet.
     ///
-    /// The record's state is taken as `Alive`.
+    /// The state in `me` is ignored and set to `Alive`.
     pub fn new(me: Member, timing: Timing, seed: u64, now: Time) -> Self {
         let me = Member {
             state: MemberState::Alive,
             ..me
         };
-        let mut news = News::default();
-        news.push(Topic::Member(me.name.clone()));
+        let mut broadcasts = BroadcastQueue::default();
+        broadcasts.push(Topic::Member(me.name.clone()));
         let mut rng = SmallRng::seed_from_u64(seed);
         Self {
             my_key: member_key(&me.name),
@@ -81,17 +81,17 @@
             table: Table::default(),
             deadlines: BTreeMap::new(),
             successors: Successors::default(),
-            marks: Marks::default(),
-            news,
+            leaving_upstreams: LeavingUpstreams::default(),
+            broadcasts,
             document: None,
-            next_sync: now,
+            next_sync_at: now,
             replaced: false,
         }
     }
 
-    /// Takes in a frame from another instance, as its authenticated session names it.
+    /// Handles a frame from another instance, identified by its authenticated session.
     ///
-    /// Frames that are not about membership are ignored.
+    /// Frames that do not concern membership are ignored.
     pub fn handle(
         &mut self,
         now: Time,
@@ -101,7 +101,7 @@
         out: &mut Vec<Output>,
     ) {
         self.advance(now);
-        let from = Life {
+        let from = InstanceId {
             name: from.clone(),
             incarnation: from_incarnation,
         };
@@ -110,21 +110,21 @@
             return;
         }
         match frame {
-            Frame::Probe(seq, gossip) => self.answer(&from, *seq, gossip, out),
+            Frame::Probe(seq, gossip) => self.answer_probe(&from, *seq, gossip, out),
             Frame::ProbeAck(seq, gossip) => {
-                self.hear(&from, gossip, out);
-                self.acked(&from, *seq, out);
+                self.merge_gossip(&from, gossip, out);
+                self.handle_ack(&from, *seq, out);
             }
-            Frame::ProbeFor(seq, target) => self.probe_for(&from, *seq, target, out),
+            Frame::ProbeFor(seq, target) => self.relay_probe(&from, *seq, target, out),
             Frame::News(gossip) => {
-                self.hear(&from, gossip, out);
-                self.correct(&from, gossip, out);
+                self.merge_gossip(&from, gossip, out);
+                self.correct_document(&from, gossip, out);
             }
             _ => {}
         }
     }
 
-    /// Lets time pass. This starts probes, and ends those that were not answered.
+    /// Advances the time: starts due probes, and expires unanswered probes and suspicions.
     pub fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         self.probe_next(out);
@@ -133,9 +133,9 @@
         self.contact_absent(out);
     }
 
-    /// Announces this instance's own planned stop.
+    /// Announces the planned stop of this instance.
     ///
-    /// Up to [`Timing::stop_fanout`] members are told at once, the others by gossip.
+    /// Up to [`Timing::stop_fanout`] members are notified directly, the others through gossip.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         if self.me.state == MemberState::Leaving {
@@ -143,21 +143,21 @@
         }
         self.me.state = MemberState::Leaving;
         self.me.refutation = self.me.refutation.saturating_add(1);
-        self.news.push(Topic::Member(self.me.name.clone()));
+        self.broadcasts.push(Topic::Member(self.me.name.clone()));
         let gossip = Gossip {
             members: vec![self.me.clone()],
             ..Gossip::default()
         };
-        self.push_news(self.timing.stop_fanout, &gossip, out);
+        self.send_to_random(self.timing.stop_fanout, &gossip, out);
     }
 
-    /// Adds a hand-over, one's own or an inherited one, and spreads it.
+    /// Adds a ledger hand-over, made by this instance or taken over from another one, and disseminates it.
     pub fn add_successor(&mut self, record: Successor, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         if !self.successors.add(&record) {
             return;
         }
-        self.news.push(Topic::Successor(Life {
+        self.broadcasts.push(Topic::Successor(InstanceId {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         }));
@@ -165,27 +165,28 @@
             successors: vec![record],
             ..Gossip::default()
         };
-        self.push_news(self.timing.stop_fanout, &gossip, out);
+        self.send_to_random(self.timing.stop_fanout, &gossip, out);
     }
 
-    /// Marks an incarnation of an upstream, and all before it, as leaving, and spreads this. It is never taken back.
+    /// Marks an incarnation of an upstream and all earlier ones as leaving, and disseminates this. A mark is never
+    /// withdrawn.
     pub fn add_leaving_upstream(&mut self, mark: LeavingUpstream, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
-        if !self.marks.add(&mark) {
+        if !self.leaving_upstreams.add(&mark) {
             return;
         }
-        self.news.push(Topic::Mark(mark.name.clone()));
+        self.broadcasts.push(Topic::LeavingUpstream(mark.name.clone()));
         let gossip = Gossip {
             leaving: vec![mark],
             ..Gossip::default()
         };
-        self.push_news(self.timing.fanout, &gossip, out);
+        self.send_to_random(self.timing.fanout, &gossip, out);
     }
 
-    /// Sets the configuration document that this instance holds, and tells a few others at once if it is newer, or another one of
-    /// the same revision.
+    /// Sets the configuration document that this instance holds, unless the previous one is the same or has a later
+    /// revision, and notifies a few members directly.
     ///
-    /// Each of them fetches it and tells a few others in turn, so it is everywhere within a few round trips.
+    /// Each of them fetches the document and notifies a few others, so it reaches the fleet within a few round trips.
     pub fn set_document(&mut self, revision: Revision, digest: Digest, now: Time, out: &mut Vec<Output>) {
         self.advance(now);
         let is_known = |(held, held_digest)| held > revision || (held, held_digest) == (revision, digest);
@@ -197,10 +198,10 @@
             document: self.document,
             ..Gossip::default()
         };
-        if self.timing.near_first {
-            return self.push_near(&gossip, out);
+        if self.timing.prefer_own_zone {
+            return self.send_zone_first(&gossip, out);
         }
-        self.push_news(self.timing.fanout, &gossip, out);
+        self.send_to_random(self.timing.fanout, &gossip, out);
     }
 
     /// The configuration document that this instance holds.
@@ -208,15 +209,15 @@
         self.document
     }
 
-    /// Whether an incarnation of an upstream gets no new work any more.
+    /// Whether an incarnation of an upstream is leaving and must get no new work.
     pub fn is_leaving(&self, name: &UpstreamName, incarnation: Incarnation) -> bool {
-        self.marks.is_leaving(name, incarnation)
+        self.leaving_upstreams.is_leaving(name, incarnation)
     }
 
-    /// Moves to a new time.
+    /// Moves the clock forward.
     ///
-    /// After a pause of this process itself, every wait starts over by as much: silence during the pause says
-    /// nothing about the others.
+    /// If this process itself was paused, all deadlines are postponed by the length of the pause, since missing
+    /// answers during it say nothing about the other members.
     pub(crate) fn advance(&mut self, now: Time) {
         let pause = now.since(self.now);
         if pause > self.timing.probe_timeout {
--- a/crates/membership/src/timing.rs
+++ b/crates/membership/src/timing.rs
@@ -1,60 +1,61 @@
-//! How often and how patiently members look after one another.
+//! Intervals, timeouts and fan-out of the membership protocol.
 
 use std::time::Duration;
 
-/// How often and how patiently members look after one another, and whom they tell.
+/// Intervals, timeouts and fan-out of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timing {
     /// Time between two probes that a member starts.
-    pub probe_every: Duration,
-    /// How long an answer may take before helpers are asked; helpers get twice that.
+    pub probe_interval: Duration,
+    /// How long to wait for an answer before indirect probes are requested; these get twice as long.
     pub probe_timeout: Duration,
-    /// How long a suspect has to refute in a fleet of up to ten; this grows with the logarithm of the fleet's size.
-    pub suspect_for: Duration,
-    /// Time between two probes of members that are dead, or on the platform's list only.
-    pub dead_probe_every: Duration,
-    /// How long a dead member is remembered.
-    pub dead_keep: Duration,
-    /// Least time between two exchanges of everything known, newcomers apart.
-    pub sync_every: Duration,
+    /// The suspicion timeout in a fleet of up to ten members. It grows with the logarithm of the fleet's size.
+    pub base_suspicion_timeout: Duration,
+    /// Time between two probes of members that are dead, or known from the platform's list only.
+    pub dead_probe_interval: Duration,
+    /// How long a dead member is retained.
+    pub dead_retention: Duration,
+    /// Minimum time between two full synchronisations, except those with newcomers.
+    pub sync_interval: Duration,
     /// How many members are asked to probe one that did not answer.
-    pub helpers: usize,
-    /// How many members are told at once of what should not wait for a probe.
+    pub indirect_probers: usize,
+    /// How many members are notified directly of urgent updates, which do not wait for a probe.
     pub fanout: usize,
-    /// How many members are told at once of a planned stop and of a hand-over.
+    /// How many members are notified directly of a planned stop or a hand-over.
     pub stop_fanout: usize,
-    /// Whether news of a document go to the own availability zone first, where bytes between zones are dear.
-    pub near_first: bool,
+    /// Whether updates about a configuration document go to the own availability zone first, because traffic between
+    /// zones is expensive.
+    pub prefer_own_zone: bool,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            probe_every: Duration::from_millis(500),
+            probe_interval: Duration::from_millis(500),
             probe_timeout: Duration::from_millis(300),
-            suspect_for: Duration::from_millis(1_500),
-            dead_probe_every: Duration::from_secs(5),
-            dead_keep: Duration::from_hours(6),
-            sync_every: Duration::from_secs(5),
-            helpers: 3,
+            base_suspicion_timeout: Duration::from_millis(1_500),
+            dead_probe_interval: Duration::from_secs(5),
+            dead_retention: Duration::from_hours(6),
+            sync_interval: Duration::from_secs(5),
+            indirect_probers: 3,
             fanout: 3,
             stop_fanout: 64,
-            near_first: false,
+            prefer_own_zone: false,
         }
     }
 }
 
 impl Timing {
-    /// How long a suspect in a fleet of `members` has to refute.
+    /// How long a suspect has to refute in a fleet of `members`.
     ///
-    /// News needs a number of rounds that grows with the logarithm of the fleet's size to reach the suspect and to
-    /// come back.
-    pub fn patience(&self, members: usize) -> Duration {
+    /// An update needs a number of rounds that grows with the logarithm of the fleet's size to reach the suspect, and
+    /// the refutation needs as many to return.
+    pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let decades = (members.max(10) as f64).log10();
-        self.suspect_for.mul_f64(decades)
+        self.base_suspicion_timeout.mul_f64(decades)
     }
-    /// How long before its time is up a member in doubt is told so directly.
-    pub fn last_chance(&self) -> Duration {
+    /// How long before the end of the suspicion timeout a suspect is notified directly.
+    pub fn refutation_window(&self) -> Duration {
         self.probe_timeout * 2
     }
 }
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -1,6 +1,6 @@
-//! Long runs with random faults, and long runs with none.
+//! Long runs with random faults, and long runs without any.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 mod support;
 
 use std::time::Duration;
@@ -14,21 +14,21 @@
 
 const ZONES: usize = 3;
 
-fn check_heals(count: usize, steps: usize, seed: u64) {
+fn check_convergence(count: usize, steps: usize, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = Fleet::new(ZONES, seed);
     fleet.start_all(count, 3);
     for _ in 0..steps {
-        disturb(&mut fleet, count, &mut rng);
+        inject_fault(&mut fleet, count, &mut rng);
         fleet.run(Duration::from_millis(rng.random_range(0..4_000)));
     }
-    mend(&mut fleet, count);
-    // A dead member is looked for every few seconds, so views heal within a time that grows with their number.
+    heal(&mut fleet, count);
+    // Dead members are probed every few seconds, so the time that views take to converge grows with their number.
     fleet.run(Duration::from_mins(1));
     assert!(fleet.is_converged(), "{count} members, seed {seed}: views differ");
 }
 
-fn disturb(fleet: &mut Fleet, count: usize, rng: &mut StdRng) {
+fn inject_fault(fleet: &mut Fleet, count: usize, rng: &mut StdRng) {
     let index = rng.random_range(0..count);
     match rng.random_range(0..8) {
         0 => fleet.set(index, Condition::Crashed),
@@ -49,8 +49,8 @@
     }
 }
 
-/// Ends all faults. Members that stand alone get a hint, as the platform's list gives it.
-fn mend(fleet: &mut Fleet, count: usize) {
+/// Ends all faults and gives each member a hint, as the platform's list does.
+fn heal(fleet: &mut Fleet, count: usize) {
     fleet.cut(&[]);
     fleet.loss = 0.0;
     for index in 0..count {
@@ -64,17 +64,17 @@
 }
 
 #[test]
-fn views_heal_after_any_faults() {
+fn views_converge_after_random_faults() {
     for seed in 0..40 {
-        check_heals(5, 40, seed);
+        check_convergence(5, 40, seed);
     }
     for seed in 0..4 {
-        check_heals(32, 40, seed);
+        check_convergence(32, 40, seed);
     }
 }
 
 #[test]
-fn nobody_dies_without_a_fault() {
+fn no_member_is_declared_dead_without_a_fault() {
     for (count, loss, seconds) in [(9, 0.0, 3_600), (9, 0.05, 3_600), (64, 0.0, 600), (64, 0.05, 300)] {
         let mut fleet = Fleet::new(ZONES, 7);
         fleet.loss = loss;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_pause_of_any_length_is_survived_in_the_same_incarnation() {
+fn an_instance_keeps_its_incarnation_after_a_pause_of_any_length() {
     for seconds in [1, 3, 10, 100] {
         let mut fleet = Fleet::new(ZONES, seconds);
         fleet.start_all(9, 9);
@@ -102,7 +102,7 @@
     }
 }
 
-fn check_heals_without_a_false_death(count: usize, seed: u64) {
+fn check_partition_heals(count: usize, seed: u64) {
     let mut fleet = Fleet::new(ZONES, seed);
     fleet.start_all(count, count);
     fleet.run(Duration::from_secs(20));
@@ -117,9 +117,9 @@
 #[test]
 fn a_partition_heals_without_a_false_death() {
     for seed in 0..60 {
-        check_heals_without_a_false_death(9, seed);
+        check_partition_heals(9, seed);
     }
     for seed in 0..6 {
-        check_heals_without_a_false_death(32, seed);
+        check_partition_heals(32, seed);
     }
 }
