--- a/crates/flow/src/checks.rs
+++ b/crates/flow/src/checks.rs
@@ -1,4 +1,4 @@
-//! Tries at upstreams whose ends are to be judged when their time has come.
+//! Scheduled checks of attempts at upstreams.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 
 use crate::flows::FlowKey;
 
-/// How long after an opening packet nothing must have followed until its client counts as refused. A copy would have come after
-/// 200 milliseconds, as long as the way there and back is shorter than the rest.
+/// Time after an opening packet without further packets after which the connection counts as refused. A retransmission
+/// would have arrived after 200 milliseconds, provided that the round trip takes less than the remaining time.
 const REFUSED_AFTER: Duration = Duration::from_millis(300);
 
-/// A try whose end is to be judged.
+/// Scheduled check of one attempt.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Check {
-    /// When it is to be judged.
+    /// When the check is due.
     pub(crate) due: Time,
-    /// Its flow.
+    /// The flow to check.
     pub(crate) key: FlowKey,
-    /// When the flow was opened, or when the request came.
+    /// When the flow was opened, or when the request arrived.
     pub(crate) began: Time,
 }
 
-/// Tries whose ends are to be judged, each kind in the order of their times.
+/// Scheduled checks, with one queue for each kind, ordered by due time.
 #[derive(Debug, Default)]
 pub(crate) struct Checks {
     openings: VecDeque<Check>,
@@ -30,23 +30,23 @@
 }
 
 impl Checks {
-    /// A flow was placed.
+    /// Schedules a check of a new flow.
     pub(crate) fn open(&mut self, key: FlowKey, began: Time) {
         let due = began + REFUSED_AFTER;
         self.openings.push_back(Check { due, key, began });
     }
 
-    /// A request came, or its answer was not whole yet.
+    /// Schedules a check of a request, also of one whose answer isn't complete yet.
     pub(crate) fn request(&mut self, key: FlowKey, began: Time, due: Time) {
         self.requests.push_back(Check { due, key, began });
     }
 
-    /// The next opening that is due.
+    /// Removes and returns the next due check of an opening.
     pub(crate) fn next_opening(&mut self, now: Time) -> Option<Check> {
         self.openings.pop_front_if(|check| check.due <= now)
     }
 
-    /// The next request that is due.
+    /// Removes and returns the next due check of a request.
     pub(crate) fn next_request(&mut self, now: Time) -> Option<Check> {
         self.requests.pop_front_if(|check| check.due <= now)
     }
--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -1,4 +1,4 @@
-//! One instance's flow path: packets and news in, verdicts out.
+//! The packet path of one instance: takes packets and control-plane updates, and returns verdicts.
 
 mod carrying;
 mod evacuating;
@@ -48,55 +48,56 @@
 use crate::wait::Wait;
 use crate::warning::Warning;
 
-/// How many places there are to begin at where upstreams take turns: far more than there are turns.
+/// Range of the seeded start offset for round-robin selection; far larger than any rotation.
 const FIRST_TURNS: u64 = 1 << 20;
 
-/// What an instance is told at its start.
+/// Start-up options of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// The instance's availability zone.
     pub zone: ZoneName,
-    /// The longest that a flow lives; upstreams that went are remembered for longer.
+    /// Maximum lifetime of a flow; removed upstreams are remembered for longer than this.
     pub max_flow: Duration,
-    /// Whether operators of the platform empty availability zones: no flow is placed before it is known which.
+    /// Whether the platform's operators can evacuate availability zones. If so, no flow is placed until the set of
+    /// evacuated zones is known.
     pub awaits_evacuations: bool,
-    /// Seeds the choice between equals.
+    /// Seed of the random choice between equally good upstreams.
     pub seed: u64,
 }
 
-/// Counts since the start.
+/// Counters since start-up.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Stats {
-    /// Flows placed at an upstream, copies of opening packets included.
+    /// Flows placed on an upstream, including retransmitted opening packets that are placed again.
     pub placed: u64,
-    /// Upstreams looked at for new flows.
+    /// Upstreams examined while placing flows.
     pub looked_at: u64,
-    /// Entries of upstreams taken into the directory.
+    /// Upstream entries indexed by the directory.
     pub indexed: u64,
-    /// Packets of flows forwarded.
+    /// Forwarded packets.
     pub forwarded: u64,
     /// Flows reset, by cause.
     pub resets: BTreeMap<ResetCause, u64>,
     /// Packets dropped, by cause.
     pub drops: BTreeMap<DropCause, u64>,
-    /// How tries at upstreams ended.
+    /// Results of connection attempts and requests at upstreams.
     pub outcomes: BTreeMap<Outcome, u64>,
 }
 
-/// One instance's flow path.
+/// Packet path of one instance.
 #[derive(Debug)]
 pub struct Core {
     options: Options,
     rng: SmallRng,
-    /// Where this instance begins where upstreams take turns.
+    /// Start offset of this instance in round-robin selection.
     first_turn: usize,
     knowledge: Knowledge,
     routes: Routes,
-    /// What can't be read of the document that the routes are of.
+    /// Warnings about the document that `routes` was built from.
     warnings: Vec<Warning>,
     directory: Directory,
     health: HashMap<UpstreamId, Health>,
-    /// How long each service's upstreams take to answer at best.
+    /// Baseline response time of each service.
     bases: HashMap<String, Base>,
     loss: Loss,
     answered: Answered,
@@ -105,23 +106,23 @@
     decisions: Vec<Decision>,
     waits: Vec<Wait>,
     stats: Stats,
-    /// What is usual of each service.
+    /// Typical response time and results of each service.
     services: HashMap<CompactString, Service>,
-    /// How long each route's answers are, by the address that clients dial.
+    /// Typical response length of each route, by the address that clients connect to.
     lengths: HashMap<SocketAddrV4, Length>,
     checks: Checks,
-    /// Standings of upstreams that were decided here, and that others have told, with the time when they came.
+    /// Upstream status updates: decided here and not yet sent, and received from others with their arrival times.
     standings: Vec<Standing>,
     heard: Vec<(Time, Standing)>,
-    /// Upstreams that others should be asked about, and those that they were asked about.
+    /// Upstreams that other instances should be queried about, and queries in progress.
     questions: BTreeSet<UpstreamId>,
     inquiries: BTreeMap<UpstreamId, Inquiry>,
-    /// The cold upstreams that this instance alone may send new flows to.
+    /// Rate-limited cold upstreams that only this instance may send new flows to.
     kept: BTreeSet<UpstreamId>,
 }
 
 impl Core {
-    /// A flow path that knows nothing yet.
+    /// Creates a packet path without any platform state.
     pub fn new(options: Options) -> Self {
         let knowledge = if options.awaits_evacuations {
             Knowledge::awaiting_evacuations()
@@ -156,23 +157,25 @@
         }
     }
 
-    /// What this instance knows of the platform.
+    /// Platform state known to this instance.
     pub fn knowledge(&self) -> &Knowledge {
         &self.knowledge
     }
 
-    /// Counts since the start.
+    /// Counters since start-up.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// How many flows are remembered here.
+    /// Number of flows in the flow table.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Changes what is known, and indexes it anew if the change says that something is new. So does a place that grows
-    /// without a change: others must hear of it, or this instance takes itself for ahead of them and asks them no more.
+    /// Applies a change to the platform state, and updates the routes and the directory if something is new.
+    ///
+    /// A position that advances without a change of content also counts as new. It has to be passed on to other
+    /// instances; otherwise this instance considers itself ahead of them and stops asking them for updates.
     pub fn learn(&mut self, now: Time, change: impl FnOnce(&mut Knowledge) -> bool) -> bool {
         let before = self.knowledge.positions();
         let evacuated = self.knowledge.evacuated();
@@ -216,17 +219,18 @@
         true
     }
 
-    /// Forgets what was learnt of an upstream's earlier start, which says nothing of the one that now has its id.
+    /// Discards the observations of an upstream's previous start; they say nothing about the process that now has its
+    /// id.
     ///
-    /// Its flows are over, but no reset is sent for them here: some may have been opened at the new start before this was
-    /// known. The upstream itself resets those that it does not hold.
+    /// Its flows are lost, but no resets are sent for them here: some may have been opened to the new process before
+    /// this instance learned of the restart. The upstream itself resets the flows that it doesn't hold.
     fn forget_start(&mut self, id: UpstreamId) {
         let flows = self.flows.take_of(id).len();
         self.health.remove(&id);
         self.decisions.push(Decision::Restarted { upstream: id, flows });
     }
 
-    /// Decides what becomes of a packet from a client.
+    /// Returns the verdict for a packet from a client.
     pub fn packet(&mut self, packet: &Packet, now: Time) -> Verdict {
         self.settle_due(now);
         let verdict = if packet.flags.has(Flags::SYN) {
@@ -243,7 +247,7 @@
         verdict
     }
 
-    /// Counts a verdict, and notes it unless it only follows from an earlier one.
+    /// Counts a verdict, and records it as a decision unless it only forwards the packet.
     fn note(&mut self, packet: &Packet, verdict: Verdict, now: Time) {
         let flow = FlowKey::from(packet);
         match verdict {
@@ -270,22 +274,23 @@
         }
     }
 
-    /// Resets that packets and reports led to since the last call, beside the packets' own verdicts.
+    /// Takes the resets to send that packets and reports have caused since the last call, in addition to the verdicts
+    /// of the packets themselves.
     pub fn take_resets(&mut self) -> Vec<Reset> {
         std::mem::take(&mut self.resets)
     }
 
-    /// What was decided since the last call, in order. Forwarding by an echo is no decision.
+    /// Takes the decisions made since the last call, in order. Forwarding by echo isn't recorded as a decision.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Waits that have ended since the last call.
+    /// Takes the client waits that have ended since the last call.
     pub fn take_waits(&mut self) -> Vec<Wait> {
         std::mem::take(&mut self.waits)
     }
 
-    /// Forgets a flow that has ended.
+    /// Removes a flow that has ended.
     fn close(&mut self, key: &FlowKey) {
         let Some(flow) = self.flows.remove(key) else {
             return;
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Forgets flows that have been silent for long, and upstreams that went before any flow of theirs could live.
+    /// Removes idle flows, and upstreams that were removed so long ago that no flow to them can still exist.
     pub fn tick(&mut self, now: Time) {
         let Some((_, document)) = self.knowledge.document() else {
             return;
--- a/crates/flow/src/core/carrying.rs
+++ b/crates/flow/src/core/carrying.rs
@@ -1,4 +1,4 @@
-//! Later packets of a flow: where they go, and what they tell of its upstream.
+//! Packets of established flows: forwards them, and derives upstream health from them.
 
 use units::Time;
 
@@ -19,7 +19,7 @@
 use crate::wait::WaitKind;
 
 impl Core {
-    /// Forwards a packet of a flow to the upstream that its echo names.
+    /// Forwards a packet to the upstream that its echo names.
     pub(super) fn carry(&mut self, packet: &Packet, now: Time) -> Verdict {
         let Some(id) = self.directory.by_echo(packet.echo) else {
             return Verdict::Drop(unknown_echo(packet));
@@ -30,7 +30,7 @@
             self.close(&key);
             return self.forward(id);
         }
-        // A packet that shows a sign of life ends the belief that its upstream is dead, so this comes first.
+        // A packet that proves progress marks its upstream as alive again, so it is evaluated first.
         let sign = self.see(&key, id, packet, now);
         if packet.len > 0 && self.is_dead(id, now) {
             self.close(&key);
@@ -43,7 +43,7 @@
         self.forward(id)
     }
 
-    /// Notes what a packet tells of its flow and of its upstream.
+    /// Updates the state of a flow and its upstream from a packet.
     fn see(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
         if self.flows.get_mut(key).is_none_or(|flow| flow.upstream != id) {
             self.close(key);
@@ -81,7 +81,7 @@
         sign
     }
 
-    /// Keeps the waits that a packet has ended, for the figures that operators see.
+    /// Records the client waits that a packet ends, for metrics.
     fn note_waits(&mut self, id: UpstreamId, sign: Sign) {
         let Some(listed) = self.directory.get(id) else {
             return;
--- a/crates/flow/src/core/evacuating.rs
+++ b/crates/flow/src/core/evacuating.rs
@@ -1,7 +1,8 @@
-//! Availability zones that operators empty: what is still open there, and what is told of a change.
+//! Evacuation of availability zones: reporting changes and the flows that are still open there.
 //!
-//! New flows keep away from the moment at which the wish is known. Open flows run on until they end by themselves: their upstreams
-//! live, and only their two ends can tell whether a request is under way, so that a reset might cut one that runs once at most.
+//! New flows avoid a zone as soon as its evacuation is known. Open flows continue until they end by themselves: their
+//! upstreams are alive, and only the two endpoints know whether a request is in progress, so a reset might interrupt a
+//! request that must not be repeated.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,9 +14,10 @@
 use crate::decision::Decision;
 
 impl Core {
-    /// Notes which zones are to be emptied now, and which no longer, since `before`.
+    /// Records the zones whose evacuation has begun or ended since `before`.
     ///
-    /// Upstreams that got nothing for a while may have become cold, and their entries may tell so only later.
+    /// Upstreams of a restored zone are treated as cold: they have had no traffic for a while, and their entries may
+    /// report this only later.
     pub(super) fn note_evacuations(&mut self, before: &BTreeSet<ZoneName>, now: Time) {
         let after = self.knowledge.evacuated();
         if after == *before {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// How many flows are open at a zone's upstreams, as far as they were seen here.
+    /// Number of flows that this instance has seen open at a zone's upstreams.
     fn flows_in(&self, zone: &ZoneName) -> u32 {
         let ids = self.directory.in_zone(zone).iter();
         ids.filter_map(|id| self.health.get(id))
@@ -41,7 +43,7 @@
             .sum()
     }
 
-    /// The zones to be emptied, each with the number of flows that are open there, as far as they were seen here.
+    /// Evacuated zones, each with the number of flows that this instance has seen open there.
     pub fn evacuated(&self) -> BTreeMap<ZoneName, u32> {
         let zones = self.knowledge.evacuated().into_iter();
         zones
--- a/crates/flow/src/core/failing.rs
+++ b/crates/flow/src/core/failing.rs
@@ -1,10 +1,12 @@
-//! Upstreams that fail while they answer: how each try ended, and who gets no new flows for it.
+//! Outlier detection: records the result of each attempt at an upstream, and ejects upstreams that fail although they
+//! answer.
 //!
-//! Each instance reports bad ends to a few others that sum up for the upstream; whichever of these finds it failing has all
-//! follow. So what is told of a bad end costs the same however large the fleet is.
+//! Each instance reports failures to a few instances that aggregate them for the upstream. An aggregator that finds the
+//! upstream failing announces this to all instances, so the cost of reporting a failure doesn't depend on the number of
+//! instances.
 //!
-//! Only new flows are led elsewhere. An open flow stays where it is while its upstream lives: nobody but its two ends can tell
-//! whether its next request would fail, and a reset would break it for certain.
+//! Ejection affects only new flows. An open flow stays on its upstream while that is alive: only the two endpoints can
+//! tell whether its next request would fail, and a reset would certainly break it.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -25,18 +27,18 @@
 use crate::packet::Packet;
 use crate::upstream::UpstreamId;
 
-/// How long an answer must not have grown until it counts as whole.
+/// A response counts as complete once it hasn't grown for this long.
 const WHOLE_AFTER: Duration = Duration::from_millis(100);
-/// How much later than due an end may be judged. What is later was held up here, as this process was, and proves nothing.
+/// How late a check may run and still count. A later check was delayed by this process, so its result proves nothing.
 const LATEST: Duration = Duration::from_millis(250);
-/// Of how many upstreams of a service one may be ejected at most. If more fail, something else is wrong as a rule, and the
-/// others could not carry their load.
+/// At most one in this many upstreams of a service may be ejected. If more fail, the cause usually lies elsewhere, and
+/// the remaining upstreams couldn't carry the load.
 const EJECTED_PART: usize = 2;
-/// How many reports are sent at a time.
+/// Maximum number of reports sent at once.
 const REPORTS: usize = 16;
 
 impl Core {
-    /// Judges all tries whose time has come.
+    /// Evaluates all attempts whose checks are due.
     pub(super) fn settle_due(&mut self, now: Time) {
         while let Some(check) = self.checks.next_opening(now) {
             self.settle_opening(check, now);
@@ -55,8 +57,8 @@
             return;
         }
         let upstream = flow.upstream;
-        // Only one that no longer listens refuses a connection, and then its open flows are over as well. So this counts
-        // as much as no answer at all, and is as well vouched for.
+        // Only an upstream that no longer listens refuses a connection, and then its open flows are lost too. So a
+        // refusal is as strong a sign of failure as a missing answer, and needs the same confirmation.
         if let Some(health) = self.health.get_mut(&upstream) {
             health.note_copy(flow, now);
             self.judge(upstream, now);
@@ -83,13 +85,13 @@
         }
         match answered {
             Some(bytes) => self.settle_answer(&check.key, upstream, bytes, now),
-            // Its upstream has not taken it, which is another sign.
+            // The upstream hasn't acknowledged the request; retransmissions are counted separately.
             None if is_sent_again => {}
             None => self.settle(upstream, Outcome::Overdue, now),
         }
     }
 
-    /// Notes what a packet tells of tries that have ended or begun.
+    /// Records attempts that a packet completes or starts.
     pub(super) fn note_tries(&mut self, key: &FlowKey, id: UpstreamId, sign: Sign, now: Time) {
         if sign.opened_after.is_some() {
             self.settle(id, Outcome::Good, now);
@@ -115,7 +117,7 @@
         }
     }
 
-    /// A client ends its flow: the last answer is whole.
+    /// Records the last response of a flow, which is complete when the client closes the flow.
     pub(super) fn settle_last(&mut self, key: &FlowKey, packet: &Packet, now: Time) {
         if !packet.flags.has(Flags::FIN) {
             return;
@@ -138,7 +140,7 @@
         self.settle(id, outcome, now);
     }
 
-    /// A try at an upstream has ended.
+    /// Records the result of an attempt at an upstream.
     fn settle(&mut self, id: UpstreamId, outcome: Outcome, now: Time) {
         *self.stats.outcomes.entry(outcome).or_default() += 1;
         let health = self.health.entry(id).or_default();
@@ -152,7 +154,7 @@
                 self.tell_standing(id);
             }
         }
-        // What is usual is what others do.
+        // Ejected upstreams don't count towards the service's typical results.
         if !was_ejected
             && let Some(listed) = self.directory.get(id)
             && let Some(service) = self.services.get_mut(&listed.upstream().service)
@@ -163,7 +165,7 @@
         }
     }
 
-    /// What whoever sums up should know of tries that have ended badly since the last time.
+    /// Takes the reports of failures since the last call, for the aggregating instances.
     pub fn take_failures(&mut self, now: Time) -> Vec<FailureReport> {
         self.settle_due(now);
         let mut reports = Vec::new();
@@ -175,9 +177,10 @@
         reports
     }
 
-    /// Takes in a report to this instance, which sums up for the upstream. `instances` is how many see about as much of it.
+    /// Handles a failure report sent to this instance as aggregator for the upstream. `instances` is the number of
+    /// instances that see a similar share of its traffic.
     ///
-    /// If more tries end badly there than chance explains, it gets no new flows, and the others are to follow.
+    /// If more attempts fail than chance explains, the upstream is ejected, and the other instances are told.
     pub fn hear_failure(&mut self, report: &FailureReport, instances: u32, now: Time) {
         let id = report.upstream;
         let Some(listed) = self.directory.get(id) else {
@@ -202,7 +205,7 @@
         self.tell_standing(id);
     }
 
-    /// Whether one more upstream of the same service may be ejected.
+    /// Whether another upstream of the same service may be ejected.
     fn may_eject(&self, id: UpstreamId) -> bool {
         let Some(listed) = self.directory.get(id) else {
             return false;
@@ -220,12 +223,12 @@
         (ejected + 1) * EJECTED_PART <= all
     }
 
-    /// The availability zone of an upstream that is listed.
+    /// Availability zone of a listed upstream.
     pub fn zone_of(&self, id: UpstreamId) -> Option<&ZoneName> {
         self.directory.get(id).map(|listed| &listed.upstream().zone)
     }
 
-    /// The upstreams that get no new flows now, or single ones, as tries at them end badly.
+    /// Upstreams that get no new flows, or only single probing flows, because attempts at them fail.
     pub fn ejected(&self) -> Vec<UpstreamId> {
         let ejected = self.health.iter().filter(|(_, health)| health.ejection.is_ejected());
         let mut ejected: Vec<UpstreamId> = ejected.map(|(id, _)| *id).collect();
--- a/crates/flow/src/core/inquiring.rs
+++ b/crates/flow/src/core/inquiring.rs
@@ -1,4 +1,4 @@
-//! Upstreams that flows of several instances wait for: what others are asked, and what comes of their answers.
+//! Queries to other instances about upstreams with stalled flows, and the handling of the replies.
 
 use units::Time;
 
@@ -12,7 +12,7 @@
 use crate::upstream::UpstreamId;
 
 impl Core {
-    /// What this instance has seen of an upstream.
+    /// This instance's observations of an upstream.
     pub(super) fn view(&self, id: UpstreamId, now: Time) -> Report {
         let unused = Health::default();
         let health = self.health.get(&id).unwrap_or(&unused);
@@ -20,12 +20,12 @@
         health.tell(id, self.loss.sample(now), is_in_doubt, now)
     }
 
-    /// What this instance has seen of those upstreams that another one asks about.
+    /// This instance's observations of the upstreams that another instance asks about.
     pub fn views(&self, ids: &[UpstreamId], now: Time) -> Vec<Report> {
         ids.iter().map(|id| self.view(*id, now)).collect()
     }
 
-    /// Notes that others should be asked about an upstream if enough flows wait for it.
+    /// Schedules a query to other instances about an upstream if enough flows are stalled on it.
     pub(super) fn question(&mut self, id: UpstreamId, now: Time) {
         let is_questionable = self.health.get(&id).is_some_and(|health| health.is_questionable(now));
         if is_questionable && !self.inquiries.contains_key(&id) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The upstreams that whoever sums up for them should ask others about.
+    /// Takes the upstreams that this instance, as their aggregator, should query others about.
     pub fn take_questions(&mut self, now: Time) -> Vec<UpstreamId> {
         let over = self.inquiries.iter().filter(|(_, inquiry)| inquiry.is_over(now));
         let over: Vec<UpstreamId> = over.map(|(id, _)| *id).collect();
@@ -43,12 +43,12 @@
         std::mem::take(&mut self.questions).into_iter().collect()
     }
 
-    /// So many others are asked about an upstream.
+    /// Starts an inquiry about an upstream; `asked` is the number of instances that are queried.
     pub fn inquire(&mut self, id: UpstreamId, asked: usize, now: Time) {
         self.inquiries.entry(id).or_insert_with(|| Inquiry::new(asked, now));
     }
 
-    /// Takes in what another instance has seen of upstreams that it was asked about.
+    /// Handles another instance's replies to inquiries.
     pub fn hear_views(&mut self, from: ReporterId, views: &[Report], now: Time) {
         for view in views {
             let Some(inquiry) = self.inquiries.get_mut(&view.upstream) else {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Ends an inquiry, and gives the upstream up if it was found silent.
+    /// Ends an inquiry, and marks the upstream as dead if it was found silent.
     fn conclude(&mut self, id: UpstreamId, now: Time) {
         let Some(inquiry) = self.inquiries.remove(&id) else {
             return;
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -1,4 +1,4 @@
-//! New flows: which upstream an opening packet goes to, and what its copies tell.
+//! New flows: selects an upstream for an opening packet, and handles retransmitted opening packets.
 
 use std::time::Duration;
 
@@ -25,12 +25,12 @@
 use crate::verdict::Verdict;
 use crate::verdict::reset_opening;
 
-/// How long an upstream that is no longer listed may still get flows if its service has no other: its entry may have
-/// lapsed with the platform's store, and entries that did are back within about two seconds.
+/// How long an upstream that is no longer listed may still get flows if its service has no other. Its entry may have
+/// expired along with the platform's store; such entries are back within about two seconds.
 const LAPSED_GRACE: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Places a new flow, or a copy of its opening packet at another upstream than before.
+    /// Places a new flow, or moves a retransmitted opening packet to another upstream.
     pub(super) fn open(&mut self, packet: &Packet, now: Time) -> Verdict {
         if !self.knowledge.is_ready() {
             return Verdict::Drop(DropCause::NotReady);
@@ -68,8 +68,9 @@
         self.forward(id)
     }
 
-    /// The upstream of an opening packet whose copy came just before: both were held up, and the second tells nothing. An
-    /// upstream that has been told meanwhile to take no more gets neither.
+    /// The upstream of an opening packet whose copy arrived just before. Both were delayed on the way, so the second
+    /// isn't a sign of an unresponsive upstream. An upstream that has since been told to take no new flows gets
+    /// neither.
     fn held_up(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let flow = self.flows.get_mut(key)?;
         let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < COPY_SPACE;
@@ -78,7 +79,7 @@
         (is_held_up && takes_flows).then_some(id)
     }
 
-    /// Why a service has no upstream for a new flow.
+    /// Reason why a service has no upstream for a new flow.
     fn why_none(&self, service: &str, now: Time) -> ResetCause {
         let listed = || {
             let listed = self.directory.of_service(service).map(|(_, listed)| listed);
@@ -93,8 +94,8 @@
         ResetCause::NoUpstream
     }
 
-    /// Takes back the choice that an earlier copy of an opening packet led to. It was not answered, which counts
-    /// against its upstream.
+    /// Removes the flow of an earlier copy of an opening packet. The copy was not answered, which counts against its
+    /// upstream.
     fn forget_opening(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let mut flow = self.flows.remove(key)?;
         let health = self.health.get_mut(&flow.upstream)?;
@@ -107,9 +108,10 @@
         Some(flow.upstream)
     }
 
-    /// The best upstream for a new flow, another than `earlier` if there is one.
+    /// Selects the best upstream for a new flow, avoiding `earlier` if there is another one.
     ///
-    /// Of a service with very many upstreams some take turns, and all are looked at only where none of these is in good order.
+    /// For a service with very many upstreams, only a rotating subset is examined; all are examined only if none of the
+    /// subset is [`Tier::Ready`].
     fn place(&mut self, service: &str, earlier: Option<UpstreamId>, now: Time) -> Option<Candidate> {
         if let Some(next) = self.directory.next(service, &self.options.zone, self.first_turn) {
             let best = self.best_of(&next, service, earlier, now);
@@ -121,7 +123,7 @@
         self.best_of(&all, service, earlier, now)
     }
 
-    /// The best of some upstreams of a service for a new flow, another than `earlier` if there is one.
+    /// Selects the best of `ids` for a new flow, avoiding `earlier` if there is another one.
     fn best_of(
         &mut self,
         ids: &[UpstreamId],
@@ -164,7 +166,7 @@
     }
 }
 
-/// How good a choice an upstream is at best, `None` if it gets no new flows.
+/// The tier of an upstream, or `None` if it gets no new flows.
 fn tier(listed: &Listed, health: Option<&Health>, now: Time) -> Option<Tier> {
     if !listed.takes_flows() {
         return None;
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -1,8 +1,8 @@
-//! Upstreams that do not answer: when one is taken for dead, when a single flow is given up, and what instances tell one
-//! another about it.
+//! Detection of silent upstreams: when one is marked dead, when a single flow is reset, and which reports instances
+//! exchange.
 //!
-//! A reset of an open flow whose upstream lives breaks the flow. So an instance acts on its own flows only while most other
-//! upstreams answer here; what several instances see together is decided by asking the others.
+//! Resetting an open flow whose upstream is alive breaks the flow. So an instance acts on its own observations only
+//! while most other upstreams answer here; otherwise it queries the other instances.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -25,39 +25,40 @@
 use crate::report::ReporterId;
 use crate::upstream::UpstreamId;
 
-/// At which copy of the same data a flow may count as stalled. Copies come 200, 600 and 1,400 milliseconds after the first,
-/// and loss alone makes one common.
+/// Number of retransmissions after which a flow may count as stalled. They come 200, 600 and 1,400 milliseconds after
+/// the first transmission, and loss alone makes a single one common.
 const STALLED_COPIES: u32 = 2;
-/// How many answers must have been missed here, at the rate at which the upstream's tries usually end, until its silence towards
-/// one flow tells something. Where many instances share its flows, each sees an answer in several seconds, and a flow whose
-/// packets were lost three times in a row would look like one whose upstream is silent: with three in a hundred lost, that
-/// reset six flows in a hundred thousand requests.
+/// How many answers must be missing here, at the upstream's usual rate of completed attempts, before its silence
+/// towards one flow is significant. Where many instances share its flows, each sees one answer in several seconds, and
+/// a flow that lost a packet three times in a row would look like one with a silent upstream: at a loss of 3 percent,
+/// that reset six flows per hundred thousand requests.
 const MISSED_ANSWERS: f64 = 3.0;
-/// How many upstreams must have answered something sent at the same time for each one that is silent, or else this instance doubts
-/// what it sees: its own link, or its clients', may lose packets. While a third of them is lost, two openings of three go
-/// unanswered.
+/// How many upstreams must have answered packets sent at the same time for each silent one. Below this, this instance
+/// doubts its observations: its own link, or its clients', may lose packets. At a loss of one third, two of three
+/// opening packets go unanswered.
 const ANSWERING_PER_SILENT: usize = 3;
-/// How many upstreams of another zone must be silent until its zone is taken for cut off. One may just have died.
+/// How many upstreams of another zone must be silent before the zone counts as cut off. A single one may just have
+/// died.
 const SILENT_IN_ZONE: u32 = 2;
-/// How many reports are sent at a time.
+/// Maximum number of reports sent at once.
 const REPORTS: usize = 16;
-/// How much later than the flows of whoever reports began to wait an answer must have been seen here, to count as better
-/// knowledge. Reports take a few milliseconds.
+/// How much later than the start of the reporter's stall an answer must have been seen here to refute the report.
+/// Reports take a few milliseconds.
 const REPORT_SLACK: Duration = Duration::from_millis(20);
 
-/// How a zone's upstreams look from here.
+/// Health of a zone's upstreams as seen from here.
 #[derive(Debug, Default, Clone, Copy)]
 struct Outlook {
-    /// How many of them have got flows from here.
+    /// Upstreams that have got flows from this instance.
     seen: u32,
-    /// How many of these have flows that wait in vain.
+    /// Those of them with stalled flows.
     silent: u32,
-    /// How many flows wait.
+    /// Stalled flows.
     stalled: u32,
-    /// Since when the first of them waits, and the last.
+    /// When the first and the last of the stalled flows began to wait.
     since: Time,
     last_since: Time,
-    /// When one of them last answered.
+    /// Last answer of any of these upstreams.
     last_progress: Time,
 }
 
@@ -79,7 +80,7 @@
 }
 
 impl Core {
-    /// Takes an upstream for dead if the signs say so.
+    /// Marks an upstream as dead if the evidence suffices.
     pub(super) fn judge(&mut self, id: UpstreamId, now: Time) {
         let Some(health) = self.health.get(&id) else {
             return;
@@ -96,12 +97,13 @@
         self.judge_zone(id, loss, now);
     }
 
-    /// Gives up those upstreams of another availability zone that flows wait for, and spares the others new flows, if none
-    /// there answers while those at home do: the way there is cut.
+    /// Handles a loss of connectivity to another availability zone: if none of its upstreams answers while those in the
+    /// local zone do, marks those with stalled flows as dead, and lets new flows avoid the rest.
     ///
-    /// One zone's upstreams get too few flows from another for each to be found silent by itself. Their flows together
-    /// show it within half a second, where one by one it took the length of a cut. An upstream that no flow waits for may
-    /// live: several of its zone may have died at once. So its flows are left alone.
+    /// Upstreams of another zone get too few flows from here for each to be found silent by itself. Taken together,
+    /// their flows show the loss within half a second; one by one, detection took as long as the outage. An upstream
+    /// without stalled flows may be alive, since several others of its zone may have died at once, so its flows are
+    /// left alone.
     fn judge_zone(&mut self, id: UpstreamId, loss: Percent, now: Time) {
         let Some(zone) = self.directory.get(id).map(|listed| listed.upstream().zone.clone()) else {
             return;
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Ends the belief that a zone is cut off, as one of its upstreams answers.
+    /// Clears the state of a cut-off zone when one of its upstreams answers.
     pub(super) fn revive_zone(&mut self, id: UpstreamId) {
         let Some(zone) = self.directory.get(id).map(|listed| listed.upstream().zone.clone()) else {
             return;
@@ -148,7 +150,7 @@
         }
     }
 
-    /// How a zone's upstreams look from here.
+    /// Summarizes the health of a zone's upstreams.
     fn outlook(&self, zone: &ZoneName) -> Outlook {
         let mut outlook = Outlook::default();
         for id in self.directory.in_zone(zone) {
@@ -160,21 +162,22 @@
         outlook
     }
 
-    /// Whether most upstreams that this instance hears of have answered what was sent within a span. If many are silent at once, it
-    /// may be this instance's own link, or its clients', that loses packets.
+    /// Whether most upstreams with traffic from here have answered packets sent within `span`. If many are silent at
+    /// once, this instance's own link, or its clients', may lose packets.
     fn others_answer(&self, span: &RangeInclusive<Time>) -> bool {
         let (answering, silent) = self.answering(&self.answered.within(span));
         answering >= silent * ANSWERING_PER_SILENT
     }
 
-    /// Whether so few have answered what was sent since that what is seen here should not count elsewhere either. Where instances are many,
-    /// each hears of a few upstreams in half a second, and others can tell whether the rest answers.
+    /// Whether so few upstreams have answered packets sent since `since` that this instance's observations shouldn't
+    /// count elsewhere either. The threshold is lower than for its own decisions: where there are many instances, each
+    /// gets answers from only a few upstreams in half a second, and others can tell whether the rest answers.
     pub(super) fn doubts(&self, since: Time) -> bool {
         let (answering, silent) = self.answering(&self.answered.since(since));
         answering < silent
     }
 
-    /// How many of the upstreams that have answered have no flows that wait, and how many upstreams have some.
+    /// Counts the upstreams in `answered` without stalled flows, and all upstreams with stalled flows.
     fn answering(&self, answered: &BTreeSet<UpstreamId>) -> (usize, usize) {
         let is_silent = |id: &UpstreamId| self.health.get(id).is_some_and(|health| health.stalled() > 0);
         let answering = answered.iter().filter(|id| !is_silent(id)).count();
@@ -182,7 +185,7 @@
         (answering, silent)
     }
 
-    /// What other instances should know of upstreams that flows wait for in vain.
+    /// Takes the due reports about upstreams with stalled flows.
     pub fn take_reports(&mut self, now: Time) -> Vec<Report> {
         let stalled = self.health.iter().filter(|(_, health)| health.stalled() > 0);
         let mut stalled: Vec<UpstreamId> = stalled.map(|(id, _)| *id).collect();
@@ -201,7 +204,7 @@
         reports
     }
 
-    /// Takes in another instance's reports, and answers those that this instance knows better.
+    /// Handles another instance's reports, and returns replies about upstreams that have answered here more recently.
     pub fn hear(&mut self, from: ReporterId, reports: &[Report], now: Time) -> Vec<Report> {
         let mut answers = Vec::new();
         for report in reports {
@@ -224,7 +227,7 @@
         answers
     }
 
-    /// Another instance has seen an upstream answer.
+    /// Records that another instance has seen an upstream answer.
     pub(super) fn note_answer(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
         let progress = self.health.entry(id).or_default().note_progress(answered_at);
         self.loss.note_losses(progress.losses, now);
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Ends all flows of an upstream that is taken for dead, also those that are silent: a client whose flow is reset
+    /// Resets all flows of an upstream that is considered dead, including idle ones: a client whose flow is reset
     /// before its next request opens another one in time, and loses nothing.
     pub(super) fn give_up(&mut self, id: UpstreamId, was_dead: bool, grounds: Grounds) {
         let flows = self.flows.take_of(id);
@@ -262,8 +265,8 @@
         }
     }
 
-    /// Whether a flow waits for an upstream that answers nobody: its data was sent again so often, and so many other flows
-    /// wait, that loss does not explain it.
+    /// Whether a flow is stalled on an upstream that answers nobody: its data was retransmitted so often, and so many
+    /// other flows are stalled, that packet loss doesn't explain it.
     pub(super) fn is_stalled(&mut self, key: &FlowKey, now: Time) -> bool {
         let Some(flow) = self.flows.get_mut(key) else {
             return false;
@@ -283,8 +286,8 @@
         is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.copied_before_at))
     }
 
-    /// Whether data for an upstream is answered with a reset, as the upstream was taken for dead a moment ago: the flow
-    /// comes from another instance, or the first reset was lost.
+    /// Whether data for an upstream is answered with a reset because the upstream was recently marked dead. Such data
+    /// arrives if the flow comes from another instance, or if the first reset was lost.
     pub(super) fn is_dead(&self, id: UpstreamId, now: Time) -> bool {
         self.health.get(&id).is_some_and(|health| health.is_dead(now))
     }
--- a/crates/flow/src/core/standings.rs
+++ b/crates/flow/src/core/standings.rs
@@ -1,7 +1,7 @@
-//! What this instance tells all others of upstreams, and what it follows of what they tell.
+//! Status updates about upstreams that are spread to all instances.
 //!
-//! Whoever finds out tells a few, and each that hears of it first passes it on. A count for each upstream tells which of
-//! two standings is the later one.
+//! The instance that makes a decision sends it to a few others, and each that receives it for the first time forwards
+//! it. A round number for each upstream orders the updates.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 use crate::upstream::UpstreamId;
 
 impl Core {
-    /// Has the others follow what was decided of a failing upstream here.
+    /// Announces the ejection state of an upstream to the other instances.
     pub(super) fn tell_standing(&mut self, id: UpstreamId) {
         let standing = self.health.get(&id).map(|health| health.ejection.standing(id));
         self.standings.extend(standing);
     }
 
-    /// Has the others follow what was found of an upstream's silence here.
+    /// Announces whether an upstream is silent or alive to the other instances.
     pub(super) fn tell_silence(&mut self, id: UpstreamId, status: Status) {
         let Some(health) = self.health.get_mut(&id) else {
             return;
@@ -37,8 +37,8 @@
         });
     }
 
-    /// An upstream that was taken for dead has answered. All are told who were told that it is silent. It may have started
-    /// again, which its entry tells only later, so it counts as cold.
+    /// Handles an answer of an upstream that was considered dead, and announces it if its silence was announced. The
+    /// upstream may have restarted, which its entry shows only later, so it is treated as cold.
     pub(super) fn note_revived(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
         self.directory.chill(id, now);
         self.decisions.push(Decision::Revived(id));
@@ -50,20 +50,20 @@
         self.revive_zone(id);
     }
 
-    /// What was decided here since the last time, for all others.
+    /// Takes the updates decided here since the last call, to send to other instances.
     pub fn take_standings(&mut self) -> Vec<Standing> {
         std::mem::take(&mut self.standings)
     }
 
-    /// What was heard since the last time and was news, to be passed on.
+    /// Takes the new updates received since the last call, to forward to other instances.
     pub fn take_heard(&mut self, now: Time) -> Vec<Standing> {
         let heard = std::mem::take(&mut self.heard);
         let aged = heard.into_iter().map(|(at, standing)| standing.aged(now.since(at)));
         aged.collect()
     }
 
-    /// Follows what another instance has decided, and keeps what was news to be passed on. Gives what that instance should
-    /// know: upstreams that have answered here since.
+    /// Applies another instance's updates, and keeps new ones for forwarding. Returns reports for that instance about
+    /// upstreams that have answered here since.
     pub fn hear_standings(&mut self, standings: &[Standing], now: Time) -> Vec<Report> {
         let mut answers = Vec::new();
         for standing in standings {
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Gives up an upstream that others have found silent, unless it has answered here since: then they are told so.
+    /// Marks an upstream as dead that others have found silent. If it has answered here since, returns a report that
+    /// says so instead.
     fn follow_silent(&mut self, standing: &Standing, silence: Silence, now: Time) -> Option<Report> {
         let id = standing.upstream;
         let health = self.health.entry(id).or_default();
@@ -124,7 +125,7 @@
         None
     }
 
-    /// Takes an upstream for dead that all instances together have found silent.
+    /// Marks an upstream as dead that the instances have jointly found silent.
     pub(super) fn find_silent(&mut self, id: UpstreamId, silence: Silence, now: Time) {
         let loss = self.loss.percent(now);
         let health = self.health.entry(id).or_default();
--- a/crates/flow/src/core/warming.rs
+++ b/crates/flow/src/core/warming.rs
@@ -1,8 +1,9 @@
-//! Cold upstreams whose operators tell how many new flows they bear: who may send them any, and how often.
+//! Rate limits for cold upstreams: which instance may send them new flows, and how often.
 //!
-//! What is told binds over all instances together, whatever each of them knows of the others. So each such upstream is kept by
-//! one instance, which the caller names by the members that it sees; nobody else sends new flows there. A share for each
-//! instance would be one flow in a minute where there are hundreds, and all at once where they agree on the best upstream.
+//! The limit that operators configure applies to all instances together, whatever each knows of the others. So one
+//! instance is responsible for each such upstream, chosen by the caller from the members that it sees; no other
+//! instance sends new flows there. Dividing the limit among the instances would leave one flow a minute each where
+//! there are hundreds, and would not prevent a burst when all choose the same best upstream.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,27 +16,27 @@
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
-/// How many instances may take themselves for an upstream's keeper at a time: while one joins or is taken for dead, the others hear
-/// of it at different times. Each sends this part of what the upstream bears.
+/// How many instances may consider themselves responsible for an upstream at the same time: while one joins or is
+/// declared dead, the others learn of it at different times. Each uses this fraction of the limit.
 const KEEPERS: u32 = 2;
 
-/// How far apart a keeper's new flows to a cold upstream are.
+/// Interval between new flows from the responsible instance to a cold upstream.
 fn spacing(rate: Rate) -> Duration {
     rate.spacing().map_or(Duration::MAX, |spacing| spacing * KEEPERS)
 }
 
 impl Core {
-    /// The upstreams that are cold and whose operators tell what they bear.
+    /// Cold upstreams with a configured rate limit.
     pub fn rationed(&self, now: Time) -> Vec<UpstreamId> {
         self.directory.rationed(now)
     }
 
-    /// This instance keeps these of them from now on, and no others.
+    /// Sets the rate-limited upstreams that this instance is responsible for, replacing any earlier set.
     pub fn keep(&mut self, kept: BTreeSet<UpstreamId>) {
         self.kept = kept;
     }
 
-    /// Whether an upstream bears a new flow from here now.
+    /// Whether the rate limit of an upstream permits a new flow from here now.
     pub(super) fn bears(&self, id: UpstreamId, listed: &Listed, health: Option<&Health>, now: Time) -> bool {
         if listed.cold_rate(now).is_none() {
             return true;
@@ -43,7 +44,7 @@
         self.kept.contains(&id) && health.is_none_or(|health| now >= health.cold_next)
     }
 
-    /// A new flow goes to an upstream.
+    /// Records a new flow against the rate limit of its upstream.
     pub(super) fn note_ration(&mut self, id: UpstreamId, now: Time) {
         let rate = self.directory.get(id).and_then(|listed| listed.cold_rate(now));
         if let Some(rate) = rate {
--- a/crates/flow/src/decay.rs
+++ b/crates/flow/src/decay.rs
@@ -1,10 +1,10 @@
-//! Counts that fade with time.
+//! Exponentially decaying counters.
 
 use std::time::Duration;
 
 use units::Time;
 
-/// A count in which an event weighs less the longer ago it was: a third after the span, a twentieth after three.
+/// Counter with exponential decay: an event counts a third after one span, and a twentieth after three.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Decayed {
     value: f64,
--- a/crates/flow/src/decision.rs
+++ b/crates/flow/src/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided, for those who have to explain it later.
+//! Record of decisions, to explain them to operators later.
 
 use units::Position;
 use units::Revision;
@@ -13,30 +13,30 @@
 use crate::upstream::UpstreamId;
 use crate::warning::Warning;
 
-/// A decision that touches a flow, or a change of what is believed of an upstream.
+/// A decision about a flow, or a change of an upstream's assumed state.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// A document is in force of which something can't be read that could be read of the one before, or was not there.
+    /// A document took effect with a warning about an unreadable part that the previous document didn't have.
     Unread {
-        /// The document's number.
+        /// The document's revision.
         document: Revision,
-        /// What can't be read.
+        /// The unreadable part.
         warning: Warning,
     },
-    /// A new flow goes to an upstream.
+    /// A new flow was placed on an upstream.
     Placed {
         /// The flow.
         flow: FlowKey,
         /// Its upstream.
         upstream: UpstreamId,
-        /// The upstream that an earlier copy of the same opening packet went to.
+        /// The upstream that an earlier copy of the opening packet was sent to.
         earlier: Option<UpstreamId>,
-        /// How good a choice the upstream is at best.
+        /// Preference class of the upstream.
         tier: Tier,
-        /// What the flow costs there: its load for each slot, by zone, warmth and response time.
+        /// Cost of the flow there: load per slot, adjusted for zone, warm-up state and response time.
         cost: f64,
     },
-    /// A flow is ended towards its client.
+    /// A flow was reset towards its client.
     Reset {
         /// The flow.
         flow: FlowKey,
@@ -44,61 +44,62 @@
         upstream: Option<UpstreamId>,
         /// Why.
         cause: ResetCause,
-        /// What speaks for it, if the cause is that its upstream is silent.
+        /// Evidence, if the cause is a silent upstream.
         grounds: Option<Grounds>,
     },
-    /// A packet goes nowhere.
+    /// A packet was dropped.
     Dropped {
         /// Its flow.
         flow: FlowKey,
-        /// The echo that it carries.
+        /// The echo of the packet.
         echo: Echo,
         /// Why.
         cause: DropCause,
     },
-    /// An upstream is taken for dead, and its flows are reset.
+    /// An upstream was marked dead, and its flows were reset.
     Died {
         /// The upstream.
         upstream: UpstreamId,
-        /// What speaks for it.
+        /// Evidence for its silence.
         grounds: Grounds,
         /// How many flows it had here.
         flows: usize,
     },
-    /// An upstream that was taken for dead answers again.
+    /// An upstream that was considered dead answers again.
     Revived(UpstreamId),
-    /// An upstream gets no new flows for a while, as more tries at it end badly than chance explains.
+    /// An upstream was ejected for a while because more attempts at it fail than chance explains.
     Ejected {
         /// The upstream.
         upstream: UpstreamId,
-        /// How many of a hundred end badly elsewhere.
+        /// Percentage of attempts that fail at other upstreams.
         usual_percent: u32,
     },
-    /// An upstream gets no new flows for a while, as another instance has found it failing.
+    /// An upstream was ejected for a while because another instance has found it failing.
     Followed(UpstreamId),
-    /// An upstream that was ejected gets flows like any other again.
+    /// An ejected upstream gets flows like any other again.
     Readmitted(UpstreamId),
-    /// An upstream has started again under its id; what was known of its earlier start is forgotten.
+    /// An upstream has restarted under its id; the observations of its previous start were discarded.
     Restarted {
         /// The upstream.
         upstream: UpstreamId,
-        /// How many flows of the earlier start were remembered here.
+        /// Number of flows of the previous start that this instance held.
         flows: usize,
     },
-    /// Operators have asked for an availability zone to be emptied: its upstreams get no new flows, and open ones stay.
+    /// Operators have requested the evacuation of an availability zone: its upstreams get no new flows, and open flows
+    /// stay.
     Evacuated {
         /// The zone.
         zone: ZoneName,
-        /// The place in the store's history at which this was so.
+        /// The store position at which this was decided.
         at: Position,
-        /// How many flows are open there, as far as they were seen here.
+        /// Number of flows that this instance has seen open there.
         flows: u32,
     },
-    /// They have taken that back.
+    /// Operators have ended the evacuation of an availability zone.
     Restored {
         /// The zone.
         zone: ZoneName,
-        /// The place in the store's history at which this was so.
+        /// The store position at which this was decided.
         at: Position,
     },
 }
--- a/crates/flow/src/earlier.rs
+++ b/crates/flow/src/earlier.rs
@@ -1,8 +1,9 @@
-//! What instances of an earlier release tell, and are told, who know no epochs. While a fleet is rolled out, both releases speak.
+//! Compatibility with instances of an earlier release, which don't support epochs. Both releases run together during a
+//! rolling update.
 //!
-//! They write places as revisions alone. Their words are taken to be of the epochs that are held here, and what they are told is written
-//! so. An instance that has seen the store come back itself takes no such word: whoever knows no epochs may still hold what the
-//! store has lost.
+//! Such instances write positions as revisions only. Their positions are taken to be in the local epochs, and positions
+//! are sent to them without epochs. An instance that has itself seen the store return from an older copy doesn't accept
+//! their changes: an instance without epochs may still hold entries that the store has lost.
 
 use units::Epoch;
 use units::Revision;
@@ -12,13 +13,13 @@
 use crate::knowledge::Positions;
 
 impl Change {
-    /// This change as whoever knows no epochs reads it.
+    /// This change in the form for instances without epochs.
     #[must_use]
     pub fn without_epochs(self) -> Self {
         self.in_epochs(&Positions::default())
     }
 
-    /// This change with all its places in the epochs of other ones.
+    /// This change with all its positions moved to the epochs of `of`.
     fn in_epochs(mut self, of: &Positions) -> Self {
         self.document.set_epoch(of.document_at.epoch);
         self.document_at.epoch = of.document_at.epoch;
@@ -31,7 +32,7 @@
 }
 
 impl Positions {
-    /// These places, told by whoever knows no epochs, as they stand to what is held here.
+    /// These positions, sent by an instance without epochs, in the epochs of `of`.
     #[must_use]
     pub fn in_epochs(mut self, of: &Self) -> Self {
         self.document_at.epoch = of.document_at.epoch;
@@ -42,14 +43,14 @@
 }
 
 impl Knowledge {
-    /// What a change of an instance that knows no epochs says, `None` if that can't be known.
+    /// Interprets a change from an instance without epochs. Returns `None` if its epochs can't be determined.
     pub fn read_without_epochs(&self, change: Change) -> Option<Change> {
         let held = self.positions();
         let is_first_epoch = self.epoch() == Epoch(0);
         (is_first_epoch || !self.has_come_back()).then(|| change.in_epochs(&held))
     }
 
-    /// The level of an instance that knows no epochs, as it stands to the one held here.
+    /// Converts the level of an instance without epochs so that it can be compared with the local one.
     pub fn level_without_epochs(&self, level: Revision) -> Revision {
         let plain = self.parts().into_iter().map(|at| at.revision.0);
         let plain = plain.fold(0, u64::saturating_add);
--- a/crates/flow/src/grace.rs
+++ b/crates/flow/src/grace.rs
@@ -1,18 +1,19 @@
-//! What stays in force for a moment after the store has come back from an older copy.
+//! Grace period for known entries after the store has been restored from an older copy.
 //!
-//! The copy lacks what was written last, and shows what had been replaced by it. Whoever wrote that writes it again. Until then what was
-//! known before counts where the copy says otherwise: else upstreams that serve would seem gone all at once, and ones that have
-//! left would get flows again.
+//! The copy lacks the latest writes and contains entries that these had replaced. Their writers write them again. Until
+//! then, the previously known state takes precedence where it differs from the copy: otherwise serving upstreams would
+//! seem to disappear all at once, and upstreams that have left would get flows again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use units::Time;
 
-/// For how long. Writers are back within about two seconds; what is still missing then has gone.
+/// Length of the grace period. Writers are back within about two seconds; entries that are still missing then have been
+/// removed.
 const LASTS: Duration = Duration::from_secs(2);
 
-/// What was known before, where the copy says otherwise.
+/// Entries known before the restore, where they differ from the copy.
 #[derive(Debug, Clone)]
 pub(crate) struct Grace<K, V> {
     until: Time,
@@ -29,7 +30,7 @@
 }
 
 impl<K: Ord, V> Grace<K, V> {
-    /// Begins anew with what was known before.
+    /// Starts a new grace period for the previously known entries.
     pub(crate) fn begin(kept: BTreeMap<K, V>, now: Time) -> Self {
         Self {
             until: now + LASTS,
@@ -37,22 +38,22 @@
         }
     }
 
-    /// What counts in place of what the copy says, if anything does.
+    /// Returns the entry that overrides the copy, if there is one.
     pub(crate) fn get(&self, key: &K) -> Option<&V> {
         self.kept.get(key)
     }
 
-    /// All that counts so.
+    /// Iterates over all entries that override the copy.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.kept.iter()
     }
 
-    /// Something was written after the return, which counts.
+    /// Removes an entry because its key was written after the restore.
     pub(crate) fn remove(&mut self, key: &K) {
         self.kept.remove(key);
     }
 
-    /// Ends it if its time is over, and gives what counts no more.
+    /// Ends the grace period if its time is over, and returns the entries that no longer apply.
     pub(crate) fn end(&mut self, now: Time) -> BTreeMap<K, V> {
         if now < self.until {
             return BTreeMap::new();
--- a/crates/flow/src/grounds.rs
+++ b/crates/flow/src/grounds.rs
@@ -1,18 +1,18 @@
-//! What speaks for a decision against an upstream that is silent.
+//! Evidence for decisions against silent upstreams.
 
 use std::time::Duration;
 
-/// What speaks for an upstream being silent, for whoever asks later why a flow was reset.
+/// Evidence that an upstream is silent, recorded to explain resets later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grounds {
-    /// How many flows wait for it in vain here.
+    /// Number of flows stalled on it here.
     pub waiting: u32,
-    /// How many wait at other instances, or how often flows have sent something again there, if these were asked.
+    /// Number of flows stalled at other instances, or of their retransmissions if the instances were queried.
     pub elsewhere: u32,
-    /// How many other instances have reported or answered so.
+    /// Number of other instances that reported stalled flows or gave them in reply to a query.
     pub reporters: usize,
-    /// The loss that was reckoned with, in percent.
+    /// Packet loss assumed for the decision, in percent.
     pub loss_percent: u8,
-    /// How long ago it last answered something here, or for how long anywhere, if others were asked.
+    /// Time since its last answer here, or since any instance saw an answer if others were queried.
     pub silent_for: Duration,
 }
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -1,4 +1,4 @@
-//! What passing packets tell of each upstream: how busy it is, and whether it still answers.
+//! Health of each upstream as derived from the packets of its flows: its load, and whether it answers.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -16,40 +16,40 @@
 use crate::report::ReporterId;
 use crate::upstream::UpstreamId;
 
-/// Requests count towards an upstream's activity for about this long. A flow sends a request or so a second, so a
-/// shorter span would see mostly chance.
+/// Time constant of the request count. A flow sends about one request a second, so a shorter span would mostly measure
+/// chance.
 const ACTIVITY_SPAN: Duration = Duration::from_secs(1);
 
-/// How much a new sample of the response time counts. About ten requests a second reach an upstream from one instance,
-/// so that a change shows within a second or two.
+/// Weight of a new response time sample. One instance sends an upstream about ten requests a second, so a change shows
+/// within a second or two.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// For how long samples count after the last one. A slow upstream is tried again after it.
+/// How long the mean remains valid after the last sample. After that, a slow upstream is tried again.
 const SAMPLE_KEEP: Duration = Duration::from_secs(4);
 
-/// For how long an upstream counts as dead after flows have waited in vain.
+/// How long an upstream stays dead after its flows have stalled.
 const DEAD_KEEP: Duration = Duration::from_secs(3);
-/// How long an upstream that flows wait for in vain is spared new ones, at first.
+/// Initial time without new flows for an upstream with stalled flows.
 const FIRST_RETRY: Duration = Duration::from_secs(1);
-/// The longest time between two tries of such an upstream.
+/// Maximum time between two attempts at such an upstream.
 const LAST_RETRY: Duration = Duration::from_secs(4);
 
-/// For how long another instance's report counts. Flows that still wait are reported again within that time.
+/// Validity of another instance's report. Flows that are still stalled are reported again within that time.
 const REPORT_KEEP: Duration = Duration::from_secs(1);
-/// How long after the last copy a flow waits no longer: an end that waits sends copies 1.6 seconds apart at most.
+/// Time after the last retransmission at which a stalled flow is considered abandoned: an endpoint that still waits
+/// retransmits at least every 1.6 seconds.
 const COPIES_END: Duration = Duration::from_secs(2);
-/// How many other instances' reports are kept for each upstream: as many as are needed while a third of all packets is lost.
+/// Maximum number of reports kept for each upstream: as many as are needed at a loss of one third of all packets.
 const REPORTERS: usize = 16;
 
-/// What a sign of life ends.
+/// What an answer of an upstream changes.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Progress {
-    /// The upstream was taken for dead.
+    /// The upstream was considered dead.
     pub(crate) is_revived: bool,
-    /// How many packets were lost on the way to an upstream that lives, as it turns out.
+    /// Number of packets that turn out to have been lost on the way to a live upstream.
     pub(crate) losses: u32,
 }
 
-/// Another instance's report.
 #[derive(Debug, Clone, Copy)]
 struct Heard {
     from: ReporterId,
@@ -58,56 +58,56 @@
     at: Time,
 }
 
-/// What is known of one upstream from the packets that passed here.
+/// Health of one upstream.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Health {
-    /// How many flows seen here it holds.
+    /// Number of its flows seen here.
     pub(crate) flows: u32,
     activity: Decayed,
-    /// A moving mean of its response times, in seconds.
+    /// Moving average of its response times, in seconds.
     response: Option<f64>,
     response_at: Time,
-    /// When it last answered something.
+    /// Time of its last answer.
     pub(crate) last_progress: Time,
-    /// How many different flows have waited in vain since then.
+    /// Number of distinct flows that have stalled since then.
     stalled: u32,
-    /// How often they have sent something again since then.
+    /// Number of retransmissions since then.
     copies: u32,
-    /// Since when the first of them has waited, and the last.
+    /// When the first and the last of the stalled flows began to wait.
     stalled_since: Time,
     last_stalled_since: Time,
-    /// When one of them last sent something again.
+    /// Time of the last retransmission.
     copied_at: Time,
-    /// Other instances' reports.
+    /// Reports of other instances.
     heard: Vec<Heard>,
-    /// Whether others were told of all flows that wait.
+    /// Whether all stalled flows have been reported to other instances.
     is_reported: bool,
     reported_at: Time,
-    /// Numbers its stalls, so that a flow is counted once in each.
+    /// Sequence number of the current stall, so that each flow is counted once per stall.
     stall: u32,
-    /// When it was last found dead, if it has not answered since.
+    /// When it was last marked dead, if it hasn't answered since.
     dead_since: Option<Time>,
-    /// Whether all instances were told that it is silent, and not yet that it has answered.
+    /// Whether its silence was announced to all instances, and its recovery not yet.
     is_told_silent: bool,
-    /// Since when nobody has seen it answer, when all were told so last.
+    /// Start of the last announced silence, during which no instance has seen an answer.
     silent_since: Time,
-    /// Counts what was told of its silence.
+    /// Round number of the last announcement about its silence.
     pub(crate) silence_round: u32,
-    /// Until when its zone counts as cut off.
+    /// Until when its zone is considered cut off.
     avoid_until: Time,
-    /// When a flow may try it again, while flows wait in vain.
+    /// When a flow may try it again while others are stalled.
     retry_at: Time,
     retry_pause: Duration,
-    /// When the next new flow may go to it from here, while it is cold and its operators tell what it bears.
+    /// When the next new flow from here may go to it, while it is cold and rate-limited.
     pub(crate) cold_next: Time,
-    /// How tries at it end.
+    /// Results of attempts at it.
     pub(crate) record: Record,
-    /// Whether it gets new flows in spite of that.
+    /// Whether it is excluded from new flows because of those results.
     pub(crate) ejection: Ejection,
 }
 
 impl Health {
-    /// The upstream has answered something, here or elsewhere.
+    /// Records an answer of the upstream, seen here or elsewhere.
     pub(crate) fn note_progress(&mut self, at: Time) -> Progress {
         if at <= self.last_progress {
             return Progress::default();
@@ -126,27 +126,27 @@
         }
     }
 
-    /// The upstream took this long to answer a request, in seconds.
+    /// Records a response time, in seconds.
     pub(crate) fn note_response(&mut self, sample: f64, now: Time) {
         let held = self.response(now).unwrap_or(sample);
         self.response = Some(held + (sample - held) * SAMPLE_WEIGHT);
         self.response_at = now;
     }
 
-    /// How long it takes to answer, in seconds, if that was seen lately.
+    /// Mean response time in seconds, if there are recent samples.
     pub(crate) fn response(&self, now: Time) -> Option<f64> {
         self.response.filter(|_| now.since(self.response_at) < SAMPLE_KEEP)
     }
 
-    /// A request is on its way to it.
+    /// Counts a request that was forwarded to it.
     pub(crate) fn note_request(&mut self, now: Time) {
         self.activity.add(1, ACTIVITY_SPAN, now);
     }
 
-    /// A flow has sent something once more, as the upstream has not reacted.
+    /// Counts a retransmission of a flow that the upstream hasn't reacted to.
     ///
-    /// Nothing is counted if the upstream has answered another flow meanwhile: then only this flow's packet was lost, which
-    /// this tells.
+    /// Returns whether only a packet of this flow was lost, which is so if the upstream has answered another flow in
+    /// the meantime. Nothing is counted then.
     pub(crate) fn note_copy(&mut self, flow: &mut Flow, now: Time) -> bool {
         if self.last_progress > flow.waits_since() {
             return true;
@@ -170,7 +170,7 @@
         false
     }
 
-    /// Another instance has reported that flows wait for this upstream in vain.
+    /// Stores another instance's report of stalled flows.
     pub(crate) fn hear(&mut self, from: ReporterId, report: &Report, now: Time) {
         self.heard
             .retain(|heard| heard.from != from && now.since(heard.at) < REPORT_KEEP);
@@ -184,29 +184,29 @@
         }
     }
 
-    /// The reports that count.
+    /// Reports that are still valid.
     fn reports(&self, now: Time) -> impl Iterator<Item = &Heard> {
         self.heard.iter().filter(move |heard| now.since(heard.at) < REPORT_KEEP)
     }
 
-    /// How many flows of other instances wait for it in vain.
+    /// Number of stalled flows at other instances.
     fn stalled_elsewhere(&self, now: Time) -> u32 {
         let stalled = self.reports(now).map(|heard| heard.stalled);
         stalled.fold(0, u32::saturating_add)
     }
 
-    /// Since when flows have waited for it in vain.
+    /// When the first of the stalled flows began to wait.
     pub(crate) fn stalled_since(&self) -> Time {
         self.stalled_since
     }
 
-    /// From when the first to when the last of the flows that wait for it in vain began to wait.
+    /// Span from when the first of the stalled flows began to wait to when the last did.
     pub(crate) fn stalled_span(&self) -> RangeInclusive<Time> {
         self.stalled_since..=self.last_stalled_since
     }
 
-    /// Whether it is to be taken for dead from now on by what is seen here alone: more flows wait in vain than chance explains
-    /// while this much is lost.
+    /// Marks it dead if local observations alone show it: more flows are stalled than chance explains at the given loss
+    /// rate. Returns whether it was marked.
     pub(crate) fn dies(&mut self, loss: Percent, now: Time) -> bool {
         if self.stalled < loss::flows_beyond_chance(loss) || self.is_dead(now) {
             return false;
@@ -215,7 +215,7 @@
         true
     }
 
-    /// What speaks for its being silent, where this much is lost.
+    /// Evidence for its silence, at the given loss rate.
     pub(crate) fn grounds(&self, loss: Percent, now: Time) -> Grounds {
         Grounds {
             waiting: self.stalled,
@@ -226,17 +226,17 @@
         }
     }
 
-    /// How many flows but one wait for it in vain.
+    /// Number of stalled flows other than the one in question.
     pub(crate) fn other_flows(&self) -> u32 {
         self.stalled.saturating_sub(1)
     }
 
-    /// How many answers of its would have been seen here within this time, if it answered as usual.
+    /// Number of answers that would have been seen here within this time if it answered at its usual rate.
     pub(crate) fn expected_answers(&self, within: Duration, now: Time) -> f64 {
         self.record.rate(now) * within.as_secs_f64()
     }
 
-    /// Whether others should be told now of flows that wait: something has changed since the last time, or is about to lapse.
+    /// Whether a report of stalled flows is due: something has changed since the last one, or that is about to expire.
     pub(crate) fn take_due(&mut self, now: Time) -> bool {
         let is_due = !self.is_reported || now.since(self.reported_at) >= REPORT_KEEP / 2;
         let has_given_up = now.since(self.copied_at) >= COPIES_END;
@@ -248,7 +248,7 @@
         true
     }
 
-    /// What is known here, for another instance. `is_in_doubt` tells whether this one doubts its own link.
+    /// Report for another instance. `is_in_doubt` says that this instance doubts its own link.
     pub(crate) fn tell(&self, upstream: UpstreamId, loss: loss::Sample, is_in_doubt: bool, now: Time) -> Report {
         Report {
             upstream,
@@ -261,7 +261,8 @@
         }
     }
 
-    /// Whether flows enough wait for it, here and elsewhere, that others should be asked, unless they were told already.
+    /// Whether enough flows are stalled, here and elsewhere, to query other instances, unless its silence has already
+    /// been announced.
     pub(crate) fn is_questionable(&self, now: Time) -> bool {
         let is_known = self.is_told_silent && self.is_dead(now);
         let signs = self.reports(now).map(|heard| heard.signs);
@@ -269,40 +270,42 @@
         !is_known && signs >= loss::signs_beyond_chance(0.0)
     }
 
-    /// How often flows have sent something again since it last answered. A packet that is lost twice is as rare as two that
-    /// are lost once; but a single flow's way may be bad, so each counts twice at most.
+    /// Number of retransmissions since its last answer, limited to two for each stalled flow. A packet that is lost
+    /// twice is as unlikely as two packets that are lost once each, but the path of a single flow may be bad.
     fn signs(&self) -> u32 {
         self.copies.min(self.stalled * 2)
     }
 
-    /// It is taken for dead.
+    /// Marks it dead.
     pub(crate) fn find_dead(&mut self, now: Time) {
         self.dead_since = Some(now);
     }
 
-    /// It is taken for dead by all instances, who are told so.
+    /// Marks it dead after a joint finding of the instances that is announced to all.
     pub(crate) fn find_silent(&mut self, since: Time, now: Time) {
         self.find_dead(now);
         self.is_told_silent = true;
         self.silent_since = since;
     }
 
-    /// Whether all were told that it is silent. The answer holds once: now they are to be told that it has answered.
+    /// Takes the flag that its silence was announced. It is returned as set only once: the caller has to announce the
+    /// recovery.
     pub(crate) fn take_told_silent(&mut self) -> bool {
         std::mem::take(&mut self.is_told_silent)
     }
 
-    /// It gets no new flows for a while, as its zone seems to be cut off.
+    /// Lets new flows avoid it for a while, as its zone seems to be cut off.
     pub(crate) fn avoid(&mut self, now: Time) {
         self.avoid_until = now + DEAD_KEEP;
     }
 
-    /// Whether others go before it.
+    /// Whether other upstreams are preferred for new flows.
     pub(crate) fn is_avoided(&self, now: Time) -> bool {
         now < self.avoid_until || self.is_suspect(now) || self.is_dead(now) || self.ejection.is_avoided(now)
     }
 
-    /// It is no longer taken for dead, as another one of its zone answers. What all instances have found together stands.
+    /// Clears the dead state because another upstream of its zone answers. A joint finding of the instances remains in
+    /// force.
     pub(crate) fn revive(&mut self) {
         if self.is_told_silent {
             return;
@@ -313,34 +316,34 @@
         self.copies = 0;
     }
 
-    /// Whether it was found dead and has not answered since.
+    /// Whether it was marked dead and hasn't answered since.
     pub(crate) fn is_given_up(&self) -> bool {
         self.dead_since.is_some()
     }
 
-    /// Whether it was found dead a moment ago. Without new flows that wait in vain, this ends by itself: an upstream that
-    /// nobody may try can't show that it lives.
+    /// Whether it was marked dead recently. The state expires unless new flows stall: an upstream that gets no flows
+    /// has no chance to show that it is alive.
     pub(crate) fn is_dead(&self, now: Time) -> bool {
         self.dead_since.is_some_and(|since| now.since(since) < DEAD_KEEP)
     }
 
-    /// Whether flows wait for it in vain and none should try it yet.
+    /// Whether flows are stalled on it and no new flow should try it yet.
     fn is_suspect(&self, now: Time) -> bool {
         self.stalled > 0 && now < self.retry_at
     }
 
-    /// How many flows wait for it in vain.
+    /// Number of stalled flows.
     pub(crate) fn stalled(&self) -> u32 {
         self.stalled
     }
 
-    /// Puts the next try off, by twice as much each time.
+    /// Postpones the next attempt with exponential backoff.
     fn postpone(&mut self, now: Time) {
         self.retry_pause = (self.retry_pause * 2).clamp(FIRST_RETRY, LAST_RETRY);
         self.retry_at = now + self.retry_pause;
     }
 
-    /// A new flow tries it.
+    /// Counts a new flow placed on it.
     pub(crate) fn note_placed(&mut self, now: Time) {
         self.flows += 1;
         self.ejection.note_placed(now);
@@ -349,20 +352,20 @@
         }
     }
 
-    /// All of its flows are over, those that waited among them. So they speak against it no longer: once flows may try it
-    /// again, only what becomes of these counts.
+    /// Clears the evidence of flows that have all been reset, stalled ones included. Once flows may try it again, only
+    /// their results count.
     pub(crate) fn note_all_over(&mut self) {
         self.stalled = 0;
         self.copies = 0;
         self.heard.clear();
     }
 
-    /// A flow of its ended or was forgotten.
+    /// Counts a flow that has ended or been removed.
     pub(crate) fn note_ended(&mut self) {
         self.flows = self.flows.saturating_sub(1);
     }
 
-    /// About how many requests it got within the last [`ACTIVITY_SPAN`].
+    /// Approximate number of requests within the last [`ACTIVITY_SPAN`].
     pub(crate) fn activity(&self, now: Time) -> f64 {
         self.activity.value(ACTIVITY_SPAN, now)
     }
--- a/crates/flow/src/inquiry.rs
+++ b/crates/flow/src/inquiry.rs
@@ -1,11 +1,11 @@
-//! Whether an upstream is silent, by what all instances have seen that get most of its flows.
+//! Joint detection of silent upstreams, from the observations of all instances that get most of an upstream's flows.
 //!
-//! Where many instances share an upstream's flows, none sees enough of them to tell: with forty to a zone and five requests
-//! a second at an upstream, each sees one in eight seconds. So flows that wait in vain are reported to an instance that sums
-//! up. As soon as enough are reported, it asks the others of the zone what they have seen, and their answers decide: any
-//! that has seen the upstream answer since vouches for it.
+//! Where many instances share an upstream's flows, none sees enough of them to decide alone: with forty instances in a
+//! zone and five requests a second at an upstream, each sees one request in eight seconds. So stalled flows are
+//! reported to an instance that aggregates them. Once enough are reported, it queries the other instances of the zone,
+//! and their replies decide: any instance that has seen the upstream answer since refutes the suspicion.
 //!
-//! Only answers count, not the reports before: whoever answers can be reached both ways.
+//! Only the replies count, not the earlier reports: an instance that replies is reachable in both directions.
 
 use std::time::Duration;
 
@@ -16,22 +16,22 @@
 use crate::report::Report;
 use crate::report::ReporterId;
 
-/// How long answers are waited for. They take some milliseconds, and up to a tenth of a second from an instance that has used
-/// up its share of the processor.
+/// How long to wait for replies. They take some milliseconds, and up to a tenth of a second from an instance that has
+/// used up its CPU quota.
 const PATIENCE: Duration = Duration::from_millis(100);
-/// At how many instances flows must wait: what a single one sees may be due to its own link.
+/// Minimum number of instances with stalled flows: the observations of a single one may be due to its own link.
 const LEAST_INSTANCES: u32 = 2;
 
-/// What one instance has seen.
+/// Observations of one instance.
 #[derive(Debug, Clone, Copy)]
 struct View {
     /// When it last saw the upstream answer.
     answered_at: Time,
-    /// Since when flows wait there in vain, and how often they have sent something again.
+    /// When the first of its stalled flows began to wait, and their number of retransmissions.
     waiting_since: Time,
     signs: u32,
     loss: Sample,
-    /// Whether it doubts what it sees.
+    /// Whether it doubts its own link.
     is_in_doubt: bool,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// A question to other instances, and their answers so far.
+/// Query to other instances about an upstream, with the replies so far.
 #[derive(Debug)]
 pub(crate) struct Inquiry {
     asked: usize,
@@ -56,28 +56,28 @@
     views: Vec<View>,
 }
 
-/// What an inquiry has found.
+/// Result of an inquiry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Finding {
-    /// Too little to tell.
+    /// The evidence doesn't suffice.
     Unclear,
-    /// It answers nobody.
+    /// No instance has seen the upstream answer.
     Silent(Silence),
 }
 
-/// Flows that wait for an upstream that answers nobody.
+/// Evidence that an upstream answers nobody.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Silence {
-    /// Since when the first of them waits.
+    /// When the first of the stalled flows began to wait.
     pub(crate) since: Time,
-    /// How often they have sent something again.
+    /// Number of retransmissions of these flows.
     pub(crate) signs: u32,
-    /// At how many instances.
+    /// Number of instances with stalled flows.
     pub(crate) instances: u32,
 }
 
 impl Inquiry {
-    /// So many other instances are asked now.
+    /// Creates an inquiry that `asked` other instances are queried for.
     pub(crate) fn new(asked: usize, now: Time) -> Self {
         Self {
             asked,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// An instance tells what it has seen.
+    /// Records the reply of an instance.
     pub(crate) fn hear(&mut self, from: ReporterId, report: &Report, now: Time) {
         if self.heard.contains(&from) {
             return;
@@ -96,18 +96,20 @@
         self.views.push(View::new(report, now));
     }
 
-    /// Whether nothing more is to be waited for.
+    /// Whether all replies have arrived or the time for them is over.
     pub(crate) fn is_over(&self, now: Time) -> bool {
         self.views.len() >= self.asked || now >= self.until
     }
 
-    /// When anybody who has answered last saw the upstream answer.
+    /// When any of the instances that have replied last saw the upstream answer.
     pub(crate) fn answered_at(&self) -> Time {
         self.views.iter().map(|view| view.answered_at).max().unwrap_or_default()
     }
 
-    /// What the answers tell, `own` being what the instance that asks has seen itself. More than half of those asked must have
-    /// answered: otherwise the ways between instances are in a state in which packets to upstreams may be lost as well.
+    /// Evaluates the replies together with `own`, the observations of the instance that asks.
+    ///
+    /// More than half of the queried instances must have replied: otherwise the network between instances is in a state
+    /// in which packets to upstreams may be lost too.
     pub(crate) fn finding(&self, own: &Report, now: Time) -> Finding {
         if self.views.len() * 2 <= self.asked {
             return Finding::Unclear;
@@ -131,7 +133,7 @@
             silence.instances += 1;
             most_lost = most_lost.max(view.loss.share());
         }
-        // One that reports may see more loss than the rest of the zone.
+        // An instance that reports may see more loss than the rest of the zone.
         let lost = most_lost.max(together.share());
         let is_beyond_chance = silence.signs >= loss::signs_beyond_chance(lost);
         if silence.instances < LEAST_INSTANCES || !is_beyond_chance {
--- a/crates/flow/src/place.rs
+++ b/crates/flow/src/place.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a new flow.
+//! Upstream selection for new flows.
 
 use std::fmt;
 
@@ -11,38 +11,38 @@
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
-/// How much dearer an upstream in another availability zone is. Its zone may be cut off at any time, which costs all
-/// of its flows from here.
+/// Cost factor for an upstream in another availability zone. That zone may be cut off at any time, which breaks all of
+/// its flows from here.
 const OTHER_ZONE_FACTOR: f64 = 4.0;
-/// How much dearer an upstream is that is still slow after its start.
+/// Cost factor for an upstream that is still slow after its start.
 const COLD_FACTOR: f64 = 1.5;
-/// How much an upstream's flows count against its requests of the last second: a flow will send again.
+/// Weight of an open flow relative to a request of the last second: the flow will send more requests.
 const FLOW_WEIGHT: f64 = 0.5;
-/// What a free upstream counts, so that factors apply to it as well.
+/// Base load of an idle upstream, so that cost factors apply to it too.
 const BASE_LOAD: f64 = 0.5;
-/// Response times below this, in seconds, count as equal: the way there and back takes as long.
+/// Response times in seconds below this count as equal: the network round trip takes as long.
 const LEAST_RESPONSE: f64 = 0.005;
-/// How much more slowly than its best a zone may answer before another one gets cheaper. Means of a second or so vary by
-/// half and more in a zone that is in good order, and each flow that this leads elsewhere is lost to the client when the way
-/// there is cut.
+/// How far the response time of the local zone may exceed its baseline before another zone gets cheaper. In a healthy
+/// zone, means over a second or so vary by half and more, and each flow that is sent elsewhere because of this is lost
+/// to the client when the path to that zone is cut.
 const USUAL_PRESSURE: f64 = 2.2;
-/// How steeply another zone gets cheaper beyond that: at 2.8 times its best, it is as cheap as the own one.
+/// Exponent of the cost reduction beyond that: at 2.8 times the baseline, another zone is as cheap as the local one.
 const PRESSURE_POWER: i32 = 6;
-/// By how much of itself the base response time grows in a second without a sample as short, so that a service that has
-/// become slower for good is not held to its past for more than a minute or so.
+/// Growth of the baseline response time per second without a sample as short, as a fraction. A service that has become
+/// slower for good isn't measured against its old baseline for more than a minute or so.
 const BASE_GROWTH: f64 = 0.01;
-/// Up to which part of its load an upstream may be favoured by chance, so that instances that know the same don't all
-/// choose the same.
+/// Maximum random increase of a cost, as a fraction, so that instances with the same information don't all choose the
+/// same upstream.
 const JITTER: f64 = 0.1;
 
-/// How good a choice an upstream is at best, best first.
+/// Preference class of an upstream, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// It is listed as ready and answers.
+    /// Listed as ready, and answering.
     Ready,
-    /// Flows wait for a sign of life from it.
+    /// Flows are stalled on it.
     Suspect,
-    /// It is no longer listed, but has been a moment ago: its entry may only have lapsed.
+    /// No longer listed, but was a moment ago: its entry may only have expired.
     Lapsed,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// An upstream that could take a new flow.
+/// Candidate upstream for a new flow.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) id: UpstreamId,
@@ -64,12 +64,12 @@
     pub(crate) cost: f64,
 }
 
-/// How an upstream looks from here.
+/// Load and response time of an upstream as seen from here.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct View {
-    /// Its flows seen here and the requests of the last second, for each slot.
+    /// Weighted open flows plus requests of the last second, per slot.
     load: f64,
-    /// How long it takes to answer, in seconds, if that was seen lately.
+    /// Mean response time in seconds, if there are recent samples.
     response: Option<f64>,
 }
 
@@ -84,10 +84,10 @@
     }
 }
 
-/// How long the upstreams of one's own availability zone take to answer when they are not overloaded, in seconds.
+/// Baseline response time of the local zone's upstreams, in seconds: how long they take when they aren't overloaded.
 ///
-/// It is the lowest mean over them, remembered for a minute or so. A mean varies little by chance, so that it tells
-/// overload of the zone from one upstream's long request.
+/// It is the lowest mean over these upstreams, kept for a minute or so. A mean varies little by chance, so it
+/// distinguishes overload of the zone from a long request at one upstream.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Base {
     response: f64,
@@ -95,7 +95,7 @@
 }
 
 impl Base {
-    /// Takes in the mean seen now.
+    /// Returns the baseline updated with the current mean.
     pub(crate) fn update(held: Option<Self>, mean: Option<f64>, now: Time) -> Option<Self> {
         let held = held.map(|base| base.response * (1.0 + BASE_GROWTH * now.since(base.at).as_secs_f64()));
         let response = [held, mean].into_iter().flatten().min_by(f64::total_cmp)?;
@@ -103,18 +103,18 @@
     }
 }
 
-/// What the upstreams of a service have in common.
+/// Aggregates over the upstreams of a service.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Peers {
-    /// The sum of loads in one's own availability zone.
+    /// Sum of loads in the local zone.
     load_at_home: f64,
     at_home: u32,
-    /// The sum of response times seen there, in seconds.
+    /// Sum of response times seen there, in seconds.
     response_at_home: f64,
     answering: u32,
-    /// The shortest response time seen anywhere, in seconds.
+    /// Shortest response time in any zone, in seconds.
     fastest: Option<f64>,
-    /// How long those at home take when they are not overloaded.
+    /// Baseline response time of the local zone.
     pub(crate) base: Option<Base>,
 }
 
@@ -137,13 +137,13 @@
         self.load_at_home / f64::from(self.at_home.max(1))
     }
 
-    /// The mean response time at home, once most of those there were seen to answer.
+    /// Mean response time in the local zone, if at least half of its upstreams have recent samples.
     pub(crate) fn mean_response(&self) -> Option<f64> {
         let is_known = self.answering > 0 && self.answering * 2 >= self.at_home;
         is_known.then(|| self.response_at_home / f64::from(self.answering))
     }
 
-    /// How much slower than the fastest an upstream answers, at least 1.
+    /// Response time relative to the fastest upstream, at least 1.
     fn slowness(&self, view: View) -> f64 {
         let (Some(fastest), Some(response)) = (self.fastest, view.response) else {
             return 1.0;
@@ -151,7 +151,7 @@
         (response / fastest.max(LEAST_RESPONSE)).max(1.0)
     }
 
-    /// How much slower those at home answer than when they are not overloaded, at least 1.
+    /// Response time of the local zone relative to its baseline, at least 1.
     fn pressure(&self) -> f64 {
         let (Some(base), Some(mean)) = (self.base, self.mean_response()) else {
             return 1.0;
@@ -159,18 +159,19 @@
         (mean / base.response.max(LEAST_RESPONSE)).max(1.0)
     }
 
-    /// How much dearer an upstream of another zone is.
+    /// Cost factor for upstreams of another zone.
     fn other_zone_factor(&self) -> f64 {
         let excess = (self.pressure() / USUAL_PRESSURE).max(1.0);
         (OTHER_ZONE_FACTOR / excess.powi(PRESSURE_POWER)).max(1.0)
     }
 }
 
-/// What a new flow costs at an upstream: its load, by zone, warmth and response time.
+/// Cost of a new flow at an upstream, from its load, zone, warm-up state and response time.
 ///
-/// Flows that others lead to another zone's upstreams can't be seen from here. They are taken to be as busy as those
-/// of one's own zone at least; without that, idle as they look, they would draw flows away from a zone in good order.
-/// Response times count squared, so that an upstream that answers twice as slowly gets a quarter of the flows.
+/// Flows that other instances send to another zone's upstreams aren't visible here. These upstreams are assumed to be
+/// at least as busy as those of the local zone; otherwise they would look idle and attract flows away from a healthy
+/// zone. The relative response time is squared, so an upstream that answers twice as slowly gets a quarter of the
+/// flows.
 pub(crate) fn cost(listed: &Listed, view: View, peers: &Peers, zone: &ZoneName, now: Time, rng: &mut SmallRng) -> f64 {
     let mut cost = if listed.upstream().zone == *zone {
         BASE_LOAD + view.load
@@ -184,7 +185,7 @@
     cost * (1.0 + JITTER * rng.random::<f64>())
 }
 
-/// The best of several candidates.
+/// Returns the best candidate.
 pub(crate) fn best(candidates: impl Iterator<Item = Candidate>) -> Option<Candidate> {
     candidates.min_by(|a, b| a.tier.cmp(&b.tier).then(a.cost.total_cmp(&b.cost)))
 }
--- a/crates/flow/src/standing.rs
+++ b/crates/flow/src/standing.rs
@@ -1,4 +1,4 @@
-//! What instances tell all others of an upstream: that it gets no new flows, or gets them again.
+//! Status updates that instances send to all others: whether an upstream gets new flows.
 
 use std::time::Duration;
 
@@ -7,42 +7,42 @@
 
 use crate::upstream::UpstreamId;
 
-/// What is told of an upstream.
+/// Announced status of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// Tries at it end badly. It gets no new flows, and open ones stay.
+    /// Attempts at it fail. It gets no new flows, and its open flows stay.
     Failing,
-    /// Tries at it end well again.
+    /// Attempts at it succeed again.
     Serving,
-    /// It answers nobody: it gets no new flows, and open ones are over.
+    /// It answers no instance. It gets no new flows, and its open flows are lost.
     Silent {
-        /// For how long flows wait for it and nobody has seen an answer.
+        /// How long flows have waited for it without an answer at any instance.
         silent_for: Duration,
-        /// How often these flows have sent something again.
+        /// Number of retransmissions of these flows.
         signs: u32,
-        /// At how many instances.
+        /// Number of instances with such flows.
         instances: u32,
     },
-    /// It has answered after all.
+    /// It has answered again.
     Alive {
-        /// How long ago.
+        /// Time since the answer.
         answered_ago: Duration,
     },
 }
 
-/// What an instance tells all others of one upstream.
+/// Status update about one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Counts what was told of its failing, or of its silence; the highest counts.
+    /// Round number of the update, counted separately for failure and for silence; the highest takes precedence.
     pub round: u32,
-    /// What is told.
+    /// The announced status.
     pub status: Status,
 }
 
 impl Standing {
-    /// The same, told so much later. The times come from another instance and may be any.
+    /// The same update, delayed by `by`. The times come from another instance and may have any value.
     pub(crate) fn aged(self, by: Duration) -> Self {
         let status = match self.status {
             Status::Silent {
--- a/crates/flow/src/usual.rs
+++ b/crates/flow/src/usual.rs
@@ -1,25 +1,26 @@
-//! What is usual: how long a service's answers take, how long a route's answers are, and how tries end.
+//! Typical values that failures are measured against: a service's response times and results, and a route's response
+//! lengths.
 
 use std::time::Duration;
 
 use crate::outcome::Tally;
 
-/// How much a new sample of a service's response time counts. Some fifty answers a second come by at an instance.
+/// Weight of a new response time sample of a service. An instance sees about fifty answers a second.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// How many times as long as usual a request may go without an answer until it counts as overdue. Of requests whose work varies
-/// by half (log-normally), three in ten thousand take as long.
+/// Multiple of the typical response time after which an unanswered request counts as overdue. Of requests whose work
+/// varies by half (log-normal distribution), three in ten thousand take that long.
 const OVERDUE_FACTOR: f64 = 5.0;
-/// The shortest and the longest time until a request counts as overdue. Data that its upstream has not taken is sent again
-/// after 200 milliseconds, which is another sign.
+/// Bounds of the time until a request counts as overdue. Data that the upstream hasn't acknowledged is retransmitted
+/// after 200 milliseconds, which is counted separately.
 const SHORTEST_WAIT: Duration = Duration::from_millis(250);
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
-/// What is usual of a service's upstreams.
+/// Typical behaviour of a service's upstreams.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Service {
-    /// A moving mean of the time until an answer begins, in seconds.
+    /// Moving average of the time until an answer begins, in seconds.
     response: Option<f64>,
-    /// How tries ended at upstreams that are not ejected.
+    /// Results of attempts at upstreams that aren't ejected.
     pub(crate) tally: Tally,
 }
 
@@ -30,29 +31,29 @@
         self.response = Some(held + (sample - held) * SAMPLE_WEIGHT);
     }
 
-    /// How long a request may go without an answer.
+    /// Time after which an unanswered request counts as overdue.
     pub(crate) fn patience(&self) -> Duration {
         let usual = Duration::from_secs_f64(self.response.unwrap_or_default());
         usual.mul_f64(OVERDUE_FACTOR).clamp(SHORTEST_WAIT, LONGEST_WAIT)
     }
 
-    /// The shortest response time that an answer is credited with, in seconds: what comes much sooner than usual is a refusal
-    /// as a rule, and must not make its upstream look fast.
+    /// Lower bound in seconds for response time samples: an answer that comes much sooner than usual is typically an
+    /// error, and must not make its upstream look fast.
     pub(crate) fn least_response(&self) -> f64 {
         self.response.unwrap_or_default() / 2.0
     }
 }
 
-/// How many answers a route must have had until one can be called short.
+/// Minimum number of answers on a route before one can be classified as short.
 const LEAST_ANSWERS: u32 = 20;
-/// Which part of the median an answer has at least, unless it is short. Errors have 150 bytes or so with their head, and the
-/// shortest of twenty answers of usual size a third of the median.
+/// Fraction of the median below which an answer is short. Error responses have about 150 bytes including their header,
+/// and the shortest of twenty regular answers has about a third of the median.
 const SHORT_PART: f64 = 1.0 / 3.0;
-/// How far the median moves with each answer, at least, as a part of itself.
+/// Minimum step of the median estimate per answer, relative to the median.
 const STEP: f64 = 0.02;
 
-/// How long a route's answers are: their median, followed by small steps, which errors can't shift while they are fewer than
-/// half.
+/// Running estimate of the median response length of a route. It moves in small steps, so errors can't shift it while
+/// they are fewer than half of the answers.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Length {
     median: f64,
--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What becomes of a packet.
+//! Verdicts for packets.
 
 use std::net::SocketAddrV4;
 
@@ -10,25 +10,25 @@
 use crate::packet::ResetCause;
 use crate::upstream::UpstreamId;
 
-/// What becomes of a packet.
+/// Verdict for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes to an upstream with this echo.
+    /// Forward it to an upstream.
     Forward {
         /// The upstream.
         upstream: UpstreamId,
-        /// Where it takes packets.
+        /// The address at which the upstream takes packets.
         address: SocketAddrV4,
-        /// The echo that the packet carries from here on.
+        /// The echo that the forwarded packet carries.
         echo: Echo,
     },
-    /// Its flow is ended.
+    /// Reset its flow.
     Reset(Reset),
-    /// It goes nowhere.
+    /// Drop it.
     Drop(DropCause),
 }
 
-/// Ends a flow whose opening packet has come.
+/// Reset in response to an opening packet.
 pub(crate) fn reset_opening(packet: &Packet, cause: ResetCause) -> Reset {
     Reset {
         client: packet.client,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Ends an open flow.
+/// Reset for an established flow.
 pub(crate) fn reset_open(packet: &Packet, cause: ResetCause) -> Reset {
     Reset {
         client: packet.client,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Why a packet is dropped whose echo does not lead to one upstream.
+/// Reason for dropping a packet whose echo doesn't identify an upstream.
 pub(crate) fn unknown_echo(packet: &Packet) -> DropCause {
     if packet.flags.has(Flags::RST) {
         return DropCause::Reset;
