--- a/crates/flow/src/answered.rs
+++ b/crates/flow/src/answer_log.rs
@@ -17,24 +17,24 @@
 use crate::upstream::UpstreamId;
 
 /// How long entries are kept: stalled flows send their third retransmission after 1.4 seconds.
-const KEEP: Duration = Duration::from_secs(2);
+const RETENTION: Duration = Duration::from_secs(2);
 /// Maximum number of entries, about 24 KB. At a busy instance they cover less time, but many upstreams answer there.
-const MOST: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 
 /// Time at which a packet was sent, and its upstream.
 type Sent = (Time, UpstreamId);
 
 /// Packets that were sent recently and have been answered, in the order of the answers.
 #[derive(Debug, Default)]
-pub(crate) struct Answered {
+pub(crate) struct AnswerLog {
     sent: VecDeque<Sent>,
 }
 
-impl Answered {
+impl AnswerLog {
     /// Records an answer to something that was sent to an upstream at `sent_at`.
     pub(crate) fn note(&mut self, upstream: UpstreamId, sent_at: Time, now: Time) {
-        let is_old = |sent: &Sent| now.since(sent.0) > KEEP;
-        while self.sent.len() >= MOST || self.sent.front().is_some_and(is_old) {
+        let is_old = |sent: &Sent| now.since(sent.0) > RETENTION;
+        while self.sent.len() >= MAX_ENTRIES || self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
         }
         self.sent.push_back((sent_at, upstream));
--- a/crates/flow/src/checks.rs
+++ b/crates/flow/src/checks.rs
@@ -19,7 +19,7 @@
     /// The flow to check.
     pub(crate) key: FlowKey,
     /// When the flow was opened, or when the request arrived.
-    pub(crate) began: Time,
+    pub(crate) started_at: Time,
 }
 
 /// Scheduled checks, with one queue for each kind, ordered by due time.
@@ -31,23 +31,23 @@
 
 impl Checks {
     /// Schedules a check of a new flow.
-    pub(crate) fn open(&mut self, key: FlowKey, began: Time) {
-        let due = began + REFUSED_AFTER;
-        self.openings.push_back(Check { due, key, began });
+    pub(crate) fn add_opening(&mut self, key: FlowKey, started_at: Time) {
+        let due = started_at + REFUSED_AFTER;
+        self.openings.push_back(Check { due, key, started_at });
     }
 
     /// Schedules a check of a request, also of one whose answer isn't complete yet.
-    pub(crate) fn request(&mut self, key: FlowKey, began: Time, due: Time) {
-        self.requests.push_back(Check { due, key, began });
+    pub(crate) fn add_request(&mut self, key: FlowKey, started_at: Time, due: Time) {
+        self.requests.push_back(Check { due, key, started_at });
     }
 
     /// Removes and returns the next due check of an opening.
-    pub(crate) fn next_opening(&mut self, now: Time) -> Option<Check> {
+    pub(crate) fn pop_opening(&mut self, now: Time) -> Option<Check> {
         self.openings.pop_front_if(|check| check.due <= now)
     }
 
     /// Removes and returns the next due check of a request.
-    pub(crate) fn next_request(&mut self, now: Time) -> Option<Check> {
+    pub(crate) fn pop_request(&mut self, now: Time) -> Option<Check> {
         self.requests.pop_front_if(|check| check.due <= now)
     }
 }
--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -1,13 +1,13 @@
 //! The packet path of one instance: takes packets and control-plane updates, and returns verdicts.
 
-mod carrying;
-mod evacuating;
-mod failing;
-mod inquiring;
+mod cold;
+mod established;
+mod evacuation;
+mod inquiries;
 mod opening;
+mod outliers;
 mod silence;
-mod standings;
-mod warming;
+mod status_updates;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
 use units::Time;
 use units::ZoneName;
 
-use crate::answered::Answered;
+use crate::answer_log::AnswerLog;
 use crate::checks::Checks;
 use crate::decision::Decision;
 use crate::directory::Directory;
@@ -38,18 +38,18 @@
 use crate::packet::Packet;
 use crate::packet::Reset;
 use crate::packet::ResetCause;
-use crate::place::Base;
+use crate::place::Baseline;
 use crate::route::Routes;
 use crate::standing::Standing;
+use crate::typical::TypicalLength;
+use crate::typical::TypicalService;
 use crate::upstream::UpstreamId;
-use crate::usual::Length;
-use crate::usual::Service;
 use crate::verdict::Verdict;
 use crate::wait::Wait;
 use crate::warning::Warning;
 
 /// Range of the seeded start offset for round-robin selection; far larger than any rotation.
-const FIRST_TURNS: u64 = 1 << 20;
+const START_OFFSETS: u64 = 1 << 20;
 
 /// Start-up options of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -90,7 +90,7 @@
     options: Options,
     rng: SmallRng,
     /// Start offset of this instance in round-robin selection.
-    first_turn: usize,
+    start_offset: usize,
     knowledge: Knowledge,
     routes: Routes,
     /// Warnings about the document that `routes` was built from.
@@ -98,24 +98,24 @@
     directory: Directory,
     health: HashMap<UpstreamId, Health>,
     /// Baseline response time of each service.
-    bases: HashMap<String, Base>,
+    baselines: HashMap<String, Baseline>,
     loss: Loss,
-    answered: Answered,
+    answer_log: AnswerLog,
     flows: Flows,
     resets: Vec<Reset>,
     decisions: Vec<Decision>,
     waits: Vec<Wait>,
     stats: Stats,
     /// Typical response time and results of each service.
-    services: HashMap<CompactString, Service>,
+    typical_services: HashMap<CompactString, TypicalService>,
     /// Typical response length of each route, by the address that clients connect to.
-    lengths: HashMap<SocketAddrV4, Length>,
+    typical_lengths: HashMap<SocketAddrV4, TypicalLength>,
     checks: Checks,
     /// Upstream status updates: decided here and not yet sent, and received from others with their arrival times.
     standings: Vec<Standing>,
     heard: Vec<(Time, Standing)>,
     /// Upstreams that other instances should be queried about, and queries in progress.
-    questions: BTreeSet<UpstreamId>,
+    due_inquiries: BTreeSet<UpstreamId>,
     inquiries: BTreeMap<UpstreamId, Inquiry>,
     /// Rate-limited cold upstreams that only this instance may send new flows to.
     kept: BTreeSet<UpstreamId>,
@@ -130,7 +130,7 @@
             Knowledge::default()
         };
         Self {
-            first_turn: (options.seed % FIRST_TURNS) as usize,
+            start_offset: (options.seed % START_OFFSETS) as usize,
             rng: SmallRng::seed_from_u64(options.seed),
             options,
             knowledge,
@@ -138,20 +138,20 @@
             warnings: Vec::new(),
             directory: Directory::default(),
             health: HashMap::new(),
-            bases: HashMap::new(),
+            baselines: HashMap::new(),
             loss: Loss::default(),
-            answered: Answered::default(),
+            answer_log: AnswerLog::default(),
             flows: Flows::default(),
             resets: Vec::new(),
             decisions: Vec::new(),
             waits: Vec::new(),
             stats: Stats::default(),
-            services: HashMap::new(),
-            lengths: HashMap::new(),
+            typical_services: HashMap::new(),
+            typical_lengths: HashMap::new(),
             checks: Checks::default(),
             standings: Vec::new(),
             heard: Vec::new(),
-            questions: BTreeSet::new(),
+            due_inquiries: BTreeSet::new(),
             inquiries: BTreeMap::new(),
             kept: BTreeSet::new(),
         }
@@ -197,7 +197,7 @@
             self.warnings.clone_from(&document.warnings);
             self.routes = Routes::new(at, document);
             let routes = &self.routes;
-            self.lengths.retain(|address, _| routes.to(*address).is_some());
+            self.typical_lengths.retain(|address, _| routes.to(*address).is_some());
         }
         let mut changed = self.knowledge.take_changed();
         changed.is_all |= self.knowledge.evacuated() != evacuated;
@@ -208,7 +208,7 @@
             "the directory follows what is known"
         );
         for id in restarted {
-            self.forget_start(id);
+            self.discard_start(id);
         }
         self.note_evacuations(&evacuated, now);
         for id in &changed.ids {
@@ -224,7 +224,7 @@
     ///
     /// Its flows are lost, but no resets are sent for them here: some may have been opened to the new process before
     /// this instance learned of the restart. The upstream itself resets the flows that it doesn't hold.
-    fn forget_start(&mut self, id: UpstreamId) {
+    fn discard_start(&mut self, id: UpstreamId) {
         let flows = self.flows.take_of(id).len();
         self.health.remove(&id);
         self.decisions.push(Decision::Restarted { upstream: id, flows });
@@ -232,23 +232,23 @@
 
     /// Returns the verdict for a packet from a client.
     pub fn packet(&mut self, packet: &Packet, now: Time) -> Verdict {
-        self.settle_due(now);
+        self.run_due_checks(now);
         let verdict = if packet.flags.has(Flags::SYN) {
-            self.open(packet, now)
+            self.open_flow(packet, now)
         } else {
-            self.carry(packet, now)
+            self.handle_established(packet, now)
         };
         if matches!(verdict, Verdict::Reset(_)) {
             let flow = FlowKey::from(packet);
             self.resets
                 .retain(|reset| (reset.client, reset.route) != (flow.client, flow.route));
         }
-        self.note(packet, verdict, now);
+        self.record_verdict(packet, verdict, now);
         verdict
     }
 
     /// Counts a verdict, and records it as a decision unless it only forwards the packet.
-    fn note(&mut self, packet: &Packet, verdict: Verdict, now: Time) {
+    fn record_verdict(&mut self, packet: &Packet, verdict: Verdict, now: Time) {
         let flow = FlowKey::from(packet);
         match verdict {
             Verdict::Forward { .. } => self.stats.forwarded += 1,
@@ -296,7 +296,7 @@
             return;
         };
         if let Some(health) = self.health.get_mut(&flow.upstream) {
-            health.note_ended();
+            health.note_flow_ended();
         }
     }
 
@@ -319,7 +319,7 @@
         let idle = document.idle_timeout.min(self.options.max_flow);
         for flow in self.flows.take_idle(idle, now) {
             if let Some(health) = self.health.get_mut(&flow.upstream) {
-                health.note_ended();
+                health.note_flow_ended();
             }
         }
         let then = now.before(self.options.max_flow * 2);
--- a/crates/flow/src/core/warming.rs
+++ b/crates/flow/src/core/cold.rs
@@ -18,11 +18,12 @@
 
 /// How many instances may consider themselves responsible for an upstream at the same time: while one joins or is
 /// declared dead, the others learn of it at different times. Each uses this fraction of the limit.
-const KEEPERS: u32 = 2;
+const RESPONSIBLE_INSTANCES: u32 = 2;
 
 /// Interval between new flows from the responsible instance to a cold upstream.
 fn spacing(rate: Rate) -> Duration {
-    rate.spacing().map_or(Duration::MAX, |spacing| spacing * KEEPERS)
+    rate.spacing()
+        .map_or(Duration::MAX, |spacing| spacing * RESPONSIBLE_INSTANCES)
 }
 
 impl Core {
@@ -37,18 +38,18 @@
     }
 
     /// Whether the rate limit of an upstream permits a new flow from here now.
-    pub(super) fn bears(&self, id: UpstreamId, listed: &Listed, health: Option<&Health>, now: Time) -> bool {
+    pub(super) fn permits_new_flow(&self, id: UpstreamId, listed: &Listed, health: Option<&Health>, now: Time) -> bool {
         if listed.cold_rate(now).is_none() {
             return true;
         }
-        self.kept.contains(&id) && health.is_none_or(|health| now >= health.cold_next)
+        self.kept.contains(&id) && health.is_none_or(|health| now >= health.next_cold_flow_at)
     }
 
     /// Records a new flow against the rate limit of its upstream.
-    pub(super) fn note_ration(&mut self, id: UpstreamId, now: Time) {
+    pub(super) fn record_cold_flow(&mut self, id: UpstreamId, now: Time) {
         let rate = self.directory.get(id).and_then(|listed| listed.cold_rate(now));
         if let Some(rate) = rate {
-            self.health.entry(id).or_default().cold_next = now + spacing(rate);
+            self.health.entry(id).or_default().next_cold_flow_at = now + spacing(rate);
         }
     }
 }
--- a/crates/flow/src/core/carrying.rs
+++ b/crates/flow/src/core/established.rs
@@ -20,18 +20,18 @@
 
 impl Core {
     /// Forwards a packet to the upstream that its echo names.
-    pub(super) fn carry(&mut self, packet: &Packet, now: Time) -> Verdict {
+    pub(super) fn handle_established(&mut self, packet: &Packet, now: Time) -> Verdict {
         let Some(id) = self.directory.by_echo(packet.echo) else {
             return Verdict::Drop(unknown_echo(packet));
         };
         let key = FlowKey::from(packet);
         if packet.flags.has(Flags::RST) || packet.flags.has(Flags::FIN) {
-            self.settle_last(&key, packet, now);
+            self.record_last_response(&key, packet, now);
             self.close(&key);
             return self.forward(id);
         }
         // A packet that proves progress marks its upstream as alive again, so it is evaluated first.
-        let sign = self.see(&key, id, packet, now);
+        let sign = self.observe(&key, id, packet, now);
         if packet.len > 0 && self.is_dead(id, now) {
             self.close(&key);
             return Verdict::Reset(reset_open(packet, ResetCause::Dead));
@@ -44,7 +44,7 @@
     }
 
     /// Updates the state of a flow and its upstream from a packet.
-    fn see(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
+    fn observe(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
         if self.flows.get_mut(key).is_none_or(|flow| flow.upstream != id) {
             self.close(key);
             self.flows.insert(*key, Flow::new(id, Stage::Adopted, packet, now));
@@ -61,7 +61,7 @@
             Progress::default()
         };
         if let Some(at) = sign.reached {
-            self.answered.note(id, at, now);
+            self.answer_log.note(id, at, now);
         }
         self.loss.note_losses(progress.losses, now);
         if sign.is_request {
@@ -69,20 +69,20 @@
             self.loss.note_attempt(now);
         }
         if sign.is_copy {
-            let is_lost = health.note_copy(flow, now);
+            let is_lost = health.note_retransmission(flow, now);
             self.loss.note_losses(is_lost.into(), now);
-            self.judge(id, now);
+            self.evaluate(id, now);
         }
         if progress.is_revived {
-            self.note_revived(id, now, now);
+            self.handle_revival(id, now, now);
         }
-        self.note_waits(id, sign);
-        self.note_tries(key, id, sign, now);
+        self.record_waits(id, sign);
+        self.record_attempts(key, id, sign, now);
         sign
     }
 
     /// Records the client waits that a packet ends, for metrics.
-    fn note_waits(&mut self, id: UpstreamId, sign: Sign) {
+    fn record_waits(&mut self, id: UpstreamId, sign: Sign) {
         let Some(listed) = self.directory.get(id) else {
             return;
         };
--- a/crates/flow/src/core/inquiring.rs
+++ b/crates/flow/src/core/inquiries.rs
@@ -13,23 +13,23 @@
 
 impl Core {
     /// This instance's observations of an upstream.
-    pub(super) fn view(&self, id: UpstreamId, now: Time) -> Report {
+    pub(super) fn own_report(&self, id: UpstreamId, now: Time) -> Report {
         let unused = Health::default();
         let health = self.health.get(&id).unwrap_or(&unused);
-        let is_in_doubt = health.stalled() > 0 && self.doubts(*health.stalled_span().start());
-        health.tell(id, self.loss.sample(now), is_in_doubt, now)
+        let is_in_doubt = health.stalled() > 0 && self.doubts_own_link(*health.stalled_span().start());
+        health.report(id, self.loss.sample(now), is_in_doubt, now)
     }
 
     /// This instance's observations of the upstreams that another instance asks about.
     pub fn views(&self, ids: &[UpstreamId], now: Time) -> Vec<Report> {
-        ids.iter().map(|id| self.view(*id, now)).collect()
+        ids.iter().map(|id| self.own_report(*id, now)).collect()
     }
 
     /// Schedules a query to other instances about an upstream if enough flows are stalled on it.
-    pub(super) fn question(&mut self, id: UpstreamId, now: Time) {
-        let is_questionable = self.health.get(&id).is_some_and(|health| health.is_questionable(now));
-        if is_questionable && !self.inquiries.contains_key(&id) {
-            self.questions.insert(id);
+    pub(super) fn schedule_inquiry(&mut self, id: UpstreamId, now: Time) {
+        let needs_inquiry = self.health.get(&id).is_some_and(|health| health.needs_inquiry(now));
+        if needs_inquiry && !self.inquiries.contains_key(&id) {
+            self.due_inquiries.insert(id);
         }
     }
 
@@ -38,9 +38,9 @@
         let over = self.inquiries.iter().filter(|(_, inquiry)| inquiry.is_over(now));
         let over: Vec<UpstreamId> = over.map(|(id, _)| *id).collect();
         for id in over {
-            self.conclude(id, now);
+            self.finish_inquiry(id, now);
         }
-        std::mem::take(&mut self.questions).into_iter().collect()
+        std::mem::take(&mut self.due_inquiries).into_iter().collect()
     }
 
     /// Starts an inquiry about an upstream; `asked` is the number of instances that are queried.
@@ -54,32 +54,32 @@
             let Some(inquiry) = self.inquiries.get_mut(&view.upstream) else {
                 continue;
             };
-            inquiry.hear(from, view, now);
+            inquiry.add_reply(from, view, now);
             if inquiry.is_over(now) {
-                self.conclude(view.upstream, now);
+                self.finish_inquiry(view.upstream, now);
             }
         }
     }
 
     /// Ends an inquiry, and marks the upstream as dead if it was found silent.
-    fn conclude(&mut self, id: UpstreamId, now: Time) {
+    fn finish_inquiry(&mut self, id: UpstreamId, now: Time) {
         let Some(inquiry) = self.inquiries.remove(&id) else {
             return;
         };
         if !self.directory.contains(id) {
             return;
         }
-        let finding = inquiry.finding(&self.view(id, now), now);
+        let finding = inquiry.finding(&self.own_report(id, now), now);
         let Finding::Silent(silence) = finding else {
-            self.note_answer(id, inquiry.answered_at(), now);
+            self.record_remote_answer(id, inquiry.answered_at(), now);
             return;
         };
-        self.find_silent(id, silence, now);
+        self.mark_silent(id, silence, now);
         let status = Status::Silent {
             silent_for: now.since(silence.since),
             signs: silence.signs,
             instances: silence.instances,
         };
-        self.tell_silence(id, status);
+        self.announce_silence(id, status);
     }
 }
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -16,11 +16,11 @@
 use crate::packet::Packet;
 use crate::packet::ResetCause;
 use crate::place;
-use crate::place::Base;
+use crate::place::Baseline;
 use crate::place::Candidate;
-use crate::place::Peers;
+use crate::place::PeerTotals;
 use crate::place::Tier;
-use crate::place::View;
+use crate::place::UpstreamLoad;
 use crate::upstream::UpstreamId;
 use crate::verdict::Verdict;
 use crate::verdict::reset_opening;
@@ -31,7 +31,7 @@
 
 impl Core {
     /// Places a new flow, or moves a retransmitted opening packet to another upstream.
-    pub(super) fn open(&mut self, packet: &Packet, now: Time) -> Verdict {
+    pub(super) fn open_flow(&mut self, packet: &Packet, now: Time) -> Verdict {
         if !self.knowledge.is_ready() {
             return Verdict::Drop(DropCause::NotReady);
         }
@@ -43,12 +43,12 @@
         };
         let service = service.to_owned();
         let key = FlowKey::from(packet);
-        if let Some(id) = self.held_up(&key, now) {
+        if let Some(id) = self.delayed_duplicate(&key, now) {
             return self.forward(id);
         }
-        let earlier = self.forget_opening(&key, now);
+        let earlier = self.remove_unanswered_opening(&key, now);
         let Some(candidate) = self.place(&service, earlier, now) else {
-            return Verdict::Reset(reset_opening(packet, self.why_none(&service, now)));
+            return Verdict::Reset(reset_opening(packet, self.no_upstream_cause(&service, now)));
         };
         let id = candidate.id;
         self.stats.placed += 1;
@@ -61,17 +61,17 @@
         });
         let flow = Flow::new(id, Stage::Opening, packet, now);
         self.health.entry(id).or_default().note_placed(now);
-        self.note_ration(id, now);
+        self.record_cold_flow(id, now);
         self.loss.note_attempt(now);
         self.flows.insert(key, flow);
-        self.checks.open(key, now);
+        self.checks.add_opening(key, now);
         self.forward(id)
     }
 
     /// The upstream of an opening packet whose copy arrived just before. Both were delayed on the way, so the second
     /// isn't a sign of an unresponsive upstream. An upstream that has since been told to take no new flows gets
     /// neither.
-    fn held_up(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
+    fn delayed_duplicate(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let flow = self.flows.get_mut(key)?;
         let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < COPY_SPACE;
         let id = flow.upstream;
@@ -80,7 +80,7 @@
     }
 
     /// Reason why a service has no upstream for a new flow.
-    fn why_none(&self, service: &str, now: Time) -> ResetCause {
+    fn no_upstream_cause(&self, service: &str, now: Time) -> ResetCause {
         let listed = || {
             let listed = self.directory.of_service(service).map(|(_, listed)| listed);
             listed.filter(|listed| listed.gone_since.is_none())
@@ -96,14 +96,14 @@
 
     /// Removes the flow of an earlier copy of an opening packet. The copy was not answered, which counts against its
     /// upstream.
-    fn forget_opening(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
+    fn remove_unanswered_opening(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let mut flow = self.flows.remove(key)?;
         let health = self.health.get_mut(&flow.upstream)?;
-        health.note_ended();
+        health.note_flow_ended();
         if flow.stage == Stage::Opening {
-            let is_lost = health.note_copy(&mut flow, now);
+            let is_lost = health.note_retransmission(&mut flow, now);
             self.loss.note_losses(is_lost.into(), now);
-            self.judge(flow.upstream, now);
+            self.evaluate(flow.upstream, now);
         }
         Some(flow.upstream)
     }
@@ -113,7 +113,7 @@
     /// For a service with very many upstreams, only a rotating subset is examined; all are examined only if none of the
     /// subset is [`Tier::Ready`].
     fn place(&mut self, service: &str, earlier: Option<UpstreamId>, now: Time) -> Option<Candidate> {
-        if let Some(next) = self.directory.next(service, &self.options.zone, self.first_turn) {
+        if let Some(next) = self.directory.next(service, &self.options.zone, self.start_offset) {
             let best = self.best_of(&next, service, earlier, now);
             if let Some(best) = best.filter(|best| best.tier == Tier::Ready && Some(best.id) != earlier) {
                 return Some(best);
@@ -133,7 +133,7 @@
     ) -> Option<Candidate> {
         let zone = &self.options.zone;
         let unused = Health::default();
-        let mut peers = Peers::default();
+        let mut peers = PeerTotals::default();
         let mut seen = Vec::new();
         let reachable = ids.iter().filter_map(|id| self.directory.reachable(*id));
         self.stats.looked_at += ids.len() as u64;
@@ -142,25 +142,25 @@
             let Some(tier) = tier(listed, health, now) else {
                 continue;
             };
-            if !self.bears(id, listed, health, now) {
+            if !self.permits_new_flow(id, listed, health, now) {
                 continue;
             }
-            let view = View::new(listed, health.unwrap_or(&unused), now);
-            peers.add(view, listed.upstream().zone == *zone);
-            seen.push((id, listed, tier, view));
+            let load = UpstreamLoad::new(listed, health.unwrap_or(&unused), now);
+            peers.add(load, listed.upstream().zone == *zone);
+            seen.push((id, listed, tier, load));
         }
-        peers.base = Base::update(self.bases.get(service).copied(), peers.mean_response(), now);
-        if let Some(base) = peers.base {
-            self.bases.insert(service.to_owned(), base);
+        peers.baseline = Baseline::update(self.baselines.get(service).copied(), peers.mean_response(), now);
+        if let Some(baseline) = peers.baseline {
+            self.baselines.insert(service.to_owned(), baseline);
         }
         if seen.len() > 1 {
             seen.retain(|(id, ..)| Some(*id) != earlier);
         }
         let rng = &mut self.rng;
-        let costed = seen.into_iter().map(|(id, listed, tier, view)| Candidate {
+        let costed = seen.into_iter().map(|(id, listed, tier, load)| Candidate {
             id,
             tier,
-            cost: place::cost(listed, view, &peers, zone, now, rng),
+            cost: place::cost(listed, load, &peers, zone, now, rng),
         });
         place::best(costed)
     }
--- a/crates/flow/src/core/failing.rs
+++ b/crates/flow/src/core/outliers.rs
@@ -28,97 +28,99 @@
 use crate::upstream::UpstreamId;
 
 /// A response counts as complete once it hasn't grown for this long.
-const WHOLE_AFTER: Duration = Duration::from_millis(100);
+const COMPLETE_AFTER: Duration = Duration::from_millis(100);
 /// How late a check may run and still count. A later check was delayed by this process, so its result proves nothing.
-const LATEST: Duration = Duration::from_millis(250);
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(250);
 /// At most one in this many upstreams of a service may be ejected. If more fail, the cause usually lies elsewhere, and
 /// the remaining upstreams couldn't carry the load.
-const EJECTED_PART: usize = 2;
+const EJECTED_ONE_IN: usize = 2;
 /// Maximum number of reports sent at once.
-const REPORTS: usize = 16;
+const MAX_REPORTS: usize = 16;
 
 impl Core {
     /// Evaluates all attempts whose checks are due.
-    pub(super) fn settle_due(&mut self, now: Time) {
-        while let Some(check) = self.checks.next_opening(now) {
-            self.settle_opening(check, now);
+    pub(super) fn run_due_checks(&mut self, now: Time) {
+        while let Some(check) = self.checks.pop_opening(now) {
+            self.check_opening(check, now);
         }
-        while let Some(check) = self.checks.next_request(now) {
-            self.settle_request(check, now);
+        while let Some(check) = self.checks.pop_request(now) {
+            self.check_request(check, now);
         }
     }
 
-    fn settle_opening(&mut self, check: Check, now: Time) {
+    fn check_opening(&mut self, check: Check, now: Time) {
         let Some(flow) = self.flows.get_mut(&check.key) else {
             return;
         };
-        let is_open = flow.stage != Stage::Opening || flow.first_seen != check.began;
-        if is_open || now.since(check.due) > LATEST {
+        let is_open = flow.stage != Stage::Opening || flow.first_seen != check.started_at;
+        if is_open || now.since(check.due) > MAX_CHECK_DELAY {
             return;
         }
         let upstream = flow.upstream;
         // Only an upstream that no longer listens refuses a connection, and then its open flows are lost too. So a
         // refusal is as strong a sign of failure as a missing answer, and needs the same confirmation.
         if let Some(health) = self.health.get_mut(&upstream) {
-            health.note_copy(flow, now);
-            self.judge(upstream, now);
+            health.note_retransmission(flow, now);
+            self.evaluate(upstream, now);
         }
-        self.settle(upstream, Outcome::Refused, now);
+        self.record_outcome(upstream, Outcome::Refused, now);
     }
 
-    fn settle_request(&mut self, check: Check, now: Time) {
+    fn check_request(&mut self, check: Check, now: Time) {
         let Some(flow) = self.flows.get_mut(&check.key) else {
             return;
         };
-        let Some(asked) = flow.asked.filter(|asked| asked.at == check.began) else {
+        let Some(asked) = flow.asked.filter(|asked| asked.at == check.started_at) else {
             return;
         };
-        if asked.progress_at.is_some_and(|at| now.since(at) < WHOLE_AFTER) {
-            return self.checks.request(check.key, check.began, now + WHOLE_AFTER);
+        if asked.progress_at.is_some_and(|at| now.since(at) < COMPLETE_AFTER) {
+            return self
+                .checks
+                .add_request(check.key, check.started_at, now + COMPLETE_AFTER);
         }
         let upstream = flow.upstream;
         let is_sent_again = flow.pending.is_some_and(|pending| pending.copies > 0);
         let answered = flow.answered();
         flow.asked = None;
-        if now.since(check.due) > LATEST {
+        if now.since(check.due) > MAX_CHECK_DELAY {
             return;
         }
         match answered {
-            Some(bytes) => self.settle_answer(&check.key, upstream, bytes, now),
+            Some(bytes) => self.record_response(&check.key, upstream, bytes, now),
             // The upstream hasn't acknowledged the request; retransmissions are counted separately.
             None if is_sent_again => {}
-            None => self.settle(upstream, Outcome::Overdue, now),
+            None => self.record_outcome(upstream, Outcome::Overdue, now),
         }
     }
 
     /// Records attempts that a packet completes or starts.
-    pub(super) fn note_tries(&mut self, key: &FlowKey, id: UpstreamId, sign: Sign, now: Time) {
+    pub(super) fn record_attempts(&mut self, key: &FlowKey, id: UpstreamId, sign: Sign, now: Time) {
         if sign.opened_after.is_some() {
-            self.settle(id, Outcome::Good, now);
+            self.record_outcome(id, Outcome::Good, now);
         }
         if let Some(bytes) = sign.answered {
-            self.settle_answer(key, id, bytes, now);
+            self.record_response(key, id, bytes, now);
         }
         let Some(service) = self.directory.get(id).map(|listed| &listed.upstream().service) else {
             return;
         };
-        let service = match self.services.get_mut(service) {
+        let service = match self.typical_services.get_mut(service) {
             Some(service) => service,
-            None => self.services.entry(service.clone()).or_default(),
+            None => self.typical_services.entry(service.clone()).or_default(),
         };
         if let Some(waited) = sign.waited {
             service.note_response(waited);
-            let sample = waited.as_secs_f64().max(service.least_response());
+            let sample = waited.as_secs_f64().max(service.min_response_sample());
             self.health.entry(id).or_default().note_response(sample, now);
         }
         if sign.is_request {
-            let due = now + service.patience();
-            self.checks.request(*key, now, due);
+            let due = now + service.overdue_after();
+            self.checks.add_request(*key, now, due);
         }
     }
 
     /// Records the last response of a flow, which is complete when the client closes the flow.
-    pub(super) fn settle_last(&mut self, key: &FlowKey, packet: &Packet, now: Time) {
+    pub(super) fn record_last_response(&mut self, key: &FlowKey, packet: &Packet, now: Time) {
         if !packet.flags.has(Flags::FIN) {
             return;
         }
@@ -128,36 +130,36 @@
         flow.see(packet, now);
         if let Some(bytes) = flow.answered() {
             let upstream = flow.upstream;
-            self.settle_answer(key, upstream, bytes, now);
+            self.record_response(key, upstream, bytes, now);
         }
     }
 
-    fn settle_answer(&mut self, key: &FlowKey, id: UpstreamId, bytes: u32, now: Time) {
-        let length = self.lengths.entry(key.route).or_default();
+    fn record_response(&mut self, key: &FlowKey, id: UpstreamId, bytes: u32, now: Time) {
+        let length = self.typical_lengths.entry(key.route).or_default();
         let is_short = length.is_short(bytes);
         length.note(bytes);
         let outcome = if is_short { Outcome::Short } else { Outcome::Good };
-        self.settle(id, outcome, now);
+        self.record_outcome(id, outcome, now);
     }
 
     /// Records the result of an attempt at an upstream.
-    fn settle(&mut self, id: UpstreamId, outcome: Outcome, now: Time) {
+    fn record_outcome(&mut self, id: UpstreamId, outcome: Outcome, now: Time) {
         *self.stats.outcomes.entry(outcome).or_default() += 1;
         let health = self.health.entry(id).or_default();
         health.record.add(outcome, now);
         let was_ejected = health.ejection.is_ejected();
         match health.ejection.settle(outcome, now) {
             Turn::None => {}
-            Turn::OutAgain => self.tell_standing(id),
+            Turn::OutAgain => self.announce_ejection(id),
             Turn::Back => {
                 self.decisions.push(Decision::Readmitted(id));
-                self.tell_standing(id);
+                self.announce_ejection(id);
             }
         }
         // Ejected upstreams don't count towards the service's typical results.
         if !was_ejected
             && let Some(listed) = self.directory.get(id)
-            && let Some(service) = self.services.get_mut(&listed.upstream().service)
+            && let Some(service) = self.typical_services.get_mut(&listed.upstream().service)
         {
             service.tally.add(outcome, now);
             let health = self.health.entry(id).or_default();
@@ -167,13 +169,13 @@
 
     /// Takes the reports of failures since the last call, for the aggregating instances.
     pub fn take_failures(&mut self, now: Time) -> Vec<FailureReport> {
-        self.settle_due(now);
+        self.run_due_checks(now);
         let mut reports = Vec::new();
         for (id, health) in &mut self.health {
             reports.extend(health.record.report(*id, now));
         }
         reports.sort_unstable_by_key(|report| (Reverse(report.failed), report.upstream));
-        reports.truncate(REPORTS);
+        reports.truncate(MAX_REPORTS);
         reports
     }
 
@@ -186,7 +188,7 @@
         let Some(listed) = self.directory.get(id) else {
             return;
         };
-        let service = self.services.get(&listed.upstream().service);
+        let service = self.typical_services.get(&listed.upstream().service);
         let health = self.health.entry(id).or_default();
         let usual = service.copied().unwrap_or_default().tally;
         let usual = usual.usual_without(&health.record.tally, now);
@@ -202,7 +204,7 @@
             upstream: id,
             usual_percent,
         });
-        self.tell_standing(id);
+        self.announce_ejection(id);
     }
 
     /// Whether another upstream of the same service may be ejected.
@@ -220,7 +222,7 @@
             let health = self.health.get(&other);
             ejected += usize::from(health.is_some_and(|health| health.ejection.is_ejected()));
         }
-        (ejected + 1) * EJECTED_PART <= all
+        (ejected + 1) * EJECTED_ONE_IN <= all
     }
 
     /// Availability zone of a listed upstream.
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -27,7 +27,7 @@
 
 /// Number of retransmissions after which a flow may count as stalled. They come 200, 600 and 1,400 milliseconds after
 /// the first transmission, and loss alone makes a single one common.
-const STALLED_COPIES: u32 = 2;
+const STALLED_RETRANSMISSIONS: u32 = 2;
 /// How many answers must be missing here, at the upstream's usual rate of completed attempts, before its silence
 /// towards one flow is significant. Where many instances share its flows, each sees one answer in several seconds, and
 /// a flow that lost a packet three times in a row would look like one with a silent upstream: at a loss of 3 percent,
@@ -41,14 +41,14 @@
 /// died.
 const SILENT_IN_ZONE: u32 = 2;
 /// Maximum number of reports sent at once.
-const REPORTS: usize = 16;
+const MAX_REPORTS: usize = 16;
 /// How much later than the start of the reporter's stall an answer must have been seen here to refute the report.
 /// Reports take a few milliseconds.
 const REPORT_SLACK: Duration = Duration::from_millis(20);
 
 /// Health of a zone's upstreams as seen from here.
 #[derive(Debug, Default, Clone, Copy)]
-struct Outlook {
+struct ZoneHealth {
     /// Upstreams that have got flows from this instance.
     seen: u32,
     /// Those of them with stalled flows.
@@ -62,7 +62,7 @@
     last_progress: Time,
 }
 
-impl Outlook {
+impl ZoneHealth {
     fn add(&mut self, health: &Health) {
         self.seen += 1;
         self.last_progress = self.last_progress.max(health.last_progress);
@@ -81,20 +81,20 @@
 
 impl Core {
     /// Marks an upstream as dead if the evidence suffices.
-    pub(super) fn judge(&mut self, id: UpstreamId, now: Time) {
+    pub(super) fn evaluate(&mut self, id: UpstreamId, now: Time) {
         let Some(health) = self.health.get(&id) else {
             return;
         };
         let others_answer = self.others_answer(&health.stalled_span());
         let loss = self.loss.percent(now);
         let health = self.health.entry(id).or_default();
-        let was_dead = health.is_given_up();
-        if others_answer && health.dies(loss, now) {
+        let was_dead = health.is_marked_dead();
+        if others_answer && health.mark_dead_if_stalled(loss, now) {
             let grounds = health.grounds(loss, now);
-            self.give_up(id, was_dead, grounds);
+            self.reset_flows_of(id, was_dead, grounds);
         }
-        self.question(id, now);
-        self.judge_zone(id, loss, now);
+        self.schedule_inquiry(id, now);
+        self.evaluate_zone(id, loss, now);
     }
 
     /// Handles a loss of connectivity to another availability zone: if none of its upstreams answers while those in the
@@ -104,33 +104,33 @@
     /// their flows show the loss within half a second; one by one, detection took as long as the outage. An upstream
     /// without stalled flows may be alive, since several others of its zone may have died at once, so its flows are
     /// left alone.
-    fn judge_zone(&mut self, id: UpstreamId, loss: Percent, now: Time) {
+    fn evaluate_zone(&mut self, id: UpstreamId, loss: Percent, now: Time) {
         let Some(zone) = self.directory.get(id).map(|listed| listed.upstream().zone.clone()) else {
             return;
         };
         if zone == self.options.zone {
             return;
         }
-        let there = self.outlook(&zone);
-        let is_silent = there.stalled >= loss::flows_beyond_chance(loss) && there.silent >= SILENT_IN_ZONE;
-        if !is_silent || there.last_progress >= there.since {
+        let remote = self.zone_health(&zone);
+        let is_silent = remote.stalled >= loss::flows_beyond_chance(loss) && remote.silent >= SILENT_IN_ZONE;
+        if !is_silent || remote.last_progress >= remote.since {
             return;
         }
         let home = self.options.zone.clone();
-        let at_home = self.outlook(&home);
-        let answered = self.answered.within(&(there.since..=there.last_since));
-        let is_home_in_order = answered.iter().any(|id| self.zone_of(*id) == Some(&home));
-        if !is_home_in_order || at_home.silent * 2 > at_home.seen {
+        let local = self.zone_health(&home);
+        let answered = self.answer_log.within(&(remote.since..=remote.last_since));
+        let is_local_healthy = answered.iter().any(|id| self.zone_of(*id) == Some(&home));
+        if !is_local_healthy || local.silent * 2 > local.seen {
             return;
         }
         for id in self.directory.in_zone(&zone).to_vec() {
             let health = self.health.entry(id).or_default();
             health.avoid(now);
             if health.stalled() > 0 && !health.is_dead(now) {
-                let was_dead = health.is_given_up();
-                health.find_dead(now);
+                let was_dead = health.is_marked_dead();
+                health.mark_dead(now);
                 let grounds = health.grounds(loss, now);
-                self.give_up(id, was_dead, grounds);
+                self.reset_flows_of(id, was_dead, grounds);
             }
         }
     }
@@ -151,34 +151,34 @@
     }
 
     /// Summarizes the health of a zone's upstreams.
-    fn outlook(&self, zone: &ZoneName) -> Outlook {
-        let mut outlook = Outlook::default();
+    fn zone_health(&self, zone: &ZoneName) -> ZoneHealth {
+        let mut zone_health = ZoneHealth::default();
         for id in self.directory.in_zone(zone) {
             let Some(health) = self.health.get(id) else {
                 continue;
             };
-            outlook.add(health);
+            zone_health.add(health);
         }
-        outlook
+        zone_health
     }
 
     /// Whether most upstreams with traffic from here have answered packets sent within `span`. If many are silent at
     /// once, this instance's own link, or its clients', may lose packets.
     fn others_answer(&self, span: &RangeInclusive<Time>) -> bool {
-        let (answering, silent) = self.answering(&self.answered.within(span));
+        let (answering, silent) = self.count_answering(&self.answer_log.within(span));
         answering >= silent * ANSWERING_PER_SILENT
     }
 
     /// Whether so few upstreams have answered packets sent since `since` that this instance's observations shouldn't
     /// count elsewhere either. The threshold is lower than for its own decisions: where there are many instances, each
     /// gets answers from only a few upstreams in half a second, and others can tell whether the rest answers.
-    pub(super) fn doubts(&self, since: Time) -> bool {
-        let (answering, silent) = self.answering(&self.answered.since(since));
+    pub(super) fn doubts_own_link(&self, since: Time) -> bool {
+        let (answering, silent) = self.count_answering(&self.answer_log.since(since));
         answering < silent
     }
 
     /// Counts the upstreams in `answered` without stalled flows, and all upstreams with stalled flows.
-    fn answering(&self, answered: &BTreeSet<UpstreamId>) -> (usize, usize) {
+    fn count_answering(&self, answered: &BTreeSet<UpstreamId>) -> (usize, usize) {
         let is_silent = |id: &UpstreamId| self.health.get(id).is_some_and(|health| health.stalled() > 0);
         let answering = answered.iter().filter(|id| !is_silent(id)).count();
         let silent = self.health.values().filter(|health| health.stalled() > 0).count();
@@ -192,12 +192,15 @@
         stalled.sort_unstable();
         let mut reports = Vec::new();
         for id in stalled {
-            let is_due = self.health.get_mut(&id).is_some_and(|health| health.take_due(now));
+            let is_due = self
+                .health
+                .get_mut(&id)
+                .is_some_and(|health| health.take_report_due(now));
             if !is_due {
                 continue;
             }
-            reports.push(self.view(id, now));
-            if reports.len() == REPORTS {
+            reports.push(self.own_report(id, now));
+            if reports.len() == MAX_REPORTS {
                 break;
             }
         }
@@ -215,30 +218,30 @@
             let health = self.health.entry(id).or_default();
             let waiting_since = now.before(report.waiting_for);
             if report.stalled > 0 && health.last_progress > waiting_since + REPORT_SLACK {
-                answers.push(self.view(id, now));
+                answers.push(self.own_report(id, now));
                 continue;
             }
-            self.note_answer(id, now.before(report.silent_for), now);
+            self.record_remote_answer(id, now.before(report.silent_for), now);
             if report.stalled > 0 {
-                self.health.entry(id).or_default().hear(from, report, now);
-                self.judge(id, now);
+                self.health.entry(id).or_default().add_report(from, report, now);
+                self.evaluate(id, now);
             }
         }
         answers
     }
 
     /// Records that another instance has seen an upstream answer.
-    pub(super) fn note_answer(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
+    pub(super) fn record_remote_answer(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
         let progress = self.health.entry(id).or_default().note_progress(answered_at);
         self.loss.note_losses(progress.losses, now);
         if progress.is_revived {
-            self.note_revived(id, answered_at, now);
+            self.handle_revival(id, answered_at, now);
         }
     }
 
     /// Resets all flows of an upstream that is considered dead, including idle ones: a client whose flow is reset
     /// before its next request opens another one in time, and loses nothing.
-    pub(super) fn give_up(&mut self, id: UpstreamId, was_dead: bool, grounds: Grounds) {
+    pub(super) fn reset_flows_of(&mut self, id: UpstreamId, was_dead: bool, grounds: Grounds) {
         let flows = self.flows.take_of(id);
         let Some(health) = self.health.get_mut(&id) else {
             return;
@@ -278,9 +281,9 @@
             return false;
         };
         let copies = u32::from(pending.copies);
-        let signs = copies + health.other_flows();
+        let signs = copies + health.other_stalled_flows();
         let loss = self.loss.percent(now);
-        let is_beyond_chance = copies >= STALLED_COPIES && signs >= loss::flows_beyond_chance(loss);
+        let is_beyond_chance = copies >= STALLED_RETRANSMISSIONS && signs >= loss::flows_beyond_chance(loss);
         let missed = health.expected_answers(now.since(pending.since), now);
         let is_silent = health.last_progress <= pending.since && missed >= MISSED_ANSWERS;
         is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.copied_before_at))
--- a/crates/flow/src/core/standings.rs
+++ b/crates/flow/src/core/status_updates.rs
@@ -19,13 +19,13 @@
 
 impl Core {
     /// Announces the ejection state of an upstream to the other instances.
-    pub(super) fn tell_standing(&mut self, id: UpstreamId) {
+    pub(super) fn announce_ejection(&mut self, id: UpstreamId) {
         let standing = self.health.get(&id).map(|health| health.ejection.standing(id));
         self.standings.extend(standing);
     }
 
     /// Announces whether an upstream is silent or alive to the other instances.
-    pub(super) fn tell_silence(&mut self, id: UpstreamId, status: Status) {
+    pub(super) fn announce_silence(&mut self, id: UpstreamId, status: Status) {
         let Some(health) = self.health.get_mut(&id) else {
             return;
         };
@@ -39,13 +39,13 @@
 
     /// Handles an answer of an upstream that was considered dead, and announces it if its silence was announced. The
     /// upstream may have restarted, which its entry shows only later, so it is treated as cold.
-    pub(super) fn note_revived(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
+    pub(super) fn handle_revival(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
         self.directory.chill(id, now);
         self.decisions.push(Decision::Revived(id));
-        let was_told = self.health.get_mut(&id).is_some_and(Health::take_told_silent);
-        if was_told {
+        let was_announced = self.health.get_mut(&id).is_some_and(Health::take_silence_announced);
+        if was_announced {
             let answered_ago = now.since(answered_at);
-            self.tell_silence(id, Status::Alive { answered_ago });
+            self.announce_silence(id, Status::Alive { answered_ago });
         }
         self.revive_zone(id);
     }
@@ -117,29 +117,29 @@
             return None;
         }
         if health.last_progress > silence.since {
-            return Some(self.view(id, now));
+            return Some(self.own_report(id, now));
         }
         health.silence_round = standing.round;
         self.heard.push((now, *standing));
-        self.find_silent(id, silence, now);
+        self.mark_silent(id, silence, now);
         None
     }
 
     /// Marks an upstream as dead that the instances have jointly found silent.
-    pub(super) fn find_silent(&mut self, id: UpstreamId, silence: Silence, now: Time) {
+    pub(super) fn mark_silent(&mut self, id: UpstreamId, silence: Silence, now: Time) {
         let loss = self.loss.percent(now);
         let health = self.health.entry(id).or_default();
-        let was_dead = health.is_given_up();
-        health.find_silent(silence.since, now);
+        let was_dead = health.is_marked_dead();
+        health.mark_silent(silence.since, now);
         let grounds = Grounds {
             elsewhere: silence.signs,
             reporters: silence.instances as usize,
             silent_for: now.since(silence.since),
             ..health.grounds(loss, now)
         };
-        self.give_up(id, was_dead, grounds);
+        self.reset_flows_of(id, was_dead, grounds);
         if let Some(health) = self.health.get_mut(&id) {
-            health.note_all_over();
+            health.clear_stalls();
         }
     }
 
@@ -150,8 +150,8 @@
             return;
         }
         health.silence_round = standing.round;
-        health.take_told_silent();
+        health.take_silence_announced();
         self.heard.push((now, *standing));
-        self.note_answer(id, now.before(answered_ago), now);
+        self.record_remote_answer(id, now.before(answered_ago), now);
     }
 }
--- a/crates/flow/src/decay.rs
+++ b/crates/flow/src/decaying_count.rs
@@ -6,12 +6,12 @@
 
 /// Counter with exponential decay: an event counts a third after one span, and a twentieth after three.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Decayed {
+pub(crate) struct DecayingCount {
     value: f64,
     at: Time,
 }
 
-impl Decayed {
+impl DecayingCount {
     pub(crate) fn add(&mut self, count: u32, span: Duration, now: Time) {
         self.value = self.value(span, now) + f64::from(count);
         self.at = now;
--- a/crates/flow/src/entries.rs
+++ b/crates/flow/src/entries.rs
@@ -10,7 +10,7 @@
 use units::Revision;
 use units::Time;
 
-use crate::grace::Grace;
+use crate::grace_period::GracePeriod;
 use crate::upstream::Sighting;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
@@ -65,7 +65,7 @@
     /// Whether the store has come back from an older copy since the first list.
     has_come_back: bool,
     /// What counts in place of what an older copy of the store says. It is not told to others, who have their own.
-    kept: Grace<UpstreamId, Arc<Entry>>,
+    kept: GracePeriod<UpstreamId, Arc<Entry>>,
     /// What has become different since it was asked last.
     changed: Changed,
 }
@@ -201,7 +201,7 @@
             }
             kept.insert(id, entry);
         }
-        self.kept = Grace::begin(kept, now);
+        self.kept = GracePeriod::begin(kept, now);
         self.changed.is_all = true;
         has_changed
     }
--- a/crates/flow/src/evacuations.rs
+++ b/crates/flow/src/evacuations.rs
@@ -10,7 +10,7 @@
 use units::Time;
 use units::ZoneName;
 
-use crate::grace::Grace;
+use crate::grace_period::GracePeriod;
 
 /// The zones to be emptied, as they stood at a place in the store's history.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     /// need not hear of it each time that nothing has changed.
     confirmed_at: Position,
     /// Whether zones are to be emptied of which an older copy of the store says otherwise. It is not told to others.
-    kept: Grace<ZoneName, bool>,
+    kept: GracePeriod<ZoneName, bool>,
 }
 
 impl Held {
@@ -59,7 +59,7 @@
         if is_later_epoch {
             let differing = before.symmetric_difference(&self.current.zones);
             let kept = differing.map(|zone| (zone.clone(), before.contains(zone)));
-            self.kept = Grace::begin(kept.collect(), now);
+            self.kept = GracePeriod::begin(kept.collect(), now);
             return;
         }
         for zone in changed {
--- a/crates/flow/src/grace.rs
+++ b/crates/flow/src/grace_period.rs
@@ -11,46 +11,46 @@
 
 /// Length of the grace period. Writers are back within about two seconds; entries that are still missing then have been
 /// removed.
-const LASTS: Duration = Duration::from_secs(2);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Entries known before the restore, where they differ from the copy.
 #[derive(Debug, Clone)]
-pub(crate) struct Grace<K, V> {
+pub(crate) struct GracePeriod<K, V> {
     until: Time,
-    kept: BTreeMap<K, V>,
+    previous: BTreeMap<K, V>,
 }
 
-impl<K, V> Default for Grace<K, V> {
+impl<K, V> Default for GracePeriod<K, V> {
     fn default() -> Self {
         Self {
             until: Time::default(),
-            kept: BTreeMap::new(),
+            previous: BTreeMap::new(),
         }
     }
 }
 
-impl<K: Ord, V> Grace<K, V> {
+impl<K: Ord, V> GracePeriod<K, V> {
     /// Starts a new grace period for the previously known entries.
-    pub(crate) fn begin(kept: BTreeMap<K, V>, now: Time) -> Self {
+    pub(crate) fn begin(previous: BTreeMap<K, V>, now: Time) -> Self {
         Self {
-            until: now + LASTS,
-            kept,
+            until: now + GRACE_PERIOD,
+            previous,
         }
     }
 
     /// Returns the entry that overrides the copy, if there is one.
     pub(crate) fn get(&self, key: &K) -> Option<&V> {
-        self.kept.get(key)
+        self.previous.get(key)
     }
 
     /// Iterates over all entries that override the copy.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.kept.iter()
+        self.previous.iter()
     }
 
     /// Removes an entry because its key was written after the restore.
     pub(crate) fn remove(&mut self, key: &K) {
-        self.kept.remove(key);
+        self.previous.remove(key);
     }
 
     /// Ends the grace period if its time is over, and returns the entries that no longer apply.
@@ -58,6 +58,6 @@
         if now < self.until {
             return BTreeMap::new();
         }
-        std::mem::take(&mut self.kept)
+        std::mem::take(&mut self.previous)
     }
 }
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -5,7 +5,7 @@
 
 use units::Time;
 
-use crate::decay::Decayed;
+use crate::decaying_count::DecayingCount;
 use crate::ejection::Ejection;
 use crate::flows::Flow;
 use crate::grounds::Grounds;
@@ -24,22 +24,22 @@
 /// within a second or two.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// How long the mean remains valid after the last sample. After that, a slow upstream is tried again.
-const SAMPLE_KEEP: Duration = Duration::from_secs(4);
+const SAMPLE_VALIDITY: Duration = Duration::from_secs(4);
 
 /// How long an upstream stays dead after its flows have stalled.
-const DEAD_KEEP: Duration = Duration::from_secs(3);
+const DEAD_DURATION: Duration = Duration::from_secs(3);
 /// Initial time without new flows for an upstream with stalled flows.
-const FIRST_RETRY: Duration = Duration::from_secs(1);
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum time between two attempts at such an upstream.
-const LAST_RETRY: Duration = Duration::from_secs(4);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(4);
 
 /// Validity of another instance's report. Flows that are still stalled are reported again within that time.
-const REPORT_KEEP: Duration = Duration::from_secs(1);
+const REPORT_VALIDITY: Duration = Duration::from_secs(1);
 /// Time after the last retransmission at which a stalled flow is considered abandoned: an endpoint that still waits
 /// retransmits at least every 1.6 seconds.
-const COPIES_END: Duration = Duration::from_secs(2);
+const ABANDONED_AFTER: Duration = Duration::from_secs(2);
 /// Maximum number of reports kept for each upstream: as many as are needed at a loss of one third of all packets.
-const REPORTERS: usize = 16;
+const MAX_REPORTERS: usize = 16;
 
 /// What an answer of an upstream changes.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct ReceivedReport {
     from: ReporterId,
     stalled: u32,
     signs: u32,
@@ -63,7 +63,7 @@
 pub(crate) struct Health {
     /// Number of its flows seen here.
     pub(crate) flows: u32,
-    activity: Decayed,
+    activity: DecayingCount,
     /// Moving average of its response times, in seconds.
     response: Option<f64>,
     response_at: Time,
@@ -72,23 +72,23 @@
     /// Number of distinct flows that have stalled since then.
     stalled: u32,
     /// Number of retransmissions since then.
-    copies: u32,
+    retransmissions: u32,
     /// When the first and the last of the stalled flows began to wait.
     stalled_since: Time,
     last_stalled_since: Time,
     /// Time of the last retransmission.
-    copied_at: Time,
+    retransmitted_at: Time,
     /// Reports of other instances.
-    heard: Vec<Heard>,
+    received_reports: Vec<ReceivedReport>,
     /// Whether all stalled flows have been reported to other instances.
     is_reported: bool,
     reported_at: Time,
     /// Sequence number of the current stall, so that each flow is counted once per stall.
-    stall: u32,
+    stall_number: u32,
     /// When it was last marked dead, if it hasn't answered since.
     dead_since: Option<Time>,
     /// Whether its silence was announced to all instances, and its recovery not yet.
-    is_told_silent: bool,
+    is_silence_announced: bool,
     /// Start of the last announced silence, during which no instance has seen an answer.
     silent_since: Time,
     /// Round number of the last announcement about its silence.
@@ -97,9 +97,9 @@
     avoid_until: Time,
     /// When a flow may try it again while others are stalled.
     retry_at: Time,
-    retry_pause: Duration,
+    retry_delay: Duration,
     /// When the next new flow from here may go to it, while it is cold and rate-limited.
-    pub(crate) cold_next: Time,
+    pub(crate) next_cold_flow_at: Time,
     /// Results of attempts at it.
     pub(crate) record: Record,
     /// Whether it is excluded from new flows because of those results.
@@ -117,9 +117,9 @@
             return Progress::default();
         }
         self.stalled = 0;
-        let losses = std::mem::take(&mut self.copies);
-        self.heard.clear();
-        self.retry_pause = Duration::ZERO;
+        let losses = std::mem::take(&mut self.retransmissions);
+        self.received_reports.clear();
+        self.retry_delay = Duration::ZERO;
         Progress {
             is_revived: self.dead_since.take().is_some(),
             losses,
@@ -128,14 +128,14 @@
 
     /// Records a response time, in seconds.
     pub(crate) fn note_response(&mut self, sample: f64, now: Time) {
-        let held = self.response(now).unwrap_or(sample);
-        self.response = Some(held + (sample - held) * SAMPLE_WEIGHT);
+        let mean = self.response(now).unwrap_or(sample);
+        self.response = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
         self.response_at = now;
     }
 
     /// Mean response time in seconds, if there are recent samples.
     pub(crate) fn response(&self, now: Time) -> Option<f64> {
-        self.response.filter(|_| now.since(self.response_at) < SAMPLE_KEEP)
+        self.response.filter(|_| now.since(self.response_at) < SAMPLE_VALIDITY)
     }
 
     /// Counts a request that was forwarded to it.
@@ -147,35 +147,35 @@
     ///
     /// Returns whether only a packet of this flow was lost, which is so if the upstream has answered another flow in
     /// the meantime. Nothing is counted then.
-    pub(crate) fn note_copy(&mut self, flow: &mut Flow, now: Time) -> bool {
+    pub(crate) fn note_retransmission(&mut self, flow: &mut Flow, now: Time) -> bool {
         if self.last_progress > flow.waits_since() {
             return true;
         }
-        self.copies += 1;
-        self.copied_at = now;
+        self.retransmissions += 1;
+        self.retransmitted_at = now;
         if self.stalled == 0 {
-            self.stall = self.stall.wrapping_add(1).max(1);
+            self.stall_number = self.stall_number.wrapping_add(1).max(1);
             self.stalled_since = flow.waits_since();
             self.last_stalled_since = flow.waits_since();
         }
         self.last_stalled_since = self.last_stalled_since.max(flow.waits_since());
-        if flow.counted_in != self.stall {
-            flow.counted_in = self.stall;
+        if flow.counted_in != self.stall_number {
+            flow.counted_in = self.stall_number;
             self.stalled += 1;
         }
         self.is_reported = false;
         if now >= self.retry_at {
-            self.postpone(now);
+            self.postpone_retry(now);
         }
         false
     }
 
     /// Stores another instance's report of stalled flows.
-    pub(crate) fn hear(&mut self, from: ReporterId, report: &Report, now: Time) {
-        self.heard
-            .retain(|heard| heard.from != from && now.since(heard.at) < REPORT_KEEP);
-        if self.heard.len() < REPORTERS {
-            self.heard.push(Heard {
+    pub(crate) fn add_report(&mut self, from: ReporterId, report: &Report, now: Time) {
+        self.received_reports
+            .retain(|received| received.from != from && now.since(received.at) < REPORT_VALIDITY);
+        if self.received_reports.len() < MAX_REPORTERS {
+            self.received_reports.push(ReceivedReport {
                 from,
                 stalled: report.stalled,
                 signs: report.signs,
@@ -185,13 +185,15 @@
     }
 
     /// Reports that are still valid.
-    fn reports(&self, now: Time) -> impl Iterator<Item = &Heard> {
-        self.heard.iter().filter(move |heard| now.since(heard.at) < REPORT_KEEP)
+    fn reports(&self, now: Time) -> impl Iterator<Item = &ReceivedReport> {
+        self.received_reports
+            .iter()
+            .filter(move |received| now.since(received.at) < REPORT_VALIDITY)
     }
 
     /// Number of stalled flows at other instances.
     fn stalled_elsewhere(&self, now: Time) -> u32 {
-        let stalled = self.reports(now).map(|heard| heard.stalled);
+        let stalled = self.reports(now).map(|received| received.stalled);
         stalled.fold(0, u32::saturating_add)
     }
 
@@ -207,11 +209,11 @@
 
     /// Marks it dead if local observations alone show it: more flows are stalled than chance explains at the given loss
     /// rate. Returns whether it was marked.
-    pub(crate) fn dies(&mut self, loss: Percent, now: Time) -> bool {
+    pub(crate) fn mark_dead_if_stalled(&mut self, loss: Percent, now: Time) -> bool {
         if self.stalled < loss::flows_beyond_chance(loss) || self.is_dead(now) {
             return false;
         }
-        self.find_dead(now);
+        self.mark_dead(now);
         true
     }
 
@@ -227,7 +229,7 @@
     }
 
     /// Number of stalled flows other than the one in question.
-    pub(crate) fn other_flows(&self) -> u32 {
+    pub(crate) fn other_stalled_flows(&self) -> u32 {
         self.stalled.saturating_sub(1)
     }
 
@@ -237,10 +239,10 @@
     }
 
     /// Whether a report of stalled flows is due: something has changed since the last one, or that is about to expire.
-    pub(crate) fn take_due(&mut self, now: Time) -> bool {
-        let is_due = !self.is_reported || now.since(self.reported_at) >= REPORT_KEEP / 2;
-        let has_given_up = now.since(self.copied_at) >= COPIES_END;
-        if self.stalled == 0 || has_given_up || !is_due {
+    pub(crate) fn take_report_due(&mut self, now: Time) -> bool {
+        let is_due = !self.is_reported || now.since(self.reported_at) >= REPORT_VALIDITY / 2;
+        let is_abandoned = now.since(self.retransmitted_at) >= ABANDONED_AFTER;
+        if self.stalled == 0 || is_abandoned || !is_due {
             return false;
         }
         self.is_reported = true;
@@ -249,7 +251,7 @@
     }
 
     /// Report for another instance. `is_in_doubt` says that this instance doubts its own link.
-    pub(crate) fn tell(&self, upstream: UpstreamId, loss: loss::Sample, is_in_doubt: bool, now: Time) -> Report {
+    pub(crate) fn report(&self, upstream: UpstreamId, loss: loss::Sample, is_in_doubt: bool, now: Time) -> Report {
         Report {
             upstream,
             stalled: self.stalled,
@@ -263,9 +265,9 @@
 
     /// Whether enough flows are stalled, here and elsewhere, to query other instances, unless its silence has already
     /// been announced.
-    pub(crate) fn is_questionable(&self, now: Time) -> bool {
-        let is_known = self.is_told_silent && self.is_dead(now);
-        let signs = self.reports(now).map(|heard| heard.signs);
+    pub(crate) fn needs_inquiry(&self, now: Time) -> bool {
+        let is_known = self.is_silence_announced && self.is_dead(now);
+        let signs = self.reports(now).map(|received| received.signs);
         let signs = signs.fold(self.signs(), u32::saturating_add);
         !is_known && signs >= loss::signs_beyond_chance(0.0)
     }
@@ -273,30 +275,30 @@
     /// Number of retransmissions since its last answer, limited to two for each stalled flow. A packet that is lost
     /// twice is as unlikely as two packets that are lost once each, but the path of a single flow may be bad.
     fn signs(&self) -> u32 {
-        self.copies.min(self.stalled * 2)
+        self.retransmissions.min(self.stalled * 2)
     }
 
     /// Marks it dead.
-    pub(crate) fn find_dead(&mut self, now: Time) {
+    pub(crate) fn mark_dead(&mut self, now: Time) {
         self.dead_since = Some(now);
     }
 
     /// Marks it dead after a joint finding of the instances that is announced to all.
-    pub(crate) fn find_silent(&mut self, since: Time, now: Time) {
-        self.find_dead(now);
-        self.is_told_silent = true;
+    pub(crate) fn mark_silent(&mut self, since: Time, now: Time) {
+        self.mark_dead(now);
+        self.is_silence_announced = true;
         self.silent_since = since;
     }
 
     /// Takes the flag that its silence was announced. It is returned as set only once: the caller has to announce the
     /// recovery.
-    pub(crate) fn take_told_silent(&mut self) -> bool {
-        std::mem::take(&mut self.is_told_silent)
+    pub(crate) fn take_silence_announced(&mut self) -> bool {
+        std::mem::take(&mut self.is_silence_announced)
     }
 
     /// Lets new flows avoid it for a while, as its zone seems to be cut off.
     pub(crate) fn avoid(&mut self, now: Time) {
-        self.avoid_until = now + DEAD_KEEP;
+        self.avoid_until = now + DEAD_DURATION;
     }
 
     /// Whether other upstreams are preferred for new flows.
@@ -307,24 +309,24 @@
     /// Clears the dead state because another upstream of its zone answers. A joint finding of the instances remains in
     /// force.
     pub(crate) fn revive(&mut self) {
-        if self.is_told_silent {
+        if self.is_silence_announced {
             return;
         }
         self.dead_since = None;
         self.avoid_until = Time::default();
         self.stalled = 0;
-        self.copies = 0;
+        self.retransmissions = 0;
     }
 
     /// Whether it was marked dead and hasn't answered since.
-    pub(crate) fn is_given_up(&self) -> bool {
+    pub(crate) fn is_marked_dead(&self) -> bool {
         self.dead_since.is_some()
     }
 
     /// Whether it was marked dead recently. The state expires unless new flows stall: an upstream that gets no flows
     /// has no chance to show that it is alive.
     pub(crate) fn is_dead(&self, now: Time) -> bool {
-        self.dead_since.is_some_and(|since| now.since(since) < DEAD_KEEP)
+        self.dead_since.is_some_and(|since| now.since(since) < DEAD_DURATION)
     }
 
     /// Whether flows are stalled on it and no new flow should try it yet.
@@ -338,9 +340,9 @@
     }
 
     /// Postpones the next attempt with exponential backoff.
-    fn postpone(&mut self, now: Time) {
-        self.retry_pause = (self.retry_pause * 2).clamp(FIRST_RETRY, LAST_RETRY);
-        self.retry_at = now + self.retry_pause;
+    fn postpone_retry(&mut self, now: Time) {
+        self.retry_delay = (self.retry_delay * 2).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        self.retry_at = now + self.retry_delay;
     }
 
     /// Counts a new flow placed on it.
@@ -348,20 +350,20 @@
         self.flows += 1;
         self.ejection.note_placed(now);
         if self.stalled > 0 {
-            self.postpone(now);
+            self.postpone_retry(now);
         }
     }
 
     /// Clears the evidence of flows that have all been reset, stalled ones included. Once flows may try it again, only
     /// their results count.
-    pub(crate) fn note_all_over(&mut self) {
+    pub(crate) fn clear_stalls(&mut self) {
         self.stalled = 0;
-        self.copies = 0;
-        self.heard.clear();
+        self.retransmissions = 0;
+        self.received_reports.clear();
     }
 
     /// Counts a flow that has ended or been removed.
-    pub(crate) fn note_ended(&mut self) {
+    pub(crate) fn note_flow_ended(&mut self) {
         self.flows = self.flows.saturating_sub(1);
     }
 
--- a/crates/flow/src/inquiry.rs
+++ b/crates/flow/src/inquiry.rs
@@ -18,13 +18,13 @@
 
 /// How long to wait for replies. They take some milliseconds, and up to a tenth of a second from an instance that has
 /// used up its CPU quota.
-const PATIENCE: Duration = Duration::from_millis(100);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 /// Minimum number of instances with stalled flows: the observations of a single one may be due to its own link.
-const LEAST_INSTANCES: u32 = 2;
+const MIN_INSTANCES: u32 = 2;
 
 /// Observations of one instance.
 #[derive(Debug, Clone, Copy)]
-struct View {
+struct Observation {
     /// When it last saw the upstream answer.
     answered_at: Time,
     /// When the first of its stalled flows began to wait, and their number of retransmissions.
@@ -35,7 +35,7 @@
     is_in_doubt: bool,
 }
 
-impl View {
+impl Observation {
     fn new(report: &Report, now: Time) -> Self {
         Self {
             answered_at: now.before(report.silent_for),
@@ -51,9 +51,9 @@
 #[derive(Debug)]
 pub(crate) struct Inquiry {
     asked: usize,
-    until: Time,
-    heard: Vec<ReporterId>,
-    views: Vec<View>,
+    deadline: Time,
+    repliers: Vec<ReporterId>,
+    replies: Vec<Observation>,
 }
 
 /// Result of an inquiry.
@@ -81,29 +81,33 @@
     pub(crate) fn new(asked: usize, now: Time) -> Self {
         Self {
             asked,
-            until: now + PATIENCE,
-            heard: Vec::new(),
-            views: Vec::new(),
+            deadline: now + REPLY_TIMEOUT,
+            repliers: Vec::new(),
+            replies: Vec::new(),
         }
     }
 
     /// Records the reply of an instance.
-    pub(crate) fn hear(&mut self, from: ReporterId, report: &Report, now: Time) {
-        if self.heard.contains(&from) {
+    pub(crate) fn add_reply(&mut self, from: ReporterId, report: &Report, now: Time) {
+        if self.repliers.contains(&from) {
             return;
         }
-        self.heard.push(from);
-        self.views.push(View::new(report, now));
+        self.repliers.push(from);
+        self.replies.push(Observation::new(report, now));
     }
 
     /// Whether all replies have arrived or the time for them is over.
     pub(crate) fn is_over(&self, now: Time) -> bool {
-        self.views.len() >= self.asked || now >= self.until
+        self.replies.len() >= self.asked || now >= self.deadline
     }
 
     /// When any of the instances that have replied last saw the upstream answer.
     pub(crate) fn answered_at(&self) -> Time {
-        self.views.iter().map(|view| view.answered_at).max().unwrap_or_default()
+        self.replies
+            .iter()
+            .map(|reply| reply.answered_at)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Evaluates the replies together with `own`, the observations of the instance that asks.
@@ -111,32 +115,32 @@
     /// More than half of the queried instances must have replied: otherwise the network between instances is in a state
     /// in which packets to upstreams may be lost too.
     pub(crate) fn finding(&self, own: &Report, now: Time) -> Finding {
-        if self.views.len() * 2 <= self.asked {
+        if self.replies.len() * 2 <= self.asked {
             return Finding::Unclear;
         }
-        let own = View::new(own, now);
+        let own = Observation::new(own, now);
         let answered_at = self.answered_at().max(own.answered_at);
         let mut silence = Silence {
             since: now,
             signs: 0,
             instances: 0,
         };
-        let mut together = Sample::default();
+        let mut total = Sample::default();
         let mut most_lost: f64 = 0.0;
-        for view in self.views.iter().chain([&own]) {
-            together.add(view.loss);
-            if view.signs == 0 || view.is_in_doubt || view.waiting_since <= answered_at {
+        for reply in self.replies.iter().chain([&own]) {
+            total.add(reply.loss);
+            if reply.signs == 0 || reply.is_in_doubt || reply.waiting_since <= answered_at {
                 continue;
             }
-            silence.since = silence.since.min(view.waiting_since);
-            silence.signs = silence.signs.saturating_add(view.signs);
+            silence.since = silence.since.min(reply.waiting_since);
+            silence.signs = silence.signs.saturating_add(reply.signs);
             silence.instances += 1;
-            most_lost = most_lost.max(view.loss.share());
+            most_lost = most_lost.max(reply.loss.share());
         }
         // An instance that reports may see more loss than the rest of the zone.
-        let lost = most_lost.max(together.share());
+        let lost = most_lost.max(total.share());
         let is_beyond_chance = silence.signs >= loss::signs_beyond_chance(lost);
-        if silence.instances < LEAST_INSTANCES || !is_beyond_chance {
+        if silence.instances < MIN_INSTANCES || !is_beyond_chance {
             return Finding::Unclear;
         }
         Finding::Silent(silence)
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -8,21 +8,21 @@
 //! This crate is pure: it does no I/O, reads no clock and draws on no randomness but from the seed it is given. It
 //! does not know how packets, routes and upstreams are written down.
 
-mod answered;
+mod answer_log;
 mod checks;
+mod compat;
 mod core;
-mod decay;
+mod decaying_count;
 mod decision;
 mod difference;
 mod directory;
 mod documents;
 pub mod draft;
-mod earlier;
 mod ejection;
 mod entries;
 mod evacuations;
 mod flows;
-mod grace;
+mod grace_period;
 mod grounds;
 mod health;
 mod inquiry;
@@ -34,8 +34,8 @@
 mod report;
 mod route;
 mod standing;
+mod typical;
 mod upstream;
-mod usual;
 mod verdict;
 mod wait;
 mod warning;
--- a/crates/flow/src/loss.rs
+++ b/crates/flow/src/loss.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use units::Time;
 
-use crate::decay::Decayed;
+use crate::decaying_count::DecayingCount;
 
 /// The span over which losses and attempts are counted.
 const SPAN: Duration = Duration::from_secs(2);
@@ -62,8 +62,8 @@
 /// Counts attempts and losses.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Loss {
-    attempts: Decayed,
-    losses: Decayed,
+    attempts: DecayingCount,
+    losses: DecayingCount,
 }
 
 impl Loss {
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use units::Time;
 
-use crate::decay::Decayed;
+use crate::decaying_count::DecayingCount;
 use crate::upstream::UpstreamId;
 
 /// The span over which a service's usual share of bad ends is counted.
@@ -65,8 +65,8 @@
 /// How tries ended lately.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Tally {
-    tried: Decayed,
-    failed: Decayed,
+    tried: DecayingCount,
+    failed: DecayingCount,
 }
 
 impl Tally {
@@ -101,7 +101,7 @@
 /// How tries at one upstream end, here and at instances that report to this one.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Record {
-    tries: Decayed,
+    tries: DecayingCount,
     since: Option<Time>,
     /// Those of its tries that are part of its service's tally.
     pub(crate) tally: Tally,
