--- a/crates/flow/benches/packet.rs
+++ b/crates/flow/benches/packet.rs
@@ -20,7 +20,7 @@
 /// Opens a flow and gives the packet that follows.
 fn open(core: &mut Core, client: u32) -> Packet {
     let opening = packet(client);
-    let Verdict::Forward { echo, .. } = core.packet(&opening, START) else {
+    let Verdict::Forward { echo, .. } = core.handle_packet(&opening, START) else {
         panic!("an upstream is there");
     };
     core.take_decisions();
@@ -43,7 +43,7 @@
         next = (next + 7_919) % flows.len();
         let flow = &mut flows[next];
         flow.ack += 1;
-        black_box(core.packet(flow, START))
+        black_box(core.handle_packet(flow, START))
     });
 }
 
@@ -54,7 +54,7 @@
     let mut client = 0;
     bencher.bench_local(|| {
         client += 1;
-        let verdict = core.packet(&packet(client), START);
+        let verdict = core.handle_packet(&packet(client), START);
         core.take_decisions();
         black_box(verdict)
     });
--- a/crates/flow/examples/flow_memory.rs
+++ b/crates/flow/examples/flow_memory.rs
@@ -22,7 +22,7 @@
         let mut core = core(1);
         let before = resident();
         for client in 0..flows {
-            core.packet(&packet(client), START);
+            core.handle_packet(&packet(client), START);
             core.take_decisions();
         }
         let bytes = resident() - before;
--- a/crates/flow/examples/upstream_memory.rs
+++ b/crates/flow/examples/upstream_memory.rs
@@ -64,7 +64,7 @@
         let list = each(began, 1);
         let began = Instant::now();
         for client in 0..FLOWS {
-            black_box(core.packet(&packet(client), START));
+            black_box(core.handle_packet(&packet(client), START));
             core.take_decisions();
         }
         let flow = each(began, u64::from(FLOWS));
--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -40,7 +40,7 @@
 use crate::packet::ResetCause;
 use crate::place::Baseline;
 use crate::route::Routes;
-use crate::standing::Standing;
+use crate::status_update::StatusUpdate;
 use crate::typical::TypicalLength;
 use crate::typical::TypicalService;
 use crate::upstream::UpstreamId;
@@ -71,7 +71,7 @@
     /// Flows placed on an upstream, including retransmitted opening packets that are placed again.
     pub placed: u64,
     /// Upstreams examined while placing flows.
-    pub looked_at: u64,
+    pub examined: u64,
     /// Upstream entries indexed by the directory.
     pub indexed: u64,
     /// Forwarded packets.
@@ -112,13 +112,13 @@
     typical_lengths: HashMap<SocketAddrV4, TypicalLength>,
     checks: Checks,
     /// Upstream status updates: decided here and not yet sent, and received from others with their arrival times.
-    standings: Vec<Standing>,
-    heard: Vec<(Time, Standing)>,
+    status_updates: Vec<StatusUpdate>,
+    received_updates: Vec<(Time, StatusUpdate)>,
     /// Upstreams that other instances should be queried about, and queries in progress.
     due_inquiries: BTreeSet<UpstreamId>,
     inquiries: BTreeMap<UpstreamId, Inquiry>,
     /// Rate-limited cold upstreams that only this instance may send new flows to.
-    kept: BTreeSet<UpstreamId>,
+    assigned_cold: BTreeSet<UpstreamId>,
 }
 
 impl Core {
@@ -149,11 +149,11 @@
             typical_services: HashMap::new(),
             typical_lengths: HashMap::new(),
             checks: Checks::default(),
-            standings: Vec::new(),
-            heard: Vec::new(),
+            status_updates: Vec::new(),
+            received_updates: Vec::new(),
             due_inquiries: BTreeSet::new(),
             inquiries: BTreeMap::new(),
-            kept: BTreeSet::new(),
+            assigned_cold: BTreeSet::new(),
         }
     }
 
@@ -190,7 +190,7 @@
                 .iter()
                 .filter(|warning| !self.warnings.contains(warning));
             let document_number = document.revision;
-            self.decisions.extend(warnings.map(|warning| Decision::Unread {
+            self.decisions.extend(warnings.map(|warning| Decision::DocumentWarning {
                 document: document_number,
                 warning: warning.clone(),
             }));
@@ -210,7 +210,7 @@
         for id in restarted {
             self.discard_start(id);
         }
-        self.note_evacuations(&evacuated, now);
+        self.record_evacuations(&evacuated, now);
         for id in &changed.ids {
             if !self.directory.contains(*id) {
                 self.health.remove(id);
@@ -231,7 +231,7 @@
     }
 
     /// Returns the verdict for a packet from a client.
-    pub fn packet(&mut self, packet: &Packet, now: Time) -> Verdict {
+    pub fn handle_packet(&mut self, packet: &Packet, now: Time) -> Verdict {
         self.run_due_checks(now);
         let verdict = if packet.flags.has(Flags::SYN) {
             self.open_flow(packet, now)
@@ -258,12 +258,12 @@
                 let cause = reset.cause;
                 let loss = self.loss.percent(now);
                 let health = upstream.and_then(|id| self.health.get(&id));
-                let grounds = health.map(|health| health.grounds(loss, now));
+                let evidence = health.map(|health| health.evidence(loss, now));
                 self.decisions.push(Decision::Reset {
                     flow,
                     upstream,
                     cause,
-                    grounds,
+                    evidence,
                 });
             }
             Verdict::Drop(cause) => {
--- a/crates/flow/src/core/cold.rs
+++ b/crates/flow/src/core/cold.rs
@@ -28,13 +28,13 @@
 
 impl Core {
     /// Cold upstreams with a configured rate limit.
-    pub fn rationed(&self, now: Time) -> Vec<UpstreamId> {
+    pub fn rate_limited(&self, now: Time) -> Vec<UpstreamId> {
         self.directory.rationed(now)
     }
 
     /// Sets the rate-limited upstreams that this instance is responsible for, replacing any earlier set.
-    pub fn keep(&mut self, kept: BTreeSet<UpstreamId>) {
-        self.kept = kept;
+    pub fn set_assigned_cold(&mut self, assigned: BTreeSet<UpstreamId>) {
+        self.assigned_cold = assigned;
     }
 
     /// Whether the rate limit of an upstream permits a new flow from here now.
@@ -42,7 +42,7 @@
         if listed.cold_rate(now).is_none() {
             return true;
         }
-        self.kept.contains(&id) && health.is_none_or(|health| now >= health.next_cold_flow_at)
+        self.assigned_cold.contains(&id) && health.is_none_or(|health| now >= health.next_cold_flow_at)
     }
 
     /// Records a new flow against the rate limit of its upstream.
--- a/crates/flow/src/core/established.rs
+++ b/crates/flow/src/core/established.rs
@@ -13,8 +13,8 @@
 use crate::packet::ResetCause;
 use crate::upstream::UpstreamId;
 use crate::verdict::Verdict;
-use crate::verdict::reset_open;
-use crate::verdict::unknown_echo;
+use crate::verdict::reset_for_established;
+use crate::verdict::unroutable_cause;
 use crate::wait::Wait;
 use crate::wait::WaitKind;
 
@@ -22,7 +22,7 @@
     /// Forwards a packet to the upstream that its echo names.
     pub(super) fn handle_established(&mut self, packet: &Packet, now: Time) -> Verdict {
         let Some(id) = self.directory.by_echo(packet.echo) else {
-            return Verdict::Drop(unknown_echo(packet));
+            return Verdict::Drop(unroutable_cause(packet));
         };
         let key = FlowKey::from(packet);
         if packet.flags.has(Flags::RST) || packet.flags.has(Flags::FIN) {
@@ -34,11 +34,11 @@
         let sign = self.observe(&key, id, packet, now);
         if packet.len > 0 && self.is_dead(id, now) {
             self.close(&key);
-            return Verdict::Reset(reset_open(packet, ResetCause::Dead));
+            return Verdict::Reset(reset_for_established(packet, ResetCause::Dead));
         }
         if sign.is_copy && self.is_stalled(&key, now) {
             self.close(&key);
-            return Verdict::Reset(reset_open(packet, ResetCause::Stalled));
+            return Verdict::Reset(reset_for_established(packet, ResetCause::Stalled));
         }
         self.forward(id)
     }
@@ -86,7 +86,7 @@
         let Some(listed) = self.directory.get(id) else {
             return;
         };
-        let is_at_home = listed.upstream().zone == self.options.zone;
+        let is_local_zone = listed.upstream().zone == self.options.zone;
         let waits = [
             (WaitKind::Handshake, sign.opened_after),
             (WaitKind::Response, sign.waited),
@@ -95,7 +95,11 @@
             let Some(time) = time else {
                 continue;
             };
-            self.waits.push(Wait { kind, is_at_home, time });
+            self.waits.push(Wait {
+                kind,
+                is_local_zone,
+                time,
+            });
         }
     }
 }
--- a/crates/flow/src/core/evacuation.rs
+++ b/crates/flow/src/core/evacuation.rs
@@ -18,7 +18,7 @@
     ///
     /// Upstreams of a restored zone are treated as cold: they have had no traffic for a while, and their entries may
     /// report this only later.
-    pub(super) fn note_evacuations(&mut self, before: &BTreeSet<ZoneName>, now: Time) {
+    pub(super) fn record_evacuations(&mut self, before: &BTreeSet<ZoneName>, now: Time) {
         let after = self.knowledge.evacuated();
         if after == *before {
             return;
--- a/crates/flow/src/core/inquiries.rs
+++ b/crates/flow/src/core/inquiries.rs
@@ -8,7 +8,7 @@
 use crate::inquiry::Inquiry;
 use crate::report::Report;
 use crate::report::ReporterId;
-use crate::standing::Status;
+use crate::status_update::Status;
 use crate::upstream::UpstreamId;
 
 impl Core {
@@ -21,7 +21,7 @@
     }
 
     /// This instance's observations of the upstreams that another instance asks about.
-    pub fn views(&self, ids: &[UpstreamId], now: Time) -> Vec<Report> {
+    pub fn reports_on(&self, ids: &[UpstreamId], now: Time) -> Vec<Report> {
         ids.iter().map(|id| self.own_report(*id, now)).collect()
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Takes the upstreams that this instance, as their aggregator, should query others about.
-    pub fn take_questions(&mut self, now: Time) -> Vec<UpstreamId> {
+    pub fn take_due_inquiries(&mut self, now: Time) -> Vec<UpstreamId> {
         let over = self.inquiries.iter().filter(|(_, inquiry)| inquiry.is_over(now));
         let over: Vec<UpstreamId> = over.map(|(id, _)| *id).collect();
         for id in over {
@@ -44,19 +44,19 @@
     }
 
     /// Starts an inquiry about an upstream; `asked` is the number of instances that are queried.
-    pub fn inquire(&mut self, id: UpstreamId, asked: usize, now: Time) {
+    pub fn start_inquiry(&mut self, id: UpstreamId, asked: usize, now: Time) {
         self.inquiries.entry(id).or_insert_with(|| Inquiry::new(asked, now));
     }
 
     /// Handles another instance's replies to inquiries.
-    pub fn hear_views(&mut self, from: ReporterId, views: &[Report], now: Time) {
-        for view in views {
-            let Some(inquiry) = self.inquiries.get_mut(&view.upstream) else {
+    pub fn receive_inquiry_replies(&mut self, from: ReporterId, replies: &[Report], now: Time) {
+        for reply in replies {
+            let Some(inquiry) = self.inquiries.get_mut(&reply.upstream) else {
                 continue;
             };
-            inquiry.add_reply(from, view, now);
+            inquiry.add_reply(from, reply, now);
             if inquiry.is_over(now) {
-                self.finish_inquiry(view.upstream, now);
+                self.finish_inquiry(reply.upstream, now);
             }
         }
     }
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -23,7 +23,7 @@
 use crate::place::UpstreamLoad;
 use crate::upstream::UpstreamId;
 use crate::verdict::Verdict;
-use crate::verdict::reset_opening;
+use crate::verdict::reset_for_opening;
 
 /// How long an upstream that is no longer listed may still get flows if its service has no other. Its entry may have
 /// expired along with the platform's store; such entries are back within about two seconds.
@@ -36,10 +36,10 @@
             return Verdict::Drop(DropCause::NotReady);
         }
         let Some(route) = self.routes.to(packet.route) else {
-            return Verdict::Reset(reset_opening(packet, ResetCause::NoRoute));
+            return Verdict::Reset(reset_for_opening(packet, ResetCause::NoRoute));
         };
         let Some(service) = route.service_for(packet.client) else {
-            return Verdict::Reset(reset_opening(packet, ResetCause::NoUpstream));
+            return Verdict::Reset(reset_for_opening(packet, ResetCause::NoUpstream));
         };
         let service = service.to_owned();
         let key = FlowKey::from(packet);
@@ -48,7 +48,7 @@
         }
         let earlier = self.remove_unanswered_opening(&key, now);
         let Some(candidate) = self.place(&service, earlier, now) else {
-            return Verdict::Reset(reset_opening(packet, self.no_upstream_cause(&service, now)));
+            return Verdict::Reset(reset_for_opening(packet, self.no_upstream_cause(&service, now)));
         };
         let id = candidate.id;
         self.stats.placed += 1;
@@ -136,7 +136,7 @@
         let mut peers = PeerTotals::default();
         let mut seen = Vec::new();
         let reachable = ids.iter().filter_map(|id| self.directory.reachable(*id));
-        self.stats.looked_at += ids.len() as u64;
+        self.stats.examined += ids.len() as u64;
         for (id, listed) in reachable {
             let health = self.health.get(&id);
             let Some(tier) = tier(listed, health, now) else {
--- a/crates/flow/src/core/outliers.rs
+++ b/crates/flow/src/core/outliers.rs
@@ -183,7 +183,7 @@
     /// instances that see a similar share of its traffic.
     ///
     /// If more attempts fail than chance explains, the upstream is ejected, and the other instances are told.
-    pub fn hear_failure(&mut self, report: &FailureReport, instances: u32, now: Time) {
+    pub fn receive_failure_report(&mut self, report: &FailureReport, instances: u32, now: Time) {
         let id = report.upstream;
         let Some(listed) = self.directory.get(id) else {
             return;
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -13,9 +13,9 @@
 
 use super::Core;
 use crate::decision::Decision;
+use crate::evidence::SilenceEvidence;
 use crate::flows::FlowKey;
 use crate::flows::Stage;
-use crate::grounds::Grounds;
 use crate::health::Health;
 use crate::loss;
 use crate::loss::Percent;
@@ -90,8 +90,8 @@
         let health = self.health.entry(id).or_default();
         let was_dead = health.is_marked_dead();
         if others_answer && health.mark_dead_if_stalled(loss, now) {
-            let grounds = health.grounds(loss, now);
-            self.reset_flows_of(id, was_dead, grounds);
+            let evidence = health.evidence(loss, now);
+            self.reset_flows_of(id, was_dead, evidence);
         }
         self.schedule_inquiry(id, now);
         self.evaluate_zone(id, loss, now);
@@ -129,8 +129,8 @@
             if health.stalled() > 0 && !health.is_dead(now) {
                 let was_dead = health.is_marked_dead();
                 health.mark_dead(now);
-                let grounds = health.grounds(loss, now);
-                self.reset_flows_of(id, was_dead, grounds);
+                let evidence = health.evidence(loss, now);
+                self.reset_flows_of(id, was_dead, evidence);
             }
         }
     }
@@ -208,7 +208,7 @@
     }
 
     /// Handles another instance's reports, and returns replies about upstreams that have answered here more recently.
-    pub fn hear(&mut self, from: ReporterId, reports: &[Report], now: Time) -> Vec<Report> {
+    pub fn receive_reports(&mut self, from: ReporterId, reports: &[Report], now: Time) -> Vec<Report> {
         let mut answers = Vec::new();
         for report in reports {
             let id = report.upstream;
@@ -241,16 +241,16 @@
 
     /// Resets all flows of an upstream that is considered dead, including idle ones: a client whose flow is reset
     /// before its next request opens another one in time, and loses nothing.
-    pub(super) fn reset_flows_of(&mut self, id: UpstreamId, was_dead: bool, grounds: Grounds) {
+    pub(super) fn reset_flows_of(&mut self, id: UpstreamId, was_dead: bool, evidence: SilenceEvidence) {
         let flows = self.flows.take_of(id);
         let Some(health) = self.health.get_mut(&id) else {
             return;
         };
         health.flows = 0;
         if !was_dead || !flows.is_empty() {
-            self.decisions.push(Decision::Died {
+            self.decisions.push(Decision::MarkedDead {
                 upstream: id,
-                grounds,
+                evidence,
                 flows: flows.len(),
             });
         }
--- a/crates/flow/src/core/status_updates.rs
+++ b/crates/flow/src/core/status_updates.rs
@@ -9,19 +9,19 @@
 
 use super::Core;
 use crate::decision::Decision;
-use crate::grounds::Grounds;
+use crate::evidence::SilenceEvidence;
 use crate::health::Health;
 use crate::inquiry::Silence;
 use crate::report::Report;
-use crate::standing::Standing;
-use crate::standing::Status;
+use crate::status_update::Status;
+use crate::status_update::StatusUpdate;
 use crate::upstream::UpstreamId;
 
 impl Core {
     /// Announces the ejection state of an upstream to the other instances.
     pub(super) fn announce_ejection(&mut self, id: UpstreamId) {
-        let standing = self.health.get(&id).map(|health| health.ejection.standing(id));
-        self.standings.extend(standing);
+        let update = self.health.get(&id).map(|health| health.ejection.standing(id));
+        self.status_updates.extend(update);
     }
 
     /// Announces whether an upstream is silent or alive to the other instances.
@@ -30,7 +30,7 @@
             return;
         };
         health.silence_round = health.silence_round.saturating_add(1);
-        self.standings.push(Standing {
+        self.status_updates.push(StatusUpdate {
             upstream: id,
             round: health.silence_round,
             status,
@@ -51,29 +51,29 @@
     }
 
     /// Takes the updates decided here since the last call, to send to other instances.
-    pub fn take_standings(&mut self) -> Vec<Standing> {
-        std::mem::take(&mut self.standings)
+    pub fn take_status_updates(&mut self) -> Vec<StatusUpdate> {
+        std::mem::take(&mut self.status_updates)
     }
 
     /// Takes the new updates received since the last call, to forward to other instances.
-    pub fn take_heard(&mut self, now: Time) -> Vec<Standing> {
-        let heard = std::mem::take(&mut self.heard);
-        let aged = heard.into_iter().map(|(at, standing)| standing.aged(now.since(at)));
+    pub fn take_received_updates(&mut self, now: Time) -> Vec<StatusUpdate> {
+        let received = std::mem::take(&mut self.received_updates);
+        let aged = received.into_iter().map(|(at, update)| update.aged(now.since(at)));
         aged.collect()
     }
 
     /// Applies another instance's updates, and keeps new ones for forwarding. Returns reports for that instance about
     /// upstreams that have answered here since.
-    pub fn hear_standings(&mut self, standings: &[Standing], now: Time) -> Vec<Report> {
+    pub fn receive_status_updates(&mut self, updates: &[StatusUpdate], now: Time) -> Vec<Report> {
         let mut answers = Vec::new();
-        for standing in standings {
-            let id = standing.upstream;
+        for update in updates {
+            let id = update.upstream;
             if !self.directory.contains(id) {
                 continue;
             }
-            match standing.status {
-                Status::Failing => self.follow_failing(standing, true, now),
-                Status::Serving => self.follow_failing(standing, false, now),
+            match update.status {
+                Status::Failing => self.apply_ejection(update, true, now),
+                Status::Serving => self.apply_ejection(update, false, now),
                 Status::Silent {
                     silent_for,
                     signs,
@@ -85,24 +85,24 @@
                         signs,
                         instances,
                     };
-                    answers.extend(self.follow_silent(standing, silence, now));
+                    answers.extend(self.apply_silence(update, silence, now));
                 }
-                Status::Alive { answered_ago } => self.follow_alive(standing, answered_ago, now),
+                Status::Alive { answered_ago } => self.apply_recovery(update, answered_ago, now),
             }
         }
         answers
     }
 
-    fn follow_failing(&mut self, standing: &Standing, is_out: bool, now: Time) {
-        let id = standing.upstream;
+    fn apply_ejection(&mut self, update: &StatusUpdate, is_out: bool, now: Time) {
+        let id = update.upstream;
         let health = self.health.entry(id).or_default();
         let was_ejected = health.ejection.is_ejected();
-        if !health.ejection.follow(standing.round, is_out, now) {
+        if !health.ejection.follow(update.round, is_out, now) {
             return;
         }
-        self.heard.push((now, *standing));
+        self.received_updates.push((now, *update));
         match (was_ejected, is_out) {
-            (false, true) => self.decisions.push(Decision::Followed(id)),
+            (false, true) => self.decisions.push(Decision::EjectedElsewhere(id)),
             (true, false) => self.decisions.push(Decision::Readmitted(id)),
             _ => {}
         }
@@ -110,17 +110,17 @@
 
     /// Marks an upstream as dead that others have found silent. If it has answered here since, returns a report that
     /// says so instead.
-    fn follow_silent(&mut self, standing: &Standing, silence: Silence, now: Time) -> Option<Report> {
-        let id = standing.upstream;
+    fn apply_silence(&mut self, update: &StatusUpdate, silence: Silence, now: Time) -> Option<Report> {
+        let id = update.upstream;
         let health = self.health.entry(id).or_default();
-        if standing.round <= health.silence_round {
+        if update.round <= health.silence_round {
             return None;
         }
         if health.last_progress > silence.since {
             return Some(self.own_report(id, now));
         }
-        health.silence_round = standing.round;
-        self.heard.push((now, *standing));
+        health.silence_round = update.round;
+        self.received_updates.push((now, *update));
         self.mark_silent(id, silence, now);
         None
     }
@@ -131,27 +131,27 @@
         let health = self.health.entry(id).or_default();
         let was_dead = health.is_marked_dead();
         health.mark_silent(silence.since, now);
-        let grounds = Grounds {
+        let evidence = SilenceEvidence {
             elsewhere: silence.signs,
             reporters: silence.instances as usize,
             silent_for: now.since(silence.since),
-            ..health.grounds(loss, now)
+            ..health.evidence(loss, now)
         };
-        self.reset_flows_of(id, was_dead, grounds);
+        self.reset_flows_of(id, was_dead, evidence);
         if let Some(health) = self.health.get_mut(&id) {
             health.clear_stalls();
         }
     }
 
-    fn follow_alive(&mut self, standing: &Standing, answered_ago: Duration, now: Time) {
-        let id = standing.upstream;
+    fn apply_recovery(&mut self, update: &StatusUpdate, answered_ago: Duration, now: Time) {
+        let id = update.upstream;
         let health = self.health.entry(id).or_default();
-        if standing.round <= health.silence_round {
+        if update.round <= health.silence_round {
             return;
         }
-        health.silence_round = standing.round;
+        health.silence_round = update.round;
         health.take_silence_announced();
-        self.heard.push((now, *standing));
+        self.received_updates.push((now, *update));
         self.record_remote_answer(id, now.before(answered_ago), now);
     }
 }
--- a/crates/flow/src/decision.rs
+++ b/crates/flow/src/decision.rs
@@ -4,8 +4,8 @@
 use units::Revision;
 use units::ZoneName;
 
+use crate::evidence::SilenceEvidence;
 use crate::flows::FlowKey;
-use crate::grounds::Grounds;
 use crate::packet::DropCause;
 use crate::packet::Echo;
 use crate::packet::ResetCause;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// A document took effect with a warning about an unreadable part that the previous document didn't have.
-    Unread {
+    DocumentWarning {
         /// The document's revision.
         document: Revision,
         /// The unreadable part.
@@ -45,7 +45,7 @@
         /// Why.
         cause: ResetCause,
         /// Evidence, if the cause is a silent upstream.
-        grounds: Option<Grounds>,
+        evidence: Option<SilenceEvidence>,
     },
     /// A packet was dropped.
     Dropped {
@@ -57,11 +57,11 @@
         cause: DropCause,
     },
     /// An upstream was marked dead, and its flows were reset.
-    Died {
+    MarkedDead {
         /// The upstream.
         upstream: UpstreamId,
         /// Evidence for its silence.
-        grounds: Grounds,
+        evidence: SilenceEvidence,
         /// How many flows it had here.
         flows: usize,
     },
@@ -75,7 +75,7 @@
         usual_percent: u32,
     },
     /// An upstream was ejected for a while because another instance has found it failing.
-    Followed(UpstreamId),
+    EjectedElsewhere(UpstreamId),
     /// An ejected upstream gets flows like any other again.
     Readmitted(UpstreamId),
     /// An upstream has restarted under its id; the observations of its previous start were discarded.
--- a/crates/flow/src/ejection.rs
+++ b/crates/flow/src/ejection.rs
@@ -8,8 +8,8 @@
 use units::Time;
 
 use crate::outcome::Outcome;
-use crate::standing::Standing;
-use crate::standing::Status;
+use crate::status_update::Status;
+use crate::status_update::StatusUpdate;
 use crate::upstream::UpstreamId;
 
 /// How long an upstream is out at first. What fails for a moment is back soon.
@@ -95,13 +95,13 @@
     }
 
     /// What others should know.
-    pub(crate) fn standing(&self, upstream: UpstreamId) -> Standing {
+    pub(crate) fn standing(&self, upstream: UpstreamId) -> StatusUpdate {
         let status = if self.is_ejected() {
             Status::Failing
         } else {
             Status::Serving
         };
-        Standing {
+        StatusUpdate {
             upstream,
             round: self.round,
             status,
--- a/crates/flow/src/grounds.rs
+++ b/crates/flow/src/evidence.rs
@@ -4,7 +4,7 @@
 
 /// Evidence that an upstream is silent, recorded to explain resets later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Grounds {
+pub struct SilenceEvidence {
     /// Number of flows stalled on it here.
     pub waiting: u32,
     /// Number of flows stalled at other instances, or of their retransmissions if the instances were queried.
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -7,8 +7,8 @@
 
 use crate::decaying_count::DecayingCount;
 use crate::ejection::Ejection;
+use crate::evidence::SilenceEvidence;
 use crate::flows::Flow;
-use crate::grounds::Grounds;
 use crate::loss;
 use crate::loss::Percent;
 use crate::outcome::Record;
@@ -218,8 +218,8 @@
     }
 
     /// Evidence for its silence, at the given loss rate.
-    pub(crate) fn grounds(&self, loss: Percent, now: Time) -> Grounds {
-        Grounds {
+    pub(crate) fn evidence(&self, loss: Percent, now: Time) -> SilenceEvidence {
+        SilenceEvidence {
             waiting: self.stalled,
             elsewhere: self.stalled_elsewhere(now),
             reporters: self.reports(now).count(),
--- a/crates/flow/src/standing.rs
+++ b/crates/flow/src/status_update.rs
@@ -32,7 +32,7 @@
 
 /// Status update about one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct StatusUpdate {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Round number of the update, counted separately for failure and for silence; the highest takes precedence.
@@ -41,7 +41,7 @@
     pub status: Status,
 }
 
-impl Standing {
+impl StatusUpdate {
     /// The same update, delayed by `by`. The times come from another instance and may have any value.
     pub(crate) fn aged(self, by: Duration) -> Self {
         let status = match self.status {
--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -29,7 +29,7 @@
 }
 
 /// Reset in response to an opening packet.
-pub(crate) fn reset_opening(packet: &Packet, cause: ResetCause) -> Reset {
+pub(crate) fn reset_for_opening(packet: &Packet, cause: ResetCause) -> Reset {
     Reset {
         client: packet.client,
         route: packet.route,
@@ -39,7 +39,7 @@
 }
 
 /// Reset for an established flow.
-pub(crate) fn reset_open(packet: &Packet, cause: ResetCause) -> Reset {
+pub(crate) fn reset_for_established(packet: &Packet, cause: ResetCause) -> Reset {
     Reset {
         client: packet.client,
         route: packet.route,
@@ -49,7 +49,7 @@
 }
 
 /// Reason for dropping a packet whose echo doesn't identify an upstream.
-pub(crate) fn unknown_echo(packet: &Packet) -> DropCause {
+pub(crate) fn unroutable_cause(packet: &Packet) -> DropCause {
     if packet.flags.has(Flags::RST) {
         return DropCause::Reset;
     }
--- a/crates/flow/src/wait.rs
+++ b/crates/flow/src/wait.rs
@@ -18,7 +18,7 @@
     /// What the client waited for.
     pub kind: WaitKind,
     /// Whether the upstream is in this instance's availability zone.
-    pub is_at_home: bool,
+    pub is_local_zone: bool,
     /// Duration of the wait.
     pub time: Duration,
 }
--- a/crates/flow/tests/draft.rs
+++ b/crates/flow/tests/draft.rs
@@ -220,14 +220,14 @@
             echo: Echo::NONE,
             len: 0,
         };
-        self.core.packet(&packet, self.now)
+        self.core.handle_packet(&packet, self.now)
     }
 
     /// The documents of which something new can't be read.
     fn unread(&mut self) -> Vec<Revision> {
         let decisions = self.core.take_decisions().into_iter();
         let unread = decisions.filter_map(|decision| match decision {
-            Decision::Unread { document, .. } => Some(document),
+            Decision::DocumentWarning { document, .. } => Some(document),
             _ => None,
         });
         unread.collect()
--- a/crates/flow/tests/failing.rs
+++ b/crates/flow/tests/failing.rs
@@ -102,9 +102,9 @@
         while self.told_at + TICK <= until {
             self.told_at = self.told_at + TICK;
             for report in self.core.take_failures(self.told_at) {
-                self.core.hear_failure(&report, 1, self.told_at);
+                self.core.receive_failure_report(&report, 1, self.told_at);
             }
-            self.core.take_standings();
+            self.core.take_status_updates();
             for decision in self.core.take_decisions() {
                 if let Decision::Ejected { upstream, .. } = decision {
                     self.ejections.push((upstream, self.told_at));
@@ -123,14 +123,14 @@
             seq: 500,
             ack: 0,
         };
-        let verdict = self.core.packet(&flow.packet(Flags::SYN, 0), self.now);
+        let verdict = self.core.handle_packet(&flow.packet(Flags::SYN, 0), self.now);
         let Verdict::Forward { upstream, echo, .. } = verdict else {
             panic!("{verdict:?}");
         };
         flow.echo = echo;
         flow.upstream = upstream.0;
         flow.ack = 9_000;
-        self.core.packet(&flow.packet(Flags::ACK, 0), self.now);
+        self.core.handle_packet(&flow.packet(Flags::ACK, 0), self.now);
         flow
     }
 }
@@ -166,7 +166,7 @@
                 of_first += u32::from(asked * 2 > load.requests && flow.upstream == 1);
                 let packet = flow.packet(Flags::ACK, 100);
                 flow.seq += 100;
-                world.core.packet(&packet, at);
+                world.core.handle_packet(&packet, at);
                 let fails = flow.upstream == 1 && at >= FAILS_FROM;
                 let failing = if fails { load.failing } else { 0.0 };
                 let is_lost = rng.random_bool((load.lost + failing).min(1.0));
@@ -180,13 +180,13 @@
             Next::Answer => {
                 flow.ack += 2_000;
                 let packet = flow.packet(Flags::ACK, 0);
-                world.core.packet(&packet, at);
+                world.core.handle_packet(&packet, at);
                 let pause = Duration::from_micros(rng.random_range(200_000..1_800_000));
                 events.insert((at + pause, index), Next::Request);
             }
             Next::GiveUp => {
                 let packet = flow.packet(Flags::FIN | Flags::ACK, 0);
-                world.core.packet(&packet, at);
+                world.core.handle_packet(&packet, at);
                 *flow = world.open();
                 events.insert((at + Duration::from_millis(1), index), Next::Request);
             }
--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -14,8 +14,8 @@
 use flow::Packet;
 use flow::Report;
 use flow::ReporterId;
-use flow::Standing;
 use flow::Status;
+use flow::StatusUpdate;
 use flow::UpstreamId;
 use flow::Verdict;
 use rand::RngExt;
@@ -139,7 +139,7 @@
     Reports(Vec<Report>),
     Questions(Vec<UpstreamId>),
     Views(Vec<Report>),
-    Standings(Vec<Standing>),
+    Standings(Vec<StatusUpdate>),
 }
 
 // Events of one time are taken in the order in which they were added; their contents tell nothing.
@@ -457,7 +457,7 @@
     /// Hands a packet to the flow's instance. Gives the upstream that it is forwarded to.
     fn send(&mut self, index: usize, packet: &Packet) -> Option<u64> {
         let instance = self.flows[index].instance;
-        let verdict = self.cores[instance as usize].packet(packet, self.now);
+        let verdict = self.cores[instance as usize].handle_packet(packet, self.now);
         let forwarded = match verdict {
             Verdict::Forward { upstream, echo, .. } => {
                 self.flows[index].echo = echo;
@@ -547,13 +547,13 @@
     }
 
     fn inquire(&mut self, instance: u64) {
-        for id in self.cores[instance as usize].take_questions(self.now) {
+        for id in self.cores[instance as usize].take_due_inquiries(self.now) {
             let mut witnesses = self.witnesses(id.0);
             if !witnesses[..2].contains(&instance) {
                 continue;
             }
             witnesses.retain(|witness| *witness != instance);
-            self.cores[instance as usize].inquire(id, witnesses.len(), self.now);
+            self.cores[instance as usize].start_inquiry(id, witnesses.len(), self.now);
             for to in witnesses {
                 self.tell(instance, to, Message::Questions(vec![id]));
             }
@@ -564,19 +564,19 @@
         let core = &mut self.cores[to as usize];
         match message {
             Message::Reports(reports) => {
-                let answers = core.hear(ReporterId(from), reports, self.now);
+                let answers = core.receive_reports(ReporterId(from), reports, self.now);
                 if !answers.is_empty() {
                     self.tell(to, from, Message::Reports(answers));
                 }
                 self.inquire(to);
             }
             Message::Questions(ids) => {
-                let views = core.views(ids, self.now);
+                let views = core.reports_on(ids, self.now);
                 self.tell(to, from, Message::Views(views));
             }
-            Message::Views(views) => core.hear_views(ReporterId(from), views, self.now),
+            Message::Views(views) => core.receive_inquiry_replies(ReporterId(from), views, self.now),
             Message::Standings(standings) => {
-                let answers = core.hear_standings(standings, self.now);
+                let answers = core.receive_status_updates(standings, self.now);
                 if !answers.is_empty() {
                     self.tell(to, from, Message::Reports(answers));
                 }
@@ -588,7 +588,7 @@
 
     fn tell_standings(&mut self, instance: u64) {
         let core = &mut self.cores[instance as usize];
-        let (decided, heard) = (core.take_standings(), core.take_heard(self.now));
+        let (decided, heard) = (core.take_status_updates(), core.take_received_updates(self.now));
         for standing in &decided {
             self.note_word(standing);
         }
@@ -596,7 +596,7 @@
         self.spread(instance, &heard, PASSED_ON);
     }
 
-    fn note_word(&mut self, standing: &Standing) {
+    fn note_word(&mut self, standing: &StatusUpdate) {
         let Status::Silent { .. } = standing.status else {
             return;
         };
@@ -609,7 +609,7 @@
         }
     }
 
-    fn spread(&mut self, instance: u64, standings: &[Standing], (near, far): (usize, usize)) {
+    fn spread(&mut self, instance: u64, standings: &[StatusUpdate], (near, far): (usize, usize)) {
         if standings.is_empty() {
             return;
         }
--- a/crates/flow/tests/returned.rs
+++ b/crates/flow/tests/returned.rs
@@ -58,15 +58,15 @@
     core.learn(now, |knowledge| {
         knowledge.take_document(at(0, 4), document) | knowledge.take_list(at(0, 10), warm, now)
     });
-    assert_eq!(core.rationed(now), []);
+    assert_eq!(core.rate_limited(now), []);
     let started = vec![(id, Revision(5), upstream(COLD))];
     core.learn(now, |knowledge| knowledge.take_list(at(1, 5), started, now));
-    assert_eq!(core.rationed(now), [id]);
+    assert_eq!(core.rate_limited(now), [id]);
     let kept = vec![(id, Revision(5), upstream(COLD))];
     let later = now + COLD;
     core.learn(later, |knowledge| knowledge.take_list(at(2, 5), kept, later));
     assert_eq!(
-        core.rationed(later),
+        core.rate_limited(later),
         [],
         "the same write counts from when it was first seen"
     );
--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -35,9 +35,9 @@
 use flow::Sample;
 use flow::Share;
 use flow::Sighting;
-use flow::Standing;
 use flow::Start;
 use flow::Status;
+use flow::StatusUpdate;
 use flow::Upstream;
 use flow::UpstreamId;
 use flow::Verdict;
@@ -163,7 +163,7 @@
     fn waits(&mut self) -> String {
         let mut out = String::new();
         for wait in self.core.take_waits() {
-            let place = if wait.is_at_home { "here" } else { "elsewhere" };
+            let place = if wait.is_local_zone { "here" } else { "elsewhere" };
             writeln!(out, "{:?} {place}: {} ms", wait.kind, wait.time.as_millis()).unwrap();
         }
         out
@@ -223,9 +223,9 @@
     /// This instance keeps these cold upstreams. Shows all that are cold.
     fn keep(&mut self, ids: &[&str]) -> String {
         let kept = ids.iter().map(|id| id.parse().unwrap());
-        self.core.keep(kept.collect());
+        self.core.set_assigned_cold(kept.collect());
         let mut out = String::new();
-        for id in self.core.rationed(self.now) {
+        for id in self.core.rate_limited(self.now) {
             writeln!(out, "{:x} is cold", id.0).unwrap();
         }
         out
@@ -323,14 +323,15 @@
         for report in self.core.take_failures(self.now) {
             let FailureReport { upstream, failed, .. } = report;
             writeln!(out, "  reports {failed} at {:x}", upstream.0).unwrap();
-            self.core.hear_failure(&report, instances.parse().unwrap(), self.now);
+            self.core
+                .receive_failure_report(&report, instances.parse().unwrap(), self.now);
         }
         self.show_standings(out);
         self.show(out);
     }
 
     fn show_standings(&mut self, out: &mut String) {
-        for standing in self.core.take_standings() {
+        for standing in self.core.take_status_updates() {
             let place = place(standing.status);
             writeln!(
                 out,
@@ -344,9 +345,9 @@
     /// This instance asks so many others about upstreams that enough flows wait for.
     fn asks(&mut self, others: &str, out: &mut String) {
         let others = others.parse().unwrap();
-        for id in self.core.take_questions(self.now) {
+        for id in self.core.take_due_inquiries(self.now) {
             writeln!(out, "  asks {others} others about {:x}", id.0).unwrap();
-            self.core.inquire(id, others, self.now);
+            self.core.start_inquiry(id, others, self.now);
         }
         self.show_standings(out);
         self.show(out);
@@ -365,7 +366,7 @@
             loss: Sample::default(),
             is_in_doubt: false,
         };
-        self.core.hear_views(reporter(name), &[view], self.now);
+        self.core.receive_inquiry_replies(reporter(name), &[view], self.now);
         self.show_standings(out);
         self.show(out);
     }
@@ -373,16 +374,16 @@
     /// Another instance tells where an upstream stands: `ROUND/out`, `ROUND/in`, `ROUND/silent:MS` or `ROUND/alive:MS`.
     fn told(&mut self, id: &str, word: &str, out: &mut String) {
         let (round, place) = word.split_once('/').unwrap();
-        let standing = Standing {
+        let standing = StatusUpdate {
             upstream: id.parse().unwrap(),
             round: round.parse().unwrap(),
             status: word_of(place),
         };
-        for answer in self.core.hear_standings(&[standing], self.now) {
+        for answer in self.core.receive_status_updates(&[standing], self.now) {
             let silent = answer.silent_for.as_millis();
             writeln!(out, "  knows better: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
         }
-        for heard in self.core.take_heard(self.now) {
+        for heard in self.core.take_received_updates(self.now) {
             writeln!(out, "  passes on word {} of {:x}", heard.round, heard.upstream.0).unwrap();
         }
         self.show(out);
@@ -404,7 +405,7 @@
             loss: Sample::default(),
             is_in_doubt: false,
         };
-        for answer in self.core.hear(reporter(name), &[report], self.now) {
+        for answer in self.core.receive_reports(reporter(name), &[report], self.now) {
             let silent = answer.silent_for.as_millis();
             writeln!(out, "  tells {name}: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
         }
@@ -471,7 +472,7 @@
             "lost-echo" => packet.echo = Echo(0x0bad_0bad),
             other => panic!("no such packet: {other}"),
         }
-        let verdict = self.core.packet(&packet, self.now);
+        let verdict = self.core.handle_packet(&packet, self.now);
         let end = self.ends.get_mut(name).unwrap();
         match verdict {
             Verdict::Forward { upstream, echo, .. } => {
@@ -496,8 +497,8 @@
         }
         for decision in self.core.take_decisions() {
             match decision {
-                Decision::Died { upstream, grounds, .. } => {
-                    let waiting = grounds.waiting;
+                Decision::MarkedDead { upstream, evidence, .. } => {
+                    let waiting = evidence.waiting;
                     writeln!(out, "  {:x} is taken for dead, {waiting} wait", upstream.0).unwrap();
                 }
                 Decision::Revived(upstream) => writeln!(out, "  {:x} answers again", upstream.0).unwrap(),
@@ -505,7 +506,7 @@
                     upstream,
                     usual_percent,
                 } => writeln!(out, "  {:x} is ejected, {usual_percent}% is usual", upstream.0).unwrap(),
-                Decision::Followed(upstream) => writeln!(out, "  {:x} is ejected as told", upstream.0).unwrap(),
+                Decision::EjectedElsewhere(upstream) => writeln!(out, "  {:x} is ejected as told", upstream.0).unwrap(),
                 Decision::Readmitted(upstream) => writeln!(out, "  {:x} is readmitted", upstream.0).unwrap(),
                 Decision::Restarted { upstream, flows } => {
                     writeln!(out, "  {:x} has started again, {flows} flows are over", upstream.0).unwrap();
@@ -514,7 +515,7 @@
                     writeln!(out, "  {zone} is to be emptied, {flows} flows are open there").unwrap();
                 }
                 Decision::Restored { zone, .. } => writeln!(out, "  {zone} is taken back").unwrap(),
-                Decision::Unread { .. }
+                Decision::DocumentWarning { .. }
                 | Decision::Placed { .. }
                 | Decision::Reset { .. }
                 | Decision::Dropped { .. } => {}
--- a/crates/flow/tests/silence.rs
+++ b/crates/flow/tests/silence.rs
@@ -12,8 +12,8 @@
 use flow::Report;
 use flow::ReporterId;
 use flow::Sample;
-use flow::Standing;
 use flow::Status;
+use flow::StatusUpdate;
 use flow::UpstreamId;
 
 use crate::fleet::Outcome;
@@ -187,12 +187,12 @@
     };
     let later = START + Duration::from_secs(1);
     for from in 0..3 {
-        core.hear(ReporterId(from), &[report], later);
+        core.receive_reports(ReporterId(from), &[report], later);
     }
-    assert_eq!(core.take_questions(later), [id]);
-    core.inquire(id, 2, later);
+    assert_eq!(core.take_due_inquiries(later), [id]);
+    core.start_inquiry(id, 2, later);
     for from in 0..2 {
-        core.hear_views(ReporterId(from), &[report], later);
+        core.receive_inquiry_replies(ReporterId(from), &[report], later);
     }
     let silent = Status::Silent {
         silent_for: Duration::MAX,
@@ -203,8 +203,8 @@
         answered_ago: Duration::MAX,
     };
     for (round, status) in [(u32::MAX - 1, silent), (u32::MAX, alive)] {
-        core.hear_standings(
-            &[Standing {
+        core.receive_status_updates(
+            &[StatusUpdate {
                 upstream: id,
                 round,
                 status,
@@ -212,6 +212,6 @@
             later,
         );
     }
-    let heard = core.take_heard(later + Duration::from_secs(1));
+    let heard = core.take_received_updates(later + Duration::from_secs(1));
     assert_eq!(heard.len(), 2);
 }
--- a/crates/flow/tests/size.rs
+++ b/crates/flow/tests/size.rs
@@ -53,9 +53,12 @@
     for upstreams in [1_300, 13_000] {
         let mut core = core(upstreams);
         for client in 0..100 {
-            assert!(matches!(core.packet(&packet(client), START), Verdict::Forward { .. }));
+            assert!(matches!(
+                core.handle_packet(&packet(client), START),
+                Verdict::Forward { .. }
+            ));
         }
-        let looked_at = core.stats().looked_at;
+        let looked_at = core.stats().examined;
         assert!(looked_at <= 100 * 32, "{looked_at} of {upstreams}");
     }
 }
@@ -66,7 +69,7 @@
     let mut core = core(5_000);
     let mut flows = std::collections::BTreeMap::<UpstreamId, u32>::new();
     for client in 0..1_500 {
-        let Verdict::Forward { upstream, .. } = core.packet(&packet(client), START) else {
+        let Verdict::Forward { upstream, .. } = core.handle_packet(&packet(client), START) else {
             panic!("no upstream for {client}");
         };
         *flows.entry(upstream).or_default() += 1;
@@ -82,7 +85,7 @@
     let mut core = core(2_000);
     indexed(&mut core, (1..=2_000).filter(|id| *id != 777));
     for client in 0..20 {
-        let verdict = core.packet(&packet(client), START);
+        let verdict = core.handle_packet(&packet(client), START);
         assert!(matches!(verdict, Verdict::Forward { upstream, .. } if upstream == UpstreamId(777)));
     }
 }
--- a/crates/jayquayd/src/forward/decisions.rs
+++ b/crates/jayquayd/src/forward/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flow::Decision;
-use flow::Grounds;
+use flow::SilenceEvidence;
 use units::Position;
 use units::Revision;
 use units::Time;
@@ -54,15 +54,15 @@
 fn is_about_one_flow(decision: &Decision) -> bool {
     !matches!(
         decision,
-        Decision::Died { .. }
+        Decision::MarkedDead { .. }
             | Decision::Revived(_)
             | Decision::Restarted { .. }
             | Decision::Ejected { .. }
-            | Decision::Followed(_)
+            | Decision::EjectedElsewhere(_)
             | Decision::Readmitted(_)
             | Decision::Evacuated { .. }
             | Decision::Restored { .. }
-            | Decision::Unread { .. }
+            | Decision::DocumentWarning { .. }
     )
 }
 
@@ -76,11 +76,11 @@
 }
 
 /// What speaks for a reset, as it stands in the log.
-struct Words(Grounds);
+struct Words(SilenceEvidence);
 
 impl fmt::Display for Words {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Grounds {
+        let SilenceEvidence {
             waiting,
             elsewhere,
             reporters,
@@ -115,7 +115,7 @@
             flow,
             upstream,
             cause,
-            grounds,
+            evidence: grounds,
         } => {
             let upstream = upstream
                 .map(|upstream| format!(" upstream={upstream}"))
@@ -128,9 +128,9 @@
         Decision::Dropped { flow, echo, cause } => {
             log::info!("flows: dropped flow={flow} cause={cause} echo={echo} upstreams_at={upstreams_at}");
         }
-        Decision::Died {
+        Decision::MarkedDead {
             upstream,
-            grounds,
+            evidence: grounds,
             flows,
         } => log::warn!(
             "flows: taken for dead upstream={upstream}{} flows={flows}",
@@ -141,7 +141,7 @@
             upstream,
             usual_percent,
         } => log::warn!("flows: ejected upstream={upstream} usual_percent={usual_percent}"),
-        Decision::Followed(upstream) => log::info!("flows: ejected as told upstream={upstream}"),
+        Decision::EjectedElsewhere(upstream) => log::info!("flows: ejected as told upstream={upstream}"),
         Decision::Readmitted(upstream) => log::warn!("flows: readmitted upstream={upstream}"),
         Decision::Restarted { upstream, flows } => {
             log::info!("flows: started again upstream={upstream} flows={flows} upstreams_at={upstreams_at}");
@@ -149,7 +149,7 @@
         Decision::Evacuated { zone, at, flows } => {
             log::warn!("zones: evacuated zone={zone} at={at} open_flows={flows}");
         }
-        Decision::Unread { document, warning } => log::warn!("routes: unread document={document} {warning}"),
+        Decision::DocumentWarning { document, warning } => log::warn!("routes: unread document={document} {warning}"),
         Decision::Restored { zone, at } => log::warn!("zones: restored zone={zone} at={at}"),
     }
 }
--- a/crates/jayquayd/src/forward/failures.rs
+++ b/crates/jayquayd/src/forward/failures.rs
@@ -30,7 +30,7 @@
         let zone = of_zone(&drawn, core.zone_of(report.upstream));
         for member in zone.iter().take(AGGREGATORS) {
             if member.name == *own {
-                core.hear_failure(&report, count(&zone), now);
+                core.receive_failure_report(&report, count(&zone), now);
             } else {
                 out.entry(member.address).or_default().push(report);
             }
@@ -47,6 +47,6 @@
     let known: Vec<&Member> = members.members().collect();
     for report in reports {
         let zone = of_zone(&known, core.zone_of(report.upstream));
-        core.hear_failure(report, count(&zone), now);
+        core.receive_failure_report(report, count(&zone), now);
     }
 }
--- a/crates/jayquayd/src/forward/figures.rs
+++ b/crates/jayquayd/src/forward/figures.rs
@@ -107,7 +107,7 @@
             WaitKind::Handshake => &self.handshakes,
             WaitKind::Response => &self.responses,
         };
-        let histogram = if wait.is_at_home { &places.own } else { &places.other };
+        let histogram = if wait.is_local_zone { &places.own } else { &places.other };
         histogram.record(wait.time);
     }
 }
--- a/crates/jayquayd/src/forward/gossip.rs
+++ b/crates/jayquayd/src/forward/gossip.rs
@@ -13,7 +13,7 @@
 
 use flow::FailureReport;
 use flow::Report;
-use flow::Standing;
+use flow::StatusUpdate;
 use flow::UpstreamId;
 use membership::Membership;
 use membership::Output;
@@ -91,7 +91,7 @@
     /// Tries that have ended badly, for whoever sums up.
     Failures(Vec<FailureReport>),
     /// Upstreams that get no new flows, or get them again.
-    Standings(Vec<Standing>),
+    Standings(Vec<StatusUpdate>),
     /// Ask the store whether it knows more.
     Check(Question),
 }
--- a/crates/jayquayd/src/forward/gossip/upstreams.rs
+++ b/crates/jayquayd/src/forward/gossip/upstreams.rs
@@ -4,7 +4,7 @@
 
 use flow::Report;
 use flow::ReporterId;
-use flow::Standing;
+use flow::StatusUpdate;
 use flow::UpstreamId;
 use rand::seq::IteratorRandom;
 use units::InstanceName;
@@ -27,7 +27,7 @@
     /// Takes in another instance's reports, and tells it what is known better here.
     pub(super) fn hear_reports(&self, from: &Sender, reports: &[Report]) {
         let now = self.shared.now();
-        let answers = self.shared.core().hear(reporter(&from.name), reports, now);
+        let answers = self.shared.core().receive_reports(reporter(&from.name), reports, now);
         self.tell_better(from, answers);
         self.ask();
         self.carry_on();
@@ -35,20 +35,22 @@
 
     /// Tells another instance what was seen here of the upstreams that it asks about.
     pub(super) fn answer(&self, from: &Sender, upstreams: &[UpstreamId]) {
-        let views = self.shared.core().views(upstreams, self.shared.now());
+        let views = self.shared.core().reports_on(upstreams, self.shared.now());
         self.reply(from, Body::Views(views));
     }
 
     /// Takes in what another instance has seen of upstreams that it was asked about.
     pub(super) fn hear_views(&self, from: &Sender, views: &[Report]) {
         let now = self.shared.now();
-        self.shared.core().hear_views(reporter(&from.name), views, now);
+        self.shared
+            .core()
+            .receive_inquiry_replies(reporter(&from.name), views, now);
         self.carry_on();
     }
 
     /// Follows what another instance has decided, and tells it what is known better here.
-    pub(super) fn hear_standings(&self, from: &Sender, standings: &[Standing]) {
-        let answers = self.shared.core().hear_standings(standings, self.shared.now());
+    pub(super) fn hear_standings(&self, from: &Sender, standings: &[StatusUpdate]) {
+        let answers = self.shared.core().receive_status_updates(standings, self.shared.now());
         self.tell_better(from, answers);
         self.carry_on();
     }
@@ -96,7 +98,10 @@
     pub(super) fn tell_standings(&self) {
         let (decided, heard) = {
             let mut core = self.shared.core();
-            (core.take_standings(), core.take_heard(self.shared.now()))
+            (
+                core.take_status_updates(),
+                core.take_received_updates(self.shared.now()),
+            )
         };
         self.send_standings(&decided, NEAR_LISTENERS, FAR_LISTENERS);
         // Where the first ones who hear are all there are, nothing is to be passed on.
@@ -105,7 +110,7 @@
         }
     }
 
-    fn send_standings(&self, standings: &[Standing], near: usize, far: usize) {
+    fn send_standings(&self, standings: &[StatusUpdate], near: usize, far: usize) {
         if standings.is_empty() {
             return;
         }
--- a/crates/jayquayd/src/forward/keeping.rs
+++ b/crates/jayquayd/src/forward/keeping.rs
@@ -14,9 +14,9 @@
 pub(crate) fn update(shared: &Shared) {
     let now = shared.now();
     let mut core = shared.core();
-    let rationed = core.rationed(now);
+    let rationed = core.rate_limited(now);
     if rationed.is_empty() || shared.clock.uptime() < SETTLED || shared.is_stopping() {
-        return core.keep(BTreeSet::new());
+        return core.set_assigned_cold(BTreeSet::new());
     }
     let members = shared.members();
     let own = &members.me().name;
@@ -25,5 +25,5 @@
         keeper.is_some_and(|keeper| keeper.name == *own)
     });
     let kept = kept.collect();
-    core.keep(kept);
+    core.set_assigned_cold(kept);
 }
--- a/crates/jayquayd/src/forward/packets.rs
+++ b/crates/jayquayd/src/forward/packets.rs
@@ -99,7 +99,7 @@
     fn decide(&mut self, head: &Packet) -> Verdict {
         let now = self.shared.now();
         self.shared.note_packet(now);
-        let verdict = self.shared.core().packet(head, now);
+        let verdict = self.shared.core().handle_packet(head, now);
         self.settle();
         verdict
     }
--- a/crates/jayquayd/src/forward/silence.rs
+++ b/crates/jayquayd/src/forward/silence.rs
@@ -32,13 +32,13 @@
     let now = shared.now();
     let mut core = shared.core();
     let members = shared.members();
-    for id in core.take_questions(now) {
+    for id in core.take_due_inquiries(now) {
         let zone = core.zone_of(id).cloned();
         if !summing::is_aggregator(&members, id, zone.as_ref()) {
             continue;
         }
         let witnesses = summing::witnesses(&members, id, zone.as_ref());
-        core.inquire(id, witnesses.len(), now);
+        core.start_inquiry(id, witnesses.len(), now);
         for member in witnesses {
             out.entry(member.address).or_default().push(id);
         }
--- a/deploy/ablation.py
+++ b/deploy/ablation.py
@@ -44,7 +44,7 @@
     ("single stalled flow", [(FLOW + "core/silence.rs", "const STALLED_RETRANSMISSIONS: u32 = 2;", "const STALLED_RETRANSMISSIONS: u32 = 200;")]),
     ("a zone's silence together", [(FLOW + "core/silence.rs", "const SILENT_IN_ZONE: u32 = 2;", "const SILENT_IN_ZONE: u32 = 2_000;")]),
     ("reports of silence", [(DAEMON + "silence.rs", "let reports = core.take_reports(shared.now());", "let mut reports = core.take_reports(shared.now());\n    reports.clear();")]),
-    ("words of silence", [(FLOW + "core/status_updates.rs", "if standing.round <= health.silence_round {\n            return None;", "if true || standing.round <= health.silence_round {\n            return None;")]),
+    ("words of silence", [(FLOW + "core/status_updates.rs", "if update.round <= health.silence_round {\n            return None;", "if true || standing.round <= health.silence_round {\n            return None;")]),
     ("copies beside flows as signs", [(FLOW + "health.rs", "self.retransmissions.min(self.stalled * 2)", "self.stalled")]),
     ("answers missed by a single flow", [(FLOW + "core/silence.rs", "const MISSED_ANSWERS: f64 = 3.0;", "const MISSED_ANSWERS: f64 = 0.0;")]),
     ("reckoning with loss", [(FLOW + "loss.rs", "(losses / (PRIOR_ATTEMPTS + attempts)).min(MOST_LOSS)", "(losses / (PRIOR_ATTEMPTS + attempts)).min(0.0)")]),
