--- a/crates/flow/src/answer_log.rs
+++ b/crates/flow/src/answer_log.rs
@@ -32,7 +32,7 @@
 
 impl AnswerLog {
     /// Records an answer to something that was sent to an upstream at `sent_at`.
-    pub(crate) fn note(&mut self, upstream: UpstreamId, sent_at: Time, now: Time) {
+    pub(crate) fn record(&mut self, upstream: UpstreamId, sent_at: Time, now: Time) {
         let is_old = |sent: &Sent| now.since(sent.0) > RETENTION;
         while self.sent.len() >= MAX_ENTRIES || self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -296,7 +296,7 @@
             return;
         };
         if let Some(health) = self.health.get_mut(&flow.upstream) {
-            health.note_flow_ended();
+            health.record_flow_end();
         }
     }
 
@@ -319,7 +319,7 @@
         let idle = document.idle_timeout.min(self.options.max_flow);
         for flow in self.flows.take_idle(idle, now) {
             if let Some(health) = self.health.get_mut(&flow.upstream) {
-                health.note_flow_ended();
+                health.record_flow_end();
             }
         }
         let then = now.before(self.options.max_flow * 2);
--- a/crates/flow/src/core/established.rs
+++ b/crates/flow/src/core/established.rs
@@ -56,20 +56,20 @@
         let sign = flow.see(packet, now);
         let health = self.health.entry(id).or_default();
         let progress = if sign.is_progress {
-            health.note_progress(now)
+            health.record_progress(now)
         } else {
             Progress::default()
         };
         if let Some(at) = sign.reached {
-            self.answer_log.note(id, at, now);
+            self.answer_log.record(id, at, now);
         }
         self.loss.note_losses(progress.losses, now);
         if sign.is_request {
-            health.note_request(now);
+            health.record_request(now);
             self.loss.note_attempt(now);
         }
         if sign.is_copy {
-            let is_lost = health.note_retransmission(flow, now);
+            let is_lost = health.record_retransmission(flow, now);
             self.loss.note_losses(is_lost.into(), now);
             self.evaluate(id, now);
         }
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -60,7 +60,7 @@
             cost: candidate.cost,
         });
         let flow = Flow::new(id, Stage::Opening, packet, now);
-        self.health.entry(id).or_default().note_placed(now);
+        self.health.entry(id).or_default().record_placement(now);
         self.record_cold_flow(id, now);
         self.loss.note_attempt(now);
         self.flows.insert(key, flow);
@@ -99,9 +99,9 @@
     fn remove_unanswered_opening(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let mut flow = self.flows.remove(key)?;
         let health = self.health.get_mut(&flow.upstream)?;
-        health.note_flow_ended();
+        health.record_flow_end();
         if flow.stage == Stage::Opening {
-            let is_lost = health.note_retransmission(&mut flow, now);
+            let is_lost = health.record_retransmission(&mut flow, now);
             self.loss.note_losses(is_lost.into(), now);
             self.evaluate(flow.upstream, now);
         }
--- a/crates/flow/src/core/outliers.rs
+++ b/crates/flow/src/core/outliers.rs
@@ -60,7 +60,7 @@
         // Only an upstream that no longer listens refuses a connection, and then its open flows are lost too. So a
         // refusal is as strong a sign of failure as a missing answer, and needs the same confirmation.
         if let Some(health) = self.health.get_mut(&upstream) {
-            health.note_retransmission(flow, now);
+            health.record_retransmission(flow, now);
             self.evaluate(upstream, now);
         }
         self.record_outcome(upstream, Outcome::Refused, now);
@@ -109,9 +109,9 @@
             None => self.typical_services.entry(service.clone()).or_default(),
         };
         if let Some(waited) = sign.waited {
-            service.note_response(waited);
+            service.record_response_time(waited);
             let sample = waited.as_secs_f64().max(service.min_response_sample());
-            self.health.entry(id).or_default().note_response(sample, now);
+            self.health.entry(id).or_default().record_response_time(sample, now);
         }
         if sign.is_request {
             let due = now + service.overdue_after();
@@ -137,7 +137,7 @@
     fn record_response(&mut self, key: &FlowKey, id: UpstreamId, bytes: u32, now: Time) {
         let length = self.typical_lengths.entry(key.route).or_default();
         let is_short = length.is_short(bytes);
-        length.note(bytes);
+        length.add_sample(bytes);
         let outcome = if is_short { Outcome::Short } else { Outcome::Good };
         self.record_outcome(id, outcome, now);
     }
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -232,7 +232,7 @@
 
     /// Records that another instance has seen an upstream answer.
     pub(super) fn record_remote_answer(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
-        let progress = self.health.entry(id).or_default().note_progress(answered_at);
+        let progress = self.health.entry(id).or_default().record_progress(answered_at);
         self.loss.note_losses(progress.losses, now);
         if progress.is_revived {
             self.handle_revival(id, answered_at, now);
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -108,7 +108,7 @@
 
 impl Health {
     /// Records an answer of the upstream, seen here or elsewhere.
-    pub(crate) fn note_progress(&mut self, at: Time) -> Progress {
+    pub(crate) fn record_progress(&mut self, at: Time) -> Progress {
         if at <= self.last_progress {
             return Progress::default();
         }
@@ -127,7 +127,7 @@
     }
 
     /// Records a response time, in seconds.
-    pub(crate) fn note_response(&mut self, sample: f64, now: Time) {
+    pub(crate) fn record_response_time(&mut self, sample: f64, now: Time) {
         let mean = self.response(now).unwrap_or(sample);
         self.response = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
         self.response_at = now;
@@ -139,7 +139,7 @@
     }
 
     /// Counts a request that was forwarded to it.
-    pub(crate) fn note_request(&mut self, now: Time) {
+    pub(crate) fn record_request(&mut self, now: Time) {
         self.activity.add(1, ACTIVITY_SPAN, now);
     }
 
@@ -147,7 +147,7 @@
     ///
     /// Returns whether only a packet of this flow was lost, which is so if the upstream has answered another flow in
     /// the meantime. Nothing is counted then.
-    pub(crate) fn note_retransmission(&mut self, flow: &mut Flow, now: Time) -> bool {
+    pub(crate) fn record_retransmission(&mut self, flow: &mut Flow, now: Time) -> bool {
         if self.last_progress > flow.waits_since() {
             return true;
         }
@@ -346,7 +346,7 @@
     }
 
     /// Counts a new flow placed on it.
-    pub(crate) fn note_placed(&mut self, now: Time) {
+    pub(crate) fn record_placement(&mut self, now: Time) {
         self.flows += 1;
         self.ejection.note_placed(now);
         if self.stalled > 0 {
@@ -363,7 +363,7 @@
     }
 
     /// Counts a flow that has ended or been removed.
-    pub(crate) fn note_flow_ended(&mut self) {
+    pub(crate) fn record_flow_end(&mut self) {
         self.flows = self.flows.saturating_sub(1);
     }
 
--- a/crates/flow/src/typical.rs
+++ b/crates/flow/src/typical.rs
@@ -25,7 +25,7 @@
 }
 
 impl TypicalService {
-    pub(crate) fn note_response(&mut self, waited: Duration) {
+    pub(crate) fn record_response_time(&mut self, waited: Duration) {
         let sample = waited.as_secs_f64();
         let mean = self.response.unwrap_or(sample);
         self.response = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
@@ -61,7 +61,7 @@
 }
 
 impl TypicalLength {
-    pub(crate) fn note(&mut self, bytes: u32) {
+    pub(crate) fn add_sample(&mut self, bytes: u32) {
         let bytes = f64::from(bytes);
         self.answers = self.answers.saturating_add(1);
         if self.answers == 1 {
--- a/deploy/ablation.py
+++ b/deploy/ablation.py
@@ -54,7 +54,7 @@
     ("the system's probes of connections", [("crates/platform/src/transport.rs", "            .tcp_keepalive(KEEPALIVE)\n            .tcp_keepalive_interval(KEEPALIVE)\n            .tcp_keepalive_retries(KEEPALIVE_TRIES)\n", "")]),
     ("checks each second", [(DAEMON + "check.rs", "(first == Some(&members.me().name)).then(|| Question::first(round))", "(first == Some(&members.me().name) && round == 0).then(|| Question::first(round))")]),
     ("ejection of failing upstreams", [(FLOW + "outcome.rs", "const ENOUGH: f64 = 13.8;", "const ENOUGH: f64 = 1e300;")]),
-    ("refused openings as silence", [(FLOW + "core/outliers.rs", "            health.note_retransmission(flow, now);\n", "            let _off = (&health, &flow);\n")]),
+    ("refused openings as silence", [(FLOW + "core/outliers.rs", "            health.record_retransmission(flow, now);\n", "            let _off = (&health, &flow);\n")]),
     ("least credited response time", [(FLOW + "typical.rs", "self.response.unwrap_or_default() / 2.0", "0.0")]),
 ]
 
