--- a/crates/flow/src/core/cold.rs
+++ b/crates/flow/src/core/cold.rs
@@ -16,8 +16,9 @@
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
-/// How many instances may consider themselves responsible for an upstream at the same time: while one joins or is
-/// declared dead, the others learn of it at different times. Each uses this fraction of the limit.
+/// Number of instances that may consider themselves responsible for an upstream at the same time: while one joins or is
+/// declared dead, the others learn of it at different times. Each sends flows at the configured rate divided by this
+/// number.
 const RESPONSIBLE_INSTANCES: u32 = 2;
 
 /// Interval between new flows from the responsible instance to a cold upstream.
--- a/crates/flow/src/core/established.rs
+++ b/crates/flow/src/core/established.rs
@@ -19,7 +19,7 @@
 use crate::wait::WaitKind;
 
 impl Core {
-    /// Forwards a packet to the upstream that its echo names.
+    /// Forwards a packet to the upstream that its echo names, or resets the flow if that upstream is dead or silent.
     pub(super) fn handle_established(&mut self, packet: &Packet, now: Time) -> Verdict {
         let Some(id) = self.directory.by_echo(packet.echo) else {
             return Verdict::Drop(unroutable_cause(packet));
--- a/crates/flow/src/core/inquiries.rs
+++ b/crates/flow/src/core/inquiries.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Takes the upstreams that this instance, as their aggregator, should query others about.
+    /// Finishes the inquiries that are over, and takes the upstreams that the instance which aggregates their reports
+    /// should query others about.
     pub fn take_due_inquiries(&mut self, now: Time) -> Vec<UpstreamId> {
         let over = self.inquiries.iter().filter(|(_, inquiry)| inquiry.is_over(now));
         let over: Vec<UpstreamId> = over.map(|(id, _)| *id).collect();
--- a/crates/flow/src/core/outliers.rs
+++ b/crates/flow/src/core/outliers.rs
@@ -58,7 +58,7 @@
         }
         let upstream = flow.upstream;
         // Only an upstream that no longer listens refuses a connection, and then its open flows are lost too. So a
-        // refusal is as strong a sign of failure as a missing answer, and needs the same confirmation.
+        // refusal counts as much as a missing answer, and is confirmed in the same way.
         if let Some(health) = self.health.get_mut(&upstream) {
             health.record_retransmission(flow, now);
             self.evaluate(upstream, now);
--- a/crates/flow/src/decision.rs
+++ b/crates/flow/src/decision.rs
@@ -42,7 +42,7 @@
         flow: FlowKey,
         /// Its upstream, if it has one.
         upstream: Option<UpstreamId>,
-        /// Why.
+        /// Cause of the reset.
         cause: ResetCause,
         /// Evidence, if the cause is a silent upstream.
         evidence: Option<SilenceEvidence>,
@@ -53,7 +53,7 @@
         flow: FlowKey,
         /// The echo of the packet.
         echo: Echo,
-        /// Why.
+        /// Reason for the drop.
         cause: DropCause,
     },
     /// An upstream was marked dead, and its flows were reset.
@@ -62,7 +62,7 @@
         upstream: UpstreamId,
         /// Evidence for its silence.
         evidence: SilenceEvidence,
-        /// How many flows it had here.
+        /// Number of its flows seen open here.
         flows: usize,
     },
     /// An upstream that was considered dead answers again.
