--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -1,13 +1,13 @@
-//! One instance's flow path: packets and news in, verdicts out.
+//! The packet path of one instance: takes packets and control-plane updates, and returns verdicts.
 
-mod carrying;
-mod evacuating;
-mod failing;
-mod inquiring;
+mod cold;
+mod established;
+mod evacuation;
+mod inquiries;
 mod opening;
+mod outliers;
 mod silence;
-mod standings;
-mod warming;
+mod status_updates;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
 use units::Time;
 use units::ZoneName;
 
-use crate::answered::Answered;
+use crate::answer_log::AnswerLog;
 use crate::checks::Checks;
 use crate::decision::Decision;
 use crate::directory::Directory;
@@ -38,90 +38,91 @@
 use crate::packet::Packet;
 use crate::packet::Reset;
 use crate::packet::ResetCause;
-use crate::place::Base;
+use crate::place::Baseline;
 use crate::route::Routes;
-use crate::standing::Standing;
+use crate::status_update::StatusUpdate;
+use crate::typical::TypicalLength;
+use crate::typical::TypicalService;
 use crate::upstream::UpstreamId;
-use crate::usual::Length;
-use crate::usual::Service;
 use crate::verdict::Verdict;
 use crate::wait::Wait;
 use crate::warning::Warning;
 
-/// How many places there are to begin at where upstreams take turns: far more than there are turns.
-const FIRST_TURNS: u64 = 1 << 20;
+/// Range of the seeded start offset for round-robin selection; far larger than any rotation.
+const START_OFFSETS: u64 = 1 << 20;
 
-/// What an instance is told at its start.
+/// Start-up options of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// The instance's availability zone.
     pub zone: ZoneName,
-    /// The longest that a flow lives; upstreams that went are remembered for longer.
+    /// Maximum lifetime of a flow; removed upstreams are remembered for longer than this.
     pub max_flow: Duration,
-    /// Whether operators of the platform empty availability zones: no flow is placed before it is known which.
+    /// Whether the platform's operators can evacuate availability zones. If so, no flow is placed until the set of
+    /// evacuated zones is known.
     pub awaits_evacuations: bool,
-    /// Seeds the choice between equals.
+    /// Seed of the random choice between equally good upstreams.
     pub seed: u64,
 }
 
-/// Counts since the start.
+/// Counters since start-up.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Stats {
-    /// Flows placed at an upstream, copies of opening packets included.
+    /// Flows placed on an upstream, including retransmitted opening packets that are placed again.
     pub placed: u64,
-    /// Upstreams looked at for new flows.
-    pub looked_at: u64,
-    /// Entries of upstreams taken into the directory.
+    /// Upstreams examined while placing flows.
+    pub examined: u64,
+    /// Upstream entries indexed by the directory.
     pub indexed: u64,
-    /// Packets of flows forwarded.
+    /// Forwarded packets.
     pub forwarded: u64,
     /// Flows reset, by cause.
     pub resets: BTreeMap<ResetCause, u64>,
     /// Packets dropped, by cause.
     pub drops: BTreeMap<DropCause, u64>,
-    /// How tries at upstreams ended.
+    /// Results of connection attempts and requests at upstreams.
     pub outcomes: BTreeMap<Outcome, u64>,
 }
 
-/// One instance's flow path.
+/// Packet path of one instance.
 #[derive(Debug)]
 pub struct Core {
     options: Options,
     rng: SmallRng,
-    /// Where this instance begins where upstreams take turns.
-    first_turn: usize,
+    /// Start offset of this instance in round-robin selection.
+    start_offset: usize,
     knowledge: Knowledge,
     routes: Routes,
-    /// What can't be read of the document that the routes are of.
+    /// Warnings about the document that `routes` was built from.
     warnings: Vec<Warning>,
     directory: Directory,
     health: HashMap<UpstreamId, Health>,
-    /// How long each service's upstreams take to answer at best.
-    bases: HashMap<String, Base>,
+    /// Baseline response time of each service.
+    baselines: HashMap<String, Baseline>,
     loss: Loss,
-    answered: Answered,
+    answer_log: AnswerLog,
     flows: Flows,
     resets: Vec<Reset>,
     decisions: Vec<Decision>,
     waits: Vec<Wait>,
     stats: Stats,
-    /// What is usual of each service.
-    services: HashMap<CompactString, Service>,
-    /// How long each route's answers are, by the address that clients dial.
-    lengths: HashMap<SocketAddrV4, Length>,
+    /// Typical response time and results of each service.
+    typical_services: HashMap<CompactString, TypicalService>,
+    /// Typical response length of each route, by the address that clients connect to.
+    typical_lengths: HashMap<SocketAddrV4, TypicalLength>,
     checks: Checks,
-    /// Standings of upstreams that were decided here, and that others have told, with the time when they came.
-    standings: Vec<Standing>,
-    heard: Vec<(Time, Standing)>,
-    /// Upstreams that others should be asked about, and those that they were asked about.
-    questions: BTreeSet<UpstreamId>,
+    /// Upstream status updates: decided here and not yet sent, and received from others with their arrival times.
+    status_updates: Vec<StatusUpdate>,
+    received_updates: Vec<(Time, StatusUpdate)>,
+    /// Upstreams that other instances should be queried about, and queries in progress.
+    due_inquiries: BTreeSet<UpstreamId>,
     inquiries: BTreeMap<UpstreamId, Inquiry>,
-    /// The cold upstreams that this instance alone may send new flows to.
-    kept: BTreeSet<UpstreamId>,
+    /// Rate-limited cold upstreams that only this instance may send new flows to.
+    assigned_cold: BTreeSet<UpstreamId>,
 }
 
 impl Core {
-    /// A flow path that knows nothing yet.
+    /// Creates a packet path without any platform state.
     pub fn new(options: Options) -> Self {
         let knowledge = if options.awaits_evacuations {
             Knowledge::awaiting_evacuations()
@@ -129,7 +130,7 @@
             Knowledge::default()
         };
         Self {
-            first_turn: (options.seed % FIRST_TURNS) as usize,
+            start_offset: (options.seed % START_OFFSETS) as usize,
             rng: SmallRng::seed_from_u64(options.seed),
             options,
             knowledge,
@@ -137,42 +138,44 @@
             warnings: Vec::new(),
             directory: Directory::default(),
             health: HashMap::new(),
-            bases: HashMap::new(),
+            baselines: HashMap::new(),
             loss: Loss::default(),
-            answered: Answered::default(),
+            answer_log: AnswerLog::default(),
             flows: Flows::default(),
             resets: Vec::new(),
             decisions: Vec::new(),
             waits: Vec::new(),
             stats: Stats::default(),
-            services: HashMap::new(),
-            lengths: HashMap::new(),
+            typical_services: HashMap::new(),
+            typical_lengths: HashMap::new(),
             checks: Checks::default(),
-            standings: Vec::new(),
-            heard: Vec::new(),
-            questions: BTreeSet::new(),
+            status_updates: Vec::new(),
+            received_updates: Vec::new(),
+            due_inquiries: BTreeSet::new(),
             inquiries: BTreeMap::new(),
-            kept: BTreeSet::new(),
+            assigned_cold: BTreeSet::new(),
         }
     }
 
-    /// What this instance knows of the platform.
+    /// Platform state known to this instance.
     pub fn knowledge(&self) -> &Knowledge {
         &self.knowledge
     }
 
-    /// Counts since the start.
+    /// Counters since start-up.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// How many flows are remembered here.
+    /// Number of flows in the flow table.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Changes what is known, and indexes it anew if the change says that something is new. So does a place that grows
-    /// without a change: others must hear of it, or this instance takes itself for ahead of them and asks them no more.
+    /// Applies a change to the platform state, and updates the routes and the directory if something is new.
+    ///
+    /// A position that advances without a change of content also counts as new. It has to be passed on to other
+    /// instances; otherwise this instance considers itself ahead of them and stops asking them for updates.
     pub fn learn(&mut self, now: Time, change: impl FnOnce(&mut Knowledge) -> bool) -> bool {
         let before = self.knowledge.positions();
         let evacuated = self.knowledge.evacuated();
@@ -187,14 +190,14 @@
                 .iter()
                 .filter(|warning| !self.warnings.contains(warning));
             let document_number = document.revision;
-            self.decisions.extend(warnings.map(|warning| Decision::Unread {
+            self.decisions.extend(warnings.map(|warning| Decision::DocumentWarning {
                 document: document_number,
                 warning: warning.clone(),
             }));
             self.warnings.clone_from(&document.warnings);
             self.routes = Routes::new(at, document);
             let routes = &self.routes;
-            self.lengths.retain(|address, _| routes.to(*address).is_some());
+            self.typical_lengths.retain(|address, _| routes.to(*address).is_some());
         }
         let mut changed = self.knowledge.take_changed();
         changed.is_all |= self.knowledge.evacuated() != evacuated;
@@ -205,9 +208,9 @@
             "the directory follows what is known"
         );
         for id in restarted {
-            self.forget_start(id);
+            self.discard_start(id);
         }
-        self.note_evacuations(&evacuated, now);
+        self.record_evacuations(&evacuated, now);
         for id in &changed.ids {
             if !self.directory.contains(*id) {
                 self.health.remove(id);
@@ -216,35 +219,36 @@
         true
     }
 
-    /// Forgets what was learnt of an upstream's earlier start, which says nothing of the one that now has its id.
+    /// Discards the observations of an upstream's previous start; they say nothing about the process that now has its
+    /// id.
     ///
-    /// Its flows are over, but no reset is sent for them here: some may have been opened at the new start before this was
-    /// known. The upstream itself resets those that it does not hold.
-    fn forget_start(&mut self, id: UpstreamId) {
+    /// Its flows are lost, but no resets are sent for them here: some may have been opened to the new process before
+    /// this instance learned of the restart. The upstream itself resets the flows that it doesn't hold.
+    fn discard_start(&mut self, id: UpstreamId) {
         let flows = self.flows.take_of(id).len();
         self.health.remove(&id);
         self.decisions.push(Decision::Restarted { upstream: id, flows });
     }
 
-    /// Decides what becomes of a packet from a client.
-    pub fn packet(&mut self, packet: &Packet, now: Time) -> Verdict {
-        self.settle_due(now);
+    /// Returns the verdict for a packet from a client.
+    pub fn handle_packet(&mut self, packet: &Packet, now: Time) -> Verdict {
+        self.run_due_checks(now);
         let verdict = if packet.flags.has(Flags::SYN) {
-            self.open(packet, now)
+            self.open_flow(packet, now)
         } else {
-            self.carry(packet, now)
+            self.handle_established(packet, now)
         };
         if matches!(verdict, Verdict::Reset(_)) {
             let flow = FlowKey::from(packet);
             self.resets
                 .retain(|reset| (reset.client, reset.route) != (flow.client, flow.route));
         }
-        self.note(packet, verdict, now);
+        self.record_verdict(packet, verdict, now);
         verdict
     }
 
-    /// Counts a verdict, and notes it unless it only follows from an earlier one.
-    fn note(&mut self, packet: &Packet, verdict: Verdict, now: Time) {
+    /// Counts a verdict, and records it as a decision unless it only forwards the packet.
+    fn record_verdict(&mut self, packet: &Packet, verdict: Verdict, now: Time) {
         let flow = FlowKey::from(packet);
         match verdict {
             Verdict::Forward { .. } => self.stats.forwarded += 1,
@@ -254,12 +258,12 @@
                 let cause = reset.cause;
                 let loss = self.loss.percent(now);
                 let health = upstream.and_then(|id| self.health.get(&id));
-                let grounds = health.map(|health| health.grounds(loss, now));
+                let evidence = health.map(|health| health.evidence(loss, now));
                 self.decisions.push(Decision::Reset {
                     flow,
                     upstream,
                     cause,
-                    grounds,
+                    evidence,
                 });
             }
             Verdict::Drop(cause) => {
@@ -270,28 +274,29 @@
         }
     }
 
-    /// Resets that packets and reports led to since the last call, beside the packets' own verdicts.
+    /// Takes the resets to send that packets and reports have caused since the last call, in addition to the verdicts
+    /// of the packets themselves.
     pub fn take_resets(&mut self) -> Vec<Reset> {
         std::mem::take(&mut self.resets)
     }
 
-    /// What was decided since the last call, in order. Forwarding by an echo is no decision.
+    /// Takes the decisions made since the last call, in order. Forwarding by echo isn't recorded as a decision.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Waits that have ended since the last call.
+    /// Takes the client waits that have ended since the last call.
     pub fn take_waits(&mut self) -> Vec<Wait> {
         std::mem::take(&mut self.waits)
     }
 
-    /// Forgets a flow that has ended.
+    /// Removes a flow that has ended.
     fn close(&mut self, key: &FlowKey) {
         let Some(flow) = self.flows.remove(key) else {
             return;
         };
         if let Some(health) = self.health.get_mut(&flow.upstream) {
-            health.note_ended();
+            health.record_flow_end();
         }
     }
 
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Forgets flows that have been silent for long, and upstreams that went before any flow of theirs could live.
+    /// Removes idle flows, and upstreams that were removed so long ago that no flow to them can still exist.
     pub fn tick(&mut self, now: Time) {
         let Some((_, document)) = self.knowledge.document() else {
             return;
@@ -314,7 +319,7 @@
         let idle = document.idle_timeout.min(self.options.max_flow);
         for flow in self.flows.take_idle(idle, now) {
             if let Some(health) = self.health.get_mut(&flow.upstream) {
-                health.note_ended();
+                health.record_flow_end();
             }
         }
         let then = now.before(self.options.max_flow * 2);
--- /dev/null
+++ b/crates/flow/src/core/outliers.rs
@@ -0,0 +1,240 @@
+//! Outlier detection: records the result of each attempt at an upstream, and ejects upstreams that fail although they
+//! answer.
+//!
+//! Each instance reports failures to a few instances that aggregate them for the upstream. An aggregator that finds the
+//! upstream failing announces this to all instances, so the cost of reporting a failure doesn't depend on the number of
+//! instances.
+//!
+//! Ejection affects only new flows. An open flow stays on its upstream while that is alive: only the two endpoints can
+//! tell whether its next request would fail, and a reset would certainly break it.
+
+use std::cmp::Reverse;
+use std::time::Duration;
+
+use units::Time;
+use units::ZoneName;
+
+use super::Core;
+use crate::checks::Check;
+use crate::decision::Decision;
+use crate::ejection::Turn;
+use crate::flows::FlowKey;
+use crate::flows::Sign;
+use crate::flows::Stage;
+use crate::outcome::FailureReport;
+use crate::outcome::Outcome;
+use crate::packet::Flags;
+use crate::packet::Packet;
+use crate::upstream::UpstreamId;
+
+/// A response counts as complete once it hasn't grown for this long.
+const COMPLETE_AFTER: Duration = Duration::from_millis(100);
+/// How late a check may run and still count. A later check was delayed by this process, so its result proves nothing.
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(250);
+/// At most one in this many upstreams of a service may be ejected. If more fail, the cause usually lies elsewhere, and
+/// the remaining upstreams couldn't carry the load.
+const EJECTED_ONE_IN: usize = 2;
+/// Maximum number of reports sent at once.
+const MAX_REPORTS: usize = 16;
+
+impl Core {
+    /// Evaluates all attempts whose checks are due.
+    pub(super) fn run_due_checks(&mut self, now: Time) {
+        while let Some(check) = self.checks.pop_opening(now) {
+            self.check_opening(check, now);
+        }
+        while let Some(check) = self.checks.pop_request(now) {
+            self.check_request(check, now);
+        }
+    }
+
+    fn check_opening(&mut self, check: Check, now: Time) {
+        let Some(flow) = self.flows.get_mut(&check.key) else {
+            return;
+        };
+        let is_open = flow.stage != Stage::Opening || flow.first_seen != check.started_at;
+        if is_open || now.since(check.due) > MAX_CHECK_DELAY {
+            return;
+        }
+        let upstream = flow.upstream;
+        // Only an upstream that no longer listens refuses a connection, and then its open flows are lost too. So a
+        // refusal counts as much as a missing answer, and is confirmed in the same way.
+        if let Some(health) = self.health.get_mut(&upstream) {
+            health.record_retransmission(flow, now);
+            self.evaluate(upstream, now);
+        }
+        self.record_outcome(upstream, Outcome::Refused, now);
+    }
+
+    fn check_request(&mut self, check: Check, now: Time) {
+        let Some(flow) = self.flows.get_mut(&check.key) else {
+            return;
+        };
+        let Some(asked) = flow.asked.filter(|asked| asked.at == check.started_at) else {
+            return;
+        };
+        if asked.progress_at.is_some_and(|at| now.since(at) < COMPLETE_AFTER) {
+            return self
+                .checks
+                .add_request(check.key, check.started_at, now + COMPLETE_AFTER);
+        }
+        let upstream = flow.upstream;
+        let is_sent_again = flow.pending.is_some_and(|pending| pending.copies > 0);
+        let answered = flow.answered();
+        flow.asked = None;
+        if now.since(check.due) > MAX_CHECK_DELAY {
+            return;
+        }
+        match answered {
+            Some(bytes) => self.record_response(&check.key, upstream, bytes, now),
+            // The upstream hasn't acknowledged the request; retransmissions are counted separately.
+            None if is_sent_again => {}
+            None => self.record_outcome(upstream, Outcome::Overdue, now),
+        }
+    }
+
+    /// Records attempts that a packet completes or starts.
+    pub(super) fn record_attempts(&mut self, key: &FlowKey, id: UpstreamId, sign: Sign, now: Time) {
+        if sign.opened_after.is_some() {
+            self.record_outcome(id, Outcome::Good, now);
+        }
+        if let Some(bytes) = sign.answered {
+            self.record_response(key, id, bytes, now);
+        }
+        let Some(service) = self.directory.get(id).map(|listed| &listed.upstream().service) else {
+            return;
+        };
+        let service = match self.typical_services.get_mut(service) {
+            Some(service) => service,
+            None => self.typical_services.entry(service.clone()).or_default(),
+        };
+        if let Some(waited) = sign.waited {
+            service.record_response_time(waited);
+            let sample = waited.as_secs_f64().max(service.min_response_sample());
+            self.health.entry(id).or_default().record_response_time(sample, now);
+        }
+        if sign.is_request {
+            let due = now + service.overdue_after();
+            self.checks.add_request(*key, now, due);
+        }
+    }
+
+    /// Records the last response of a flow, which is complete when the client closes the flow.
+    pub(super) fn record_last_response(&mut self, key: &FlowKey, packet: &Packet, now: Time) {
+        if !packet.flags.has(Flags::FIN) {
+            return;
+        }
+        let Some(flow) = self.flows.get_mut(key) else {
+            return;
+        };
+        flow.see(packet, now);
+        if let Some(bytes) = flow.answered() {
+            let upstream = flow.upstream;
+            self.record_response(key, upstream, bytes, now);
+        }
+    }
+
+    fn record_response(&mut self, key: &FlowKey, id: UpstreamId, bytes: u32, now: Time) {
+        let length = self.typical_lengths.entry(key.route).or_default();
+        let is_short = length.is_short(bytes);
+        length.add_sample(bytes);
+        let outcome = if is_short { Outcome::Short } else { Outcome::Good };
+        self.record_outcome(id, outcome, now);
+    }
+
+    /// Records the result of an attempt at an upstream.
+    fn record_outcome(&mut self, id: UpstreamId, outcome: Outcome, now: Time) {
+        *self.stats.outcomes.entry(outcome).or_default() += 1;
+        let health = self.health.entry(id).or_default();
+        health.record.add(outcome, now);
+        let was_ejected = health.ejection.is_ejected();
+        match health.ejection.settle(outcome, now) {
+            Turn::None => {}
+            Turn::OutAgain => self.announce_ejection(id),
+            Turn::Back => {
+                self.decisions.push(Decision::Readmitted(id));
+                self.announce_ejection(id);
+            }
+        }
+        // Ejected upstreams don't count towards the service's typical results.
+        if !was_ejected
+            && let Some(listed) = self.directory.get(id)
+            && let Some(service) = self.typical_services.get_mut(&listed.upstream().service)
+        {
+            service.tally.add(outcome, now);
+            let health = self.health.entry(id).or_default();
+            health.record.tally.add(outcome, now);
+        }
+    }
+
+    /// Takes the reports of failures since the last call, for the aggregating instances.
+    pub fn take_failures(&mut self, now: Time) -> Vec<FailureReport> {
+        self.run_due_checks(now);
+        let mut reports = Vec::new();
+        for (id, health) in &mut self.health {
+            reports.extend(health.record.report(*id, now));
+        }
+        reports.sort_unstable_by_key(|report| (Reverse(report.failed), report.upstream));
+        reports.truncate(MAX_REPORTS);
+        reports
+    }
+
+    /// Handles a failure report sent to this instance as aggregator for the upstream. `instances` is the number of
+    /// instances that see a similar share of its traffic.
+    ///
+    /// If more attempts fail than chance explains, the upstream is ejected, and the other instances are told.
+    pub fn receive_failure_report(&mut self, report: &FailureReport, instances: u32, now: Time) {
+        let id = report.upstream;
+        let Some(listed) = self.directory.get(id) else {
+            return;
+        };
+        let service = self.typical_services.get(&listed.upstream().service);
+        let health = self.health.entry(id).or_default();
+        let usual = service.copied().unwrap_or_default().tally;
+        let usual = usual.usual_without(&health.record.tally, now);
+        let is_failing = health.record.hear(report, instances, usual, now);
+        if !is_failing || health.ejection.is_ejected() || !self.may_eject(id) {
+            return;
+        }
+        let health = self.health.entry(id).or_default();
+        health.record.forget_evidence();
+        health.ejection.eject(now);
+        let usual_percent = (usual * 100.0).round() as u32;
+        self.decisions.push(Decision::Ejected {
+            upstream: id,
+            usual_percent,
+        });
+        self.announce_ejection(id);
+    }
+
+    /// Whether another upstream of the same service may be ejected.
+    fn may_eject(&self, id: UpstreamId) -> bool {
+        let Some(listed) = self.directory.get(id) else {
+            return false;
+        };
+        let mut all = 0;
+        let mut ejected = 0;
+        for (other, listed) in self.directory.of_service(&listed.upstream().service) {
+            if listed.upstream().leaving || listed.gone_since.is_some() {
+                continue;
+            }
+            all += 1;
+            let health = self.health.get(&other);
+            ejected += usize::from(health.is_some_and(|health| health.ejection.is_ejected()));
+        }
+        (ejected + 1) * EJECTED_ONE_IN <= all
+    }
+
+    /// Availability zone of a listed upstream.
+    pub fn zone_of(&self, id: UpstreamId) -> Option<&ZoneName> {
+        self.directory.get(id).map(|listed| &listed.upstream().zone)
+    }
+
+    /// Upstreams that get no new flows, or only single probing flows, because attempts at them fail.
+    pub fn ejected(&self) -> Vec<UpstreamId> {
+        let ejected = self.health.iter().filter(|(_, health)| health.ejection.is_ejected());
+        let mut ejected: Vec<UpstreamId> = ejected.map(|(id, _)| *id).collect();
+        ejected.sort_unstable();
+        ejected
+    }
+}
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -1,8 +1,8 @@
-//! Upstreams that do not answer: when one is taken for dead, when a single flow is given up, and what instances tell one
-//! another about it.
+//! Detection of silent upstreams: when one is marked dead, when a single flow is reset, and which reports instances
+//! exchange.
 //!
-//! A reset of an open flow whose upstream lives breaks the flow. So an instance acts on its own flows only while most other
-//! upstreams answer here; what several instances see together is decided by asking the others.
+//! Resetting an open flow whose upstream is alive breaks the flow. So an instance acts on its own observations only
+//! while most other upstreams answer here; otherwise it queries the other instances.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -13,9 +13,9 @@
 
 use super::Core;
 use crate::decision::Decision;
+use crate::evidence::SilenceEvidence;
 use crate::flows::FlowKey;
 use crate::flows::Stage;
-use crate::grounds::Grounds;
 use crate::health::Health;
 use crate::loss;
 use crate::loss::Percent;
@@ -25,43 +25,44 @@
 use crate::report::ReporterId;
 use crate::upstream::UpstreamId;
 
-/// At which copy of the same data a flow may count as stalled. Copies come 200, 600 and 1,400 milliseconds after the first,
-/// and loss alone makes one common.
-const STALLED_COPIES: u32 = 2;
-/// How many answers must have been missed here, at the rate at which the upstream's tries usually end, until its silence towards
-/// one flow tells something. Where many instances share its flows, each sees an answer in several seconds, and a flow whose
-/// packets were lost three times in a row would look like one whose upstream is silent: with three in a hundred lost, that
-/// reset six flows in a hundred thousand requests.
+/// Number of retransmissions after which a flow may count as stalled. They come 200, 600 and 1,400 milliseconds after
+/// the first transmission, and loss alone makes a single one common.
+const STALLED_RETRANSMISSIONS: u32 = 2;
+/// How many answers must be missing here, at the upstream's usual rate of completed attempts, before its silence
+/// towards one flow is significant. Where many instances share its flows, each sees one answer in several seconds, and
+/// a flow that lost a packet three times in a row would look like one with a silent upstream: at a loss of 3 percent,
+/// that reset six flows per hundred thousand requests.
 const MISSED_ANSWERS: f64 = 3.0;
-/// How many upstreams must have answered something sent at the same time for each one that is silent, or else this instance doubts
-/// what it sees: its own link, or its clients', may lose packets. While a third of them is lost, two openings of three go
-/// unanswered.
+/// How many upstreams must have answered packets sent at the same time for each silent one. Below this, this instance
+/// doubts its observations: its own link, or its clients', may lose packets. At a loss of one third, two of three
+/// opening packets go unanswered.
 const ANSWERING_PER_SILENT: usize = 3;
-/// How many upstreams of another zone must be silent until its zone is taken for cut off. One may just have died.
+/// How many upstreams of another zone must be silent before the zone counts as cut off. A single one may just have
+/// died.
 const SILENT_IN_ZONE: u32 = 2;
-/// How many reports are sent at a time.
-const REPORTS: usize = 16;
-/// How much later than the flows of whoever reports began to wait an answer must have been seen here, to count as better
-/// knowledge. Reports take a few milliseconds.
+/// Maximum number of reports sent at once.
+const MAX_REPORTS: usize = 16;
+/// How much later than the start of the reporter's stall an answer must have been seen here to refute the report.
+/// Reports take a few milliseconds.
 const REPORT_SLACK: Duration = Duration::from_millis(20);
 
-/// How a zone's upstreams look from here.
+/// Health of a zone's upstreams as seen from here.
 #[derive(Debug, Default, Clone, Copy)]
-struct Outlook {
-    /// How many of them have got flows from here.
+struct ZoneHealth {
+    /// Upstreams that have got flows from this instance.
     seen: u32,
-    /// How many of these have flows that wait in vain.
+    /// Those of them with stalled flows.
     silent: u32,
-    /// How many flows wait.
+    /// Stalled flows.
     stalled: u32,
-    /// Since when the first of them waits, and the last.
+    /// When the first and the last of the stalled flows began to wait.
     since: Time,
     last_since: Time,
-    /// When one of them last answered.
+    /// Last answer of any of these upstreams.
     last_progress: Time,
 }
 
-impl Outlook {
+impl ZoneHealth {
     fn add(&mut self, health: &Health) {
         self.seen += 1;
         self.last_progress = self.last_progress.max(health.last_progress);
@@ -79,61 +80,62 @@
 }
 
 impl Core {
-    /// Takes an upstream for dead if the signs say so.
-    pub(super) fn judge(&mut self, id: UpstreamId, now: Time) {
+    /// Marks an upstream as dead if the evidence suffices.
+    pub(super) fn evaluate(&mut self, id: UpstreamId, now: Time) {
         let Some(health) = self.health.get(&id) else {
             return;
         };
         let others_answer = self.others_answer(&health.stalled_span());
         let loss = self.loss.percent(now);
         let health = self.health.entry(id).or_default();
-        let was_dead = health.is_given_up();
-        if others_answer && health.dies(loss, now) {
-            let grounds = health.grounds(loss, now);
-            self.give_up(id, was_dead, grounds);
+        let was_dead = health.is_marked_dead();
+        if others_answer && health.mark_dead_if_stalled(loss, now) {
+            let evidence = health.evidence(loss, now);
+            self.reset_flows_of(id, was_dead, evidence);
         }
-        self.question(id, now);
-        self.judge_zone(id, loss, now);
+        self.schedule_inquiry(id, now);
+        self.evaluate_zone(id, loss, now);
     }
 
-    /// Gives up those upstreams of another availability zone that flows wait for, and spares the others new flows, if none
-    /// there answers while those at home do: the way there is cut.
+    /// Handles a loss of connectivity to another availability zone: if none of its upstreams answers while those in the
+    /// local zone do, marks those with stalled flows as dead, and lets new flows avoid the rest.
     ///
-    /// One zone's upstreams get too few flows from another for each to be found silent by itself. Their flows together
-    /// show it within half a second, where one by one it took the length of a cut. An upstream that no flow waits for may
-    /// live: several of its zone may have died at once. So its flows are left alone.
-    fn judge_zone(&mut self, id: UpstreamId, loss: Percent, now: Time) {
+    /// Upstreams of another zone get too few flows from here for each to be found silent by itself. Taken together,
+    /// their flows show the loss within half a second; one by one, detection took as long as the outage. An upstream
+    /// without stalled flows may be alive, since several others of its zone may have died at once, so its flows are
+    /// left alone.
+    fn evaluate_zone(&mut self, id: UpstreamId, loss: Percent, now: Time) {
         let Some(zone) = self.directory.get(id).map(|listed| listed.upstream().zone.clone()) else {
             return;
         };
         if zone == self.options.zone {
             return;
         }
-        let there = self.outlook(&zone);
-        let is_silent = there.stalled >= loss::flows_beyond_chance(loss) && there.silent >= SILENT_IN_ZONE;
-        if !is_silent || there.last_progress >= there.since {
+        let remote = self.zone_health(&zone);
+        let is_silent = remote.stalled >= loss::flows_beyond_chance(loss) && remote.silent >= SILENT_IN_ZONE;
+        if !is_silent || remote.last_progress >= remote.since {
             return;
         }
         let home = self.options.zone.clone();
-        let at_home = self.outlook(&home);
-        let answered = self.answered.within(&(there.since..=there.last_since));
-        let is_home_in_order = answered.iter().any(|id| self.zone_of(*id) == Some(&home));
-        if !is_home_in_order || at_home.silent * 2 > at_home.seen {
+        let local = self.zone_health(&home);
+        let answered = self.answer_log.within(&(remote.since..=remote.last_since));
+        let is_local_healthy = answered.iter().any(|id| self.zone_of(*id) == Some(&home));
+        if !is_local_healthy || local.silent * 2 > local.seen {
             return;
         }
         for id in self.directory.in_zone(&zone).to_vec() {
             let health = self.health.entry(id).or_default();
             health.avoid(now);
             if health.stalled() > 0 && !health.is_dead(now) {
-                let was_dead = health.is_given_up();
-                health.find_dead(now);
-                let grounds = health.grounds(loss, now);
-                self.give_up(id, was_dead, grounds);
+                let was_dead = health.is_marked_dead();
+                health.mark_dead(now);
+                let evidence = health.evidence(loss, now);
+                self.reset_flows_of(id, was_dead, evidence);
             }
         }
     }
 
-    /// Ends the belief that a zone is cut off, as one of its upstreams answers.
+    /// Clears the state of a cut-off zone when one of its upstreams answers.
     pub(super) fn revive_zone(&mut self, id: UpstreamId) {
         let Some(zone) = self.directory.get(id).map(|listed| listed.upstream().zone.clone()) else {
             return;
@@ -148,61 +150,65 @@
         }
     }
 
-    /// How a zone's upstreams look from here.
-    fn outlook(&self, zone: &ZoneName) -> Outlook {
-        let mut outlook = Outlook::default();
+    /// Summarizes the health of a zone's upstreams.
+    fn zone_health(&self, zone: &ZoneName) -> ZoneHealth {
+        let mut zone_health = ZoneHealth::default();
         for id in self.directory.in_zone(zone) {
             let Some(health) = self.health.get(id) else {
                 continue;
             };
-            outlook.add(health);
+            zone_health.add(health);
         }
-        outlook
+        zone_health
     }
 
-    /// Whether most upstreams that this instance hears of have answered what was sent within a span. If many are silent at once, it
-    /// may be this instance's own link, or its clients', that loses packets.
+    /// Whether most upstreams with traffic from here have answered packets sent within `span`. If many are silent at
+    /// once, this instance's own link, or its clients', may lose packets.
     fn others_answer(&self, span: &RangeInclusive<Time>) -> bool {
-        let (answering, silent) = self.answering(&self.answered.within(span));
+        let (answering, silent) = self.count_answering(&self.answer_log.within(span));
         answering >= silent * ANSWERING_PER_SILENT
     }
 
-    /// Whether so few have answered what was sent since that what is seen here should not count elsewhere either. Where instances are many,
-    /// each hears of a few upstreams in half a second, and others can tell whether the rest answers.
-    pub(super) fn doubts(&self, since: Time) -> bool {
-        let (answering, silent) = self.answering(&self.answered.since(since));
+    /// Whether so few upstreams have answered packets sent since `since` that this instance's observations shouldn't
+    /// count elsewhere either. The threshold is lower than for its own decisions: where there are many instances, each
+    /// gets answers from only a few upstreams in half a second, and others can tell whether the rest answers.
+    pub(super) fn doubts_own_link(&self, since: Time) -> bool {
+        let (answering, silent) = self.count_answering(&self.answer_log.since(since));
         answering < silent
     }
 
-    /// How many of the upstreams that have answered have no flows that wait, and how many upstreams have some.
-    fn answering(&self, answered: &BTreeSet<UpstreamId>) -> (usize, usize) {
+    /// Counts the upstreams in `answered` without stalled flows, and all upstreams with stalled flows.
+    fn count_answering(&self, answered: &BTreeSet<UpstreamId>) -> (usize, usize) {
         let is_silent = |id: &UpstreamId| self.health.get(id).is_some_and(|health| health.stalled() > 0);
         let answering = answered.iter().filter(|id| !is_silent(id)).count();
         let silent = self.health.values().filter(|health| health.stalled() > 0).count();
         (answering, silent)
     }
 
-    /// What other instances should know of upstreams that flows wait for in vain.
+    /// Takes the due reports about upstreams with stalled flows.
     pub fn take_reports(&mut self, now: Time) -> Vec<Report> {
         let stalled = self.health.iter().filter(|(_, health)| health.stalled() > 0);
         let mut stalled: Vec<UpstreamId> = stalled.map(|(id, _)| *id).collect();
         stalled.sort_unstable();
         let mut reports = Vec::new();
         for id in stalled {
-            let is_due = self.health.get_mut(&id).is_some_and(|health| health.take_due(now));
+            let is_due = self
+                .health
+                .get_mut(&id)
+                .is_some_and(|health| health.take_report_due(now));
             if !is_due {
                 continue;
             }
-            reports.push(self.view(id, now));
-            if reports.len() == REPORTS {
+            reports.push(self.own_report(id, now));
+            if reports.len() == MAX_REPORTS {
                 break;
             }
         }
         reports
     }
 
-    /// Takes in another instance's reports, and answers those that this instance knows better.
-    pub fn hear(&mut self, from: ReporterId, reports: &[Report], now: Time) -> Vec<Report> {
+    /// Handles another instance's reports, and returns replies about upstreams that have answered here more recently.
+    pub fn receive_reports(&mut self, from: ReporterId, reports: &[Report], now: Time) -> Vec<Report> {
         let mut answers = Vec::new();
         for report in reports {
             let id = report.upstream;
@@ -212,39 +218,39 @@
             let health = self.health.entry(id).or_default();
             let waiting_since = now.before(report.waiting_for);
             if report.stalled > 0 && health.last_progress > waiting_since + REPORT_SLACK {
-                answers.push(self.view(id, now));
+                answers.push(self.own_report(id, now));
                 continue;
             }
-            self.note_answer(id, now.before(report.silent_for), now);
+            self.record_remote_answer(id, now.before(report.silent_for), now);
             if report.stalled > 0 {
-                self.health.entry(id).or_default().hear(from, report, now);
-                self.judge(id, now);
+                self.health.entry(id).or_default().add_report(from, report, now);
+                self.evaluate(id, now);
             }
         }
         answers
     }
 
-    /// Another instance has seen an upstream answer.
-    pub(super) fn note_answer(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
-        let progress = self.health.entry(id).or_default().note_progress(answered_at);
+    /// Records that another instance has seen an upstream answer.
+    pub(super) fn record_remote_answer(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
+        let progress = self.health.entry(id).or_default().record_progress(answered_at);
         self.loss.note_losses(progress.losses, now);
         if progress.is_revived {
-            self.note_revived(id, answered_at, now);
+            self.handle_revival(id, answered_at, now);
         }
     }
 
-    /// Ends all flows of an upstream that is taken for dead, also those that are silent: a client whose flow is reset
+    /// Resets all flows of an upstream that is considered dead, including idle ones: a client whose flow is reset
     /// before its next request opens another one in time, and loses nothing.
-    pub(super) fn give_up(&mut self, id: UpstreamId, was_dead: bool, grounds: Grounds) {
+    pub(super) fn reset_flows_of(&mut self, id: UpstreamId, was_dead: bool, evidence: SilenceEvidence) {
         let flows = self.flows.take_of(id);
         let Some(health) = self.health.get_mut(&id) else {
             return;
         };
         health.flows = 0;
         if !was_dead || !flows.is_empty() {
-            self.decisions.push(Decision::Died {
+            self.decisions.push(Decision::MarkedDead {
                 upstream: id,
-                grounds,
+                evidence,
                 flows: flows.len(),
             });
         }
@@ -262,8 +268,8 @@
         }
     }
 
-    /// Whether a flow waits for an upstream that answers nobody: its data was sent again so often, and so many other flows
-    /// wait, that loss does not explain it.
+    /// Whether a flow is stalled on an upstream that answers nobody: its data was retransmitted so often, and so many
+    /// other flows are stalled, that packet loss doesn't explain it.
     pub(super) fn is_stalled(&mut self, key: &FlowKey, now: Time) -> bool {
         let Some(flow) = self.flows.get_mut(key) else {
             return false;
@@ -275,16 +281,16 @@
             return false;
         };
         let copies = u32::from(pending.copies);
-        let signs = copies + health.other_flows();
+        let signs = copies + health.other_stalled_flows();
         let loss = self.loss.percent(now);
-        let is_beyond_chance = copies >= STALLED_COPIES && signs >= loss::flows_beyond_chance(loss);
+        let is_beyond_chance = copies >= STALLED_RETRANSMISSIONS && signs >= loss::flows_beyond_chance(loss);
         let missed = health.expected_answers(now.since(pending.since), now);
         let is_silent = health.last_progress <= pending.since && missed >= MISSED_ANSWERS;
         is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.copied_before_at))
     }
 
-    /// Whether data for an upstream is answered with a reset, as the upstream was taken for dead a moment ago: the flow
-    /// comes from another instance, or the first reset was lost.
+    /// Whether data for an upstream is answered with a reset because the upstream was recently marked dead. Such data
+    /// arrives if the flow comes from another instance, or if the first reset was lost.
     pub(super) fn is_dead(&self, id: UpstreamId, now: Time) -> bool {
         self.health.get(&id).is_some_and(|health| health.is_dead(now))
     }
