--- a/crates/flow/src/core/carrying.rs
+++ b/crates/flow/src/core/established.rs
@@ -1,4 +1,4 @@
-//! Later packets of a flow: where they go, and what they tell of its upstream.
+//! Packets of established flows: forwards them, and derives upstream health from them.
 
 use units::Time;
 
@@ -13,38 +13,38 @@
 use crate::packet::ResetCause;
 use crate::upstream::UpstreamId;
 use crate::verdict::Verdict;
-use crate::verdict::reset_open;
-use crate::verdict::unknown_echo;
+use crate::verdict::reset_for_established;
+use crate::verdict::unroutable_cause;
 use crate::wait::Wait;
 use crate::wait::WaitKind;
 
 impl Core {
-    /// Forwards a packet of a flow to the upstream that its echo names.
-    pub(super) fn carry(&mut self, packet: &Packet, now: Time) -> Verdict {
+    /// Forwards a packet to the upstream that its echo names, or resets the flow if that upstream is dead or silent.
+    pub(super) fn handle_established(&mut self, packet: &Packet, now: Time) -> Verdict {
         let Some(id) = self.directory.by_echo(packet.echo) else {
-            return Verdict::Drop(unknown_echo(packet));
+            return Verdict::Drop(unroutable_cause(packet));
         };
         let key = FlowKey::from(packet);
         if packet.flags.has(Flags::RST) || packet.flags.has(Flags::FIN) {
-            self.settle_last(&key, packet, now);
+            self.record_last_response(&key, packet, now);
             self.close(&key);
             return self.forward(id);
         }
-        // A packet that shows a sign of life ends the belief that its upstream is dead, so this comes first.
-        let sign = self.see(&key, id, packet, now);
+        // A packet that proves progress marks its upstream as alive again, so it is evaluated first.
+        let sign = self.observe(&key, id, packet, now);
         if packet.len > 0 && self.is_dead(id, now) {
             self.close(&key);
-            return Verdict::Reset(reset_open(packet, ResetCause::Dead));
+            return Verdict::Reset(reset_for_established(packet, ResetCause::Dead));
         }
         if sign.is_copy && self.is_stalled(&key, now) {
             self.close(&key);
-            return Verdict::Reset(reset_open(packet, ResetCause::Stalled));
+            return Verdict::Reset(reset_for_established(packet, ResetCause::Stalled));
         }
         self.forward(id)
     }
 
-    /// Notes what a packet tells of its flow and of its upstream.
-    fn see(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
+    /// Updates the state of a flow and its upstream from a packet.
+    fn observe(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
         if self.flows.get_mut(key).is_none_or(|flow| flow.upstream != id) {
             self.close(key);
             self.flows.insert(*key, Flow::new(id, Stage::Adopted, packet, now));
@@ -56,37 +56,37 @@
         let sign = flow.see(packet, now);
         let health = self.health.entry(id).or_default();
         let progress = if sign.is_progress {
-            health.note_progress(now)
+            health.record_progress(now)
         } else {
             Progress::default()
         };
         if let Some(at) = sign.reached {
-            self.answered.note(id, at, now);
+            self.answer_log.record(id, at, now);
         }
         self.loss.note_losses(progress.losses, now);
         if sign.is_request {
-            health.note_request(now);
+            health.record_request(now);
             self.loss.note_attempt(now);
         }
         if sign.is_copy {
-            let is_lost = health.note_copy(flow, now);
+            let is_lost = health.record_retransmission(flow, now);
             self.loss.note_losses(is_lost.into(), now);
-            self.judge(id, now);
+            self.evaluate(id, now);
         }
         if progress.is_revived {
-            self.note_revived(id, now, now);
+            self.handle_revival(id, now, now);
         }
-        self.note_waits(id, sign);
-        self.note_tries(key, id, sign, now);
+        self.record_waits(id, sign);
+        self.record_attempts(key, id, sign, now);
         sign
     }
 
-    /// Keeps the waits that a packet has ended, for the figures that operators see.
-    fn note_waits(&mut self, id: UpstreamId, sign: Sign) {
+    /// Records the client waits that a packet ends, for metrics.
+    fn record_waits(&mut self, id: UpstreamId, sign: Sign) {
         let Some(listed) = self.directory.get(id) else {
             return;
         };
-        let is_at_home = listed.upstream().zone == self.options.zone;
+        let is_local_zone = listed.upstream().zone == self.options.zone;
         let waits = [
             (WaitKind::Handshake, sign.opened_after),
             (WaitKind::Response, sign.waited),
@@ -95,7 +95,11 @@
             let Some(time) = time else {
                 continue;
             };
-            self.waits.push(Wait { kind, is_at_home, time });
+            self.waits.push(Wait {
+                kind,
+                is_local_zone,
+                time,
+            });
         }
     }
 }
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -1,4 +1,4 @@
-//! New flows: which upstream an opening packet goes to, and what its copies tell.
+//! New flows: selects an upstream for an opening packet, and handles retransmitted opening packets.
 
 use std::time::Duration;
 
@@ -16,39 +16,39 @@
 use crate::packet::Packet;
 use crate::packet::ResetCause;
 use crate::place;
-use crate::place::Base;
+use crate::place::Baseline;
 use crate::place::Candidate;
-use crate::place::Peers;
+use crate::place::PeerTotals;
 use crate::place::Tier;
-use crate::place::View;
+use crate::place::UpstreamLoad;
 use crate::upstream::UpstreamId;
 use crate::verdict::Verdict;
-use crate::verdict::reset_opening;
+use crate::verdict::reset_for_opening;
 
-/// How long an upstream that is no longer listed may still get flows if its service has no other: its entry may have
-/// lapsed with the platform's store, and entries that did are back within about two seconds.
+/// How long an upstream that is no longer listed may still get flows if its service has no other. Its entry may have
+/// expired along with the platform's store; such entries are back within about two seconds.
 const LAPSED_GRACE: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Places a new flow, or a copy of its opening packet at another upstream than before.
-    pub(super) fn open(&mut self, packet: &Packet, now: Time) -> Verdict {
+    /// Places a new flow, or moves a retransmitted opening packet to another upstream.
+    pub(super) fn open_flow(&mut self, packet: &Packet, now: Time) -> Verdict {
         if !self.knowledge.is_ready() {
             return Verdict::Drop(DropCause::NotReady);
         }
         let Some(route) = self.routes.to(packet.route) else {
-            return Verdict::Reset(reset_opening(packet, ResetCause::NoRoute));
+            return Verdict::Reset(reset_for_opening(packet, ResetCause::NoRoute));
         };
         let Some(service) = route.service_for(packet.client) else {
-            return Verdict::Reset(reset_opening(packet, ResetCause::NoUpstream));
+            return Verdict::Reset(reset_for_opening(packet, ResetCause::NoUpstream));
         };
         let service = service.to_owned();
         let key = FlowKey::from(packet);
-        if let Some(id) = self.held_up(&key, now) {
+        if let Some(id) = self.delayed_duplicate(&key, now) {
             return self.forward(id);
         }
-        let earlier = self.forget_opening(&key, now);
+        let earlier = self.remove_unanswered_opening(&key, now);
         let Some(candidate) = self.place(&service, earlier, now) else {
-            return Verdict::Reset(reset_opening(packet, self.why_none(&service, now)));
+            return Verdict::Reset(reset_for_opening(packet, self.no_upstream_cause(&service, now)));
         };
         let id = candidate.id;
         self.stats.placed += 1;
@@ -60,17 +60,18 @@
             cost: candidate.cost,
         });
         let flow = Flow::new(id, Stage::Opening, packet, now);
-        self.health.entry(id).or_default().note_placed(now);
-        self.note_ration(id, now);
+        self.health.entry(id).or_default().record_placement(now);
+        self.record_cold_flow(id, now);
         self.loss.note_attempt(now);
         self.flows.insert(key, flow);
-        self.checks.open(key, now);
+        self.checks.add_opening(key, now);
         self.forward(id)
     }
 
-    /// The upstream of an opening packet whose copy came just before: both were held up, and the second tells nothing. An
-    /// upstream that has been told meanwhile to take no more gets neither.
-    fn held_up(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
+    /// The upstream of an opening packet whose copy arrived just before. Both were delayed on the way, so the second
+    /// isn't a sign of an unresponsive upstream. An upstream that has since been told to take no new flows gets
+    /// neither.
+    fn delayed_duplicate(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let flow = self.flows.get_mut(key)?;
         let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < COPY_SPACE;
         let id = flow.upstream;
@@ -78,8 +79,8 @@
         (is_held_up && takes_flows).then_some(id)
     }
 
-    /// Why a service has no upstream for a new flow.
-    fn why_none(&self, service: &str, now: Time) -> ResetCause {
+    /// Reason why a service has no upstream for a new flow.
+    fn no_upstream_cause(&self, service: &str, now: Time) -> ResetCause {
         let listed = || {
             let listed = self.directory.of_service(service).map(|(_, listed)| listed);
             listed.filter(|listed| listed.gone_since.is_none())
@@ -93,25 +94,26 @@
         ResetCause::NoUpstream
     }
 
-    /// Takes back the choice that an earlier copy of an opening packet led to. It was not answered, which counts
-    /// against its upstream.
-    fn forget_opening(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
+    /// Removes the flow of an earlier copy of an opening packet. The copy was not answered, which counts against its
+    /// upstream.
+    fn remove_unanswered_opening(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let mut flow = self.flows.remove(key)?;
         let health = self.health.get_mut(&flow.upstream)?;
-        health.note_ended();
+        health.record_flow_end();
         if flow.stage == Stage::Opening {
-            let is_lost = health.note_copy(&mut flow, now);
+            let is_lost = health.record_retransmission(&mut flow, now);
             self.loss.note_losses(is_lost.into(), now);
-            self.judge(flow.upstream, now);
+            self.evaluate(flow.upstream, now);
         }
         Some(flow.upstream)
     }
 
-    /// The best upstream for a new flow, another than `earlier` if there is one.
+    /// Selects the best upstream for a new flow, avoiding `earlier` if there is another one.
     ///
-    /// Of a service with very many upstreams some take turns, and all are looked at only where none of these is in good order.
+    /// For a service with very many upstreams, only a rotating subset is examined; all are examined only if none of the
+    /// subset is [`Tier::Ready`].
     fn place(&mut self, service: &str, earlier: Option<UpstreamId>, now: Time) -> Option<Candidate> {
-        if let Some(next) = self.directory.next(service, &self.options.zone, self.first_turn) {
+        if let Some(next) = self.directory.next(service, &self.options.zone, self.start_offset) {
             let best = self.best_of(&next, service, earlier, now);
             if let Some(best) = best.filter(|best| best.tier == Tier::Ready && Some(best.id) != earlier) {
                 return Some(best);
@@ -121,7 +123,7 @@
         self.best_of(&all, service, earlier, now)
     }
 
-    /// The best of some upstreams of a service for a new flow, another than `earlier` if there is one.
+    /// Selects the best of `ids` for a new flow, avoiding `earlier` if there is another one.
     fn best_of(
         &mut self,
         ids: &[UpstreamId],
@@ -131,40 +133,40 @@
     ) -> Option<Candidate> {
         let zone = &self.options.zone;
         let unused = Health::default();
-        let mut peers = Peers::default();
+        let mut peers = PeerTotals::default();
         let mut seen = Vec::new();
         let reachable = ids.iter().filter_map(|id| self.directory.reachable(*id));
-        self.stats.looked_at += ids.len() as u64;
+        self.stats.examined += ids.len() as u64;
         for (id, listed) in reachable {
             let health = self.health.get(&id);
             let Some(tier) = tier(listed, health, now) else {
                 continue;
             };
-            if !self.bears(id, listed, health, now) {
+            if !self.permits_new_flow(id, listed, health, now) {
                 continue;
             }
-            let view = View::new(listed, health.unwrap_or(&unused), now);
-            peers.add(view, listed.upstream().zone == *zone);
-            seen.push((id, listed, tier, view));
+            let load = UpstreamLoad::new(listed, health.unwrap_or(&unused), now);
+            peers.add(load, listed.upstream().zone == *zone);
+            seen.push((id, listed, tier, load));
         }
-        peers.base = Base::update(self.bases.get(service).copied(), peers.mean_response(), now);
-        if let Some(base) = peers.base {
-            self.bases.insert(service.to_owned(), base);
+        peers.baseline = Baseline::update(self.baselines.get(service).copied(), peers.mean_response(), now);
+        if let Some(baseline) = peers.baseline {
+            self.baselines.insert(service.to_owned(), baseline);
         }
         if seen.len() > 1 {
             seen.retain(|(id, ..)| Some(*id) != earlier);
         }
         let rng = &mut self.rng;
-        let costed = seen.into_iter().map(|(id, listed, tier, view)| Candidate {
+        let costed = seen.into_iter().map(|(id, listed, tier, load)| Candidate {
             id,
             tier,
-            cost: place::cost(listed, view, &peers, zone, now, rng),
+            cost: place::cost(listed, load, &peers, zone, now, rng),
         });
         place::best(costed)
     }
 }
 
-/// How good a choice an upstream is at best, `None` if it gets no new flows.
+/// The tier of an upstream, or `None` if it gets no new flows.
 fn tier(listed: &Listed, health: Option<&Health>, now: Time) -> Option<Tier> {
     if !listed.takes_flows() {
         return None;
--- a/crates/flow/src/entries.rs
+++ b/crates/flow/src/entries.rs
@@ -10,7 +10,7 @@
 use units::Revision;
 use units::Time;
 
-use crate::grace::Grace;
+use crate::grace_period::GracePeriod;
 use crate::upstream::Sighting;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
@@ -65,7 +65,7 @@
     /// Whether the store has come back from an older copy since the first list.
     has_come_back: bool,
     /// What counts in place of what an older copy of the store says. It is not told to others, who have their own.
-    kept: Grace<UpstreamId, Arc<Entry>>,
+    kept: GracePeriod<UpstreamId, Arc<Entry>>,
     /// What has become different since it was asked last.
     changed: Changed,
 }
@@ -163,7 +163,7 @@
         if at <= self.at {
             return false;
         }
-        let is_first = self.at.is_none();
+        let is_first = self.at.is_unset();
         let listed = entries.iter().filter(|(_, entry)| !entry.gone);
         let listed: BTreeSet<UpstreamId> = listed.map(|(id, _)| *id).collect();
         for (id, held) in &self.by_id {
@@ -201,7 +201,7 @@
             }
             kept.insert(id, entry);
         }
-        self.kept = Grace::begin(kept, now);
+        self.kept = GracePeriod::begin(kept, now);
         self.changed.is_all = true;
         has_changed
     }
@@ -261,7 +261,7 @@
     /// Takes in single changes that lead from the place held, or an earlier one of its epoch, to `at`. Tells whether anything
     /// has changed.
     pub(crate) fn apply(&mut self, at: Position, changes: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
-        let is_next = at.epoch == self.at.epoch || self.at.is_none();
+        let is_next = at.epoch == self.at.epoch || self.at.is_unset();
         if at <= self.at || !is_next {
             return false;
         }
--- a/crates/flow/src/place.rs
+++ b/crates/flow/src/place.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a new flow.
+//! Upstream selection for new flows.
 
 use std::fmt;
 
@@ -11,38 +11,38 @@
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
-/// How much dearer an upstream in another availability zone is. Its zone may be cut off at any time, which costs all
-/// of its flows from here.
+/// Cost factor for an upstream in another availability zone. That zone may be cut off at any time, which breaks all of
+/// its flows from here.
 const OTHER_ZONE_FACTOR: f64 = 4.0;
-/// How much dearer an upstream is that is still slow after its start.
+/// Cost factor for an upstream that is still slow after its start.
 const COLD_FACTOR: f64 = 1.5;
-/// How much an upstream's flows count against its requests of the last second: a flow will send again.
+/// Weight of an open flow relative to a request of the last second: the flow will send more requests.
 const FLOW_WEIGHT: f64 = 0.5;
-/// What a free upstream counts, so that factors apply to it as well.
+/// Base load of an idle upstream, so that cost factors apply to it too.
 const BASE_LOAD: f64 = 0.5;
-/// Response times below this, in seconds, count as equal: the way there and back takes as long.
-const LEAST_RESPONSE: f64 = 0.005;
-/// How much more slowly than its best a zone may answer before another one gets cheaper. Means of a second or so vary by
-/// half and more in a zone that is in good order, and each flow that this leads elsewhere is lost to the client when the way
-/// there is cut.
-const USUAL_PRESSURE: f64 = 2.2;
-/// How steeply another zone gets cheaper beyond that: at 2.8 times its best, it is as cheap as the own one.
+/// Response times in seconds below this count as equal: the network round trip takes as long.
+const MIN_RESPONSE: f64 = 0.005;
+/// How far the response time of the local zone may exceed its baseline before another zone gets cheaper. In a healthy
+/// zone, means over a second or so vary by half and more, and each flow that is sent elsewhere because of this is lost
+/// to the client when the path to that zone is cut.
+const TOLERATED_PRESSURE: f64 = 2.2;
+/// Exponent of the cost reduction beyond that: at 2.8 times the baseline, another zone is as cheap as the local one.
 const PRESSURE_POWER: i32 = 6;
-/// By how much of itself the base response time grows in a second without a sample as short, so that a service that has
-/// become slower for good is not held to its past for more than a minute or so.
-const BASE_GROWTH: f64 = 0.01;
-/// Up to which part of its load an upstream may be favoured by chance, so that instances that know the same don't all
-/// choose the same.
+/// Growth of the baseline response time per second without a sample as short, as a fraction. A service that has become
+/// slower for good isn't measured against its old baseline for more than a minute or so.
+const BASELINE_GROWTH: f64 = 0.01;
+/// Maximum random increase of a cost, as a fraction, so that instances with the same information don't all choose the
+/// same upstream.
 const JITTER: f64 = 0.1;
 
-/// How good a choice an upstream is at best, best first.
+/// Preference class of an upstream, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// It is listed as ready and answers.
+    /// Listed as ready, and answering.
     Ready,
-    /// Flows wait for a sign of life from it.
+    /// Flows are stalled on it.
     Suspect,
-    /// It is no longer listed, but has been a moment ago: its entry may only have lapsed.
+    /// No longer listed, but was a moment ago: its entry may only have expired.
     Lapsed,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// An upstream that could take a new flow.
+/// Candidate upstream for a new flow.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) id: UpstreamId,
@@ -64,127 +64,136 @@
     pub(crate) cost: f64,
 }
 
-/// How an upstream looks from here.
+/// Load and response time of an upstream as seen from here.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct View {
-    /// Its flows seen here and the requests of the last second, for each slot.
-    load: f64,
-    /// How long it takes to answer, in seconds, if that was seen lately.
+pub(crate) struct UpstreamLoad {
+    /// Weighted open flows plus requests of the last second, per slot.
+    per_slot: f64,
+    /// Mean response time in seconds, if there are recent samples.
     response: Option<f64>,
 }
 
-impl View {
+impl UpstreamLoad {
     pub(crate) fn new(listed: &Listed, health: &Health, now: Time) -> Self {
         let flows = f64::from(health.flows);
         let load = flows * FLOW_WEIGHT + health.activity(now);
         Self {
-            load: load / f64::from(listed.upstream().slots.0.max(1)),
+            per_slot: load / f64::from(listed.upstream().slots.0.max(1)),
             response: health.response(now),
         }
     }
 }
 
-/// How long the upstreams of one's own availability zone take to answer when they are not overloaded, in seconds.
+/// Baseline response time of the local zone's upstreams, in seconds: how long they take when they aren't overloaded.
 ///
-/// It is the lowest mean over them, remembered for a minute or so. A mean varies little by chance, so that it tells
-/// overload of the zone from one upstream's long request.
+/// It is the lowest mean over these upstreams, kept for a minute or so. A mean varies little by chance, so it
+/// distinguishes overload of the zone from a long request at one upstream.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Base {
+pub(crate) struct Baseline {
     response: f64,
     at: Time,
 }
 
-impl Base {
-    /// Takes in the mean seen now.
+impl Baseline {
+    /// Returns the baseline updated with the current mean.
     pub(crate) fn update(held: Option<Self>, mean: Option<f64>, now: Time) -> Option<Self> {
-        let held = held.map(|base| base.response * (1.0 + BASE_GROWTH * now.since(base.at).as_secs_f64()));
+        let held =
+            held.map(|baseline| baseline.response * (1.0 + BASELINE_GROWTH * now.since(baseline.at).as_secs_f64()));
         let response = [held, mean].into_iter().flatten().min_by(f64::total_cmp)?;
         Some(Self { response, at: now })
     }
 }
 
-/// What the upstreams of a service have in common.
+/// Aggregates over the upstreams of a service.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct Peers {
-    /// The sum of loads in one's own availability zone.
-    load_at_home: f64,
-    at_home: u32,
-    /// The sum of response times seen there, in seconds.
-    response_at_home: f64,
-    answering: u32,
-    /// The shortest response time seen anywhere, in seconds.
+pub(crate) struct PeerTotals {
+    /// Sum of loads in the local zone.
+    local_load: f64,
+    local_count: u32,
+    /// Sum of response times seen there, in seconds.
+    local_response: f64,
+    local_answering: u32,
+    /// Shortest response time in any zone, in seconds.
     fastest: Option<f64>,
-    /// How long those at home take when they are not overloaded.
-    pub(crate) base: Option<Base>,
+    /// Baseline response time of the local zone.
+    pub(crate) baseline: Option<Baseline>,
 }
 
-impl Peers {
-    pub(crate) fn add(&mut self, view: View, is_at_home: bool) {
-        let fastest = [self.fastest, view.response].into_iter().flatten();
+impl PeerTotals {
+    pub(crate) fn add(&mut self, load: UpstreamLoad, is_local: bool) {
+        let fastest = [self.fastest, load.response].into_iter().flatten();
         self.fastest = fastest.min_by(f64::total_cmp);
-        if !is_at_home {
+        if !is_local {
             return;
         }
-        self.load_at_home += view.load;
-        self.at_home += 1;
-        if let Some(response) = view.response {
-            self.response_at_home += response;
-            self.answering += 1;
+        self.local_load += load.per_slot;
+        self.local_count += 1;
+        if let Some(response) = load.response {
+            self.local_response += response;
+            self.local_answering += 1;
         }
     }
 
     fn mean_load(&self) -> f64 {
-        self.load_at_home / f64::from(self.at_home.max(1))
+        self.local_load / f64::from(self.local_count.max(1))
     }
 
-    /// The mean response time at home, once most of those there were seen to answer.
+    /// Mean response time in the local zone, if at least half of its upstreams have recent samples.
     pub(crate) fn mean_response(&self) -> Option<f64> {
-        let is_known = self.answering > 0 && self.answering * 2 >= self.at_home;
-        is_known.then(|| self.response_at_home / f64::from(self.answering))
+        let is_known = self.local_answering > 0 && self.local_answering * 2 >= self.local_count;
+        is_known.then(|| self.local_response / f64::from(self.local_answering))
     }
 
-    /// How much slower than the fastest an upstream answers, at least 1.
-    fn slowness(&self, view: View) -> f64 {
-        let (Some(fastest), Some(response)) = (self.fastest, view.response) else {
+    /// Response time relative to the fastest upstream, at least 1.
+    fn slowness(&self, load: UpstreamLoad) -> f64 {
+        let (Some(fastest), Some(response)) = (self.fastest, load.response) else {
             return 1.0;
         };
-        (response / fastest.max(LEAST_RESPONSE)).max(1.0)
+        (response / fastest.max(MIN_RESPONSE)).max(1.0)
     }
 
-    /// How much slower those at home answer than when they are not overloaded, at least 1.
+    /// Response time of the local zone relative to its baseline, at least 1.
     fn pressure(&self) -> f64 {
-        let (Some(base), Some(mean)) = (self.base, self.mean_response()) else {
+        let (Some(baseline), Some(mean)) = (self.baseline, self.mean_response()) else {
             return 1.0;
         };
-        (mean / base.response.max(LEAST_RESPONSE)).max(1.0)
+        (mean / baseline.response.max(MIN_RESPONSE)).max(1.0)
     }
 
-    /// How much dearer an upstream of another zone is.
+    /// Cost factor for upstreams of another zone.
     fn other_zone_factor(&self) -> f64 {
-        let excess = (self.pressure() / USUAL_PRESSURE).max(1.0);
+        let excess = (self.pressure() / TOLERATED_PRESSURE).max(1.0);
         (OTHER_ZONE_FACTOR / excess.powi(PRESSURE_POWER)).max(1.0)
     }
 }
 
-/// What a new flow costs at an upstream: its load, by zone, warmth and response time.
+/// Cost of a new flow at an upstream, from its load, zone, warm-up state and response time.
 ///
-/// Flows that others lead to another zone's upstreams can't be seen from here. They are taken to be as busy as those
-/// of one's own zone at least; without that, idle as they look, they would draw flows away from a zone in good order.
-/// Response times count squared, so that an upstream that answers twice as slowly gets a quarter of the flows.
-pub(crate) fn cost(listed: &Listed, view: View, peers: &Peers, zone: &ZoneName, now: Time, rng: &mut SmallRng) -> f64 {
+/// Flows that other instances send to another zone's upstreams aren't visible here. These upstreams are assumed to be
+/// at least as busy as those of the local zone; otherwise they would look idle and attract flows away from a healthy
+/// zone. The relative response time is squared, so an upstream that answers twice as slowly gets a quarter of the
+/// flows.
+pub(crate) fn cost(
+    listed: &Listed,
+    load: UpstreamLoad,
+    peers: &PeerTotals,
+    zone: &ZoneName,
+    now: Time,
+    rng: &mut SmallRng,
+) -> f64 {
     let mut cost = if listed.upstream().zone == *zone {
-        BASE_LOAD + view.load
+        BASE_LOAD + load.per_slot
     } else {
-        (BASE_LOAD + view.load.max(peers.mean_load())) * peers.other_zone_factor()
+        (BASE_LOAD + load.per_slot.max(peers.mean_load())) * peers.other_zone_factor()
     };
-    cost *= peers.slowness(view).powi(2);
+    cost *= peers.slowness(load).powi(2);
     if now < listed.cold_until {
         cost *= COLD_FACTOR;
     }
     cost * (1.0 + JITTER * rng.random::<f64>())
 }
 
-/// The best of several candidates.
+/// Returns the best candidate.
 pub(crate) fn best(candidates: impl Iterator<Item = Candidate>) -> Option<Candidate> {
     candidates.min_by(|a, b| a.tier.cmp(&b.tier).then(a.cost.total_cmp(&b.cost)))
 }
--- a/crates/membership/examples/start.rs
+++ b/crates/membership/examples/start.rs
@@ -1,9 +1,10 @@
-//! What the start of a whole fleet costs the membership, and what it sends between availability zones: by span of time, in virtual time.
+//! Measures the membership traffic of a fleet that starts at once, in total and between availability zones, per span
+//! of virtual time.
 //!
-//! Run: `cargo run --release -p membership --example start -- 300 985`. Every instance knows three others at first. Probes are as the flow
-//! mode sets them. Bytes are those of encoded frames, without the transport's own.
+//! Run: `cargo run --release -p membership --example start -- 300 985`. Every instance knows three others at first.
+//! Probe timing is that of the flow mode. Bytes are those of encoded frames, without the overhead of the transport.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -16,7 +17,7 @@
 
 const ZONES: usize = 5;
 const SEEDS: usize = 3;
-/// The spans that are looked at, each from the end of the one before.
+/// The measured spans; each starts at the end of the previous one.
 const SPANS: [Duration; 4] = [
     Duration::from_secs(5),
     Duration::from_secs(10),
@@ -26,9 +27,9 @@
 
 fn timing() -> Timing {
     Timing {
-        probe_every: Duration::from_secs(1),
-        suspect_for: Duration::from_secs(1),
-        dead_probe_every: Duration::from_secs(3),
+        probe_interval: Duration::from_secs(1),
+        base_suspicion_timeout: Duration::from_secs(1),
+        dead_probe_interval: Duration::from_secs(3),
         ..Timing::default()
     }
 }
@@ -36,7 +37,7 @@
 fn main() {
     println!("members  span s  known, least and mean  B/s each  far B/s each  busiest B/s  far MB in all");
     for count in env::args().skip(1) {
-        let count = count.parse().expect("a number of members");
+        let count = count.parse().expect("each argument is a number of members");
         measure(count);
     }
 }
@@ -53,29 +54,29 @@
         }
     }
     for span in SPANS {
-        look(&mut fleet, count, span);
+        measure_span(&mut fleet, count, span);
     }
-    // Half of the fleet loses power at one moment, which no datagram tells, and comes back.
-    let half = |index: usize| index % 2 == 1;
-    for index in (0..count).filter(|index| half(*index)) {
+    // Half of the fleet loses power at once, which no datagram announces, and is then restarted.
+    let loses_power = |index: usize| index % 2 == 1;
+    for index in (0..count).filter(|index| loses_power(*index)) {
         fleet.set(index, Condition::Frozen);
     }
-    look(&mut fleet, count, Duration::from_secs(2));
-    for index in (0..count).filter(|index| half(*index)) {
+    measure_span(&mut fleet, count, Duration::from_secs(2));
+    for index in (0..count).filter(|index| loses_power(*index)) {
         fleet.start(index, &[]);
         for seed in 0..SEEDS {
             fleet.introduce(index, seed);
         }
     }
-    look(&mut fleet, count, Duration::from_secs(5));
-    look(&mut fleet, count, Duration::from_secs(15));
+    measure_span(&mut fleet, count, Duration::from_secs(5));
+    measure_span(&mut fleet, count, Duration::from_secs(15));
 }
 
-fn look(fleet: &mut Fleet, count: usize, span: Duration) {
+fn measure_span(fleet: &mut Fleet, count: usize, span: Duration) {
     for process in fleet.processes.values_mut() {
         process.sent_bytes = 0;
-        process.far_bytes = 0;
-        process.learned.clear();
+        process.cross_zone_bytes = 0;
+        process.outputs.clear();
     }
     fleet.run(span);
     let seconds = span.as_secs_f64();
@@ -85,7 +86,7 @@
         .filter(|process| process.condition == Condition::Running);
     let known: Vec<usize> = running.map(|process| process.membership.members().count()).collect();
     let sent: u64 = fleet.processes.values().map(|process| process.sent_bytes).sum();
-    let far: u64 = fleet.processes.values().map(|process| process.far_bytes).sum();
+    let cross_zone: u64 = fleet.processes.values().map(|process| process.cross_zone_bytes).sum();
     let busiest = fleet
         .processes
         .values()
@@ -98,8 +99,8 @@
         known.iter().min().unwrap_or(&0),
         known.iter().sum::<usize>() as f64 / known.len().max(1) as f64,
         each(sent),
-        each(far),
+        each(cross_zone),
         busiest as f64 / seconds,
-        far as f64 / 1e6,
+        cross_zone as f64 / 1e6,
     );
 }
--- a/crates/membership/examples/traffic.rs
+++ b/crates/membership/examples/traffic.rs
@@ -1,10 +1,10 @@
-//! Measures what membership costs an instance, against the number of members.
+//! Measures the cost of membership per instance against the number of members.
 //!
-//! Run: `cargo run --release -p membership --example traffic`. The fleet lives in virtual time, in one process. Bytes
-//! are those of encoded frames, without the transport's own. Processor time is that of the pure code and of encoding,
-//! together with the fleet's own bookkeeping, so it is an upper bound.
+//! Run: `cargo run --release -p membership --example traffic`. The fleet is simulated in virtual time, in one
+//! process. Bytes are those of encoded frames, without the overhead of the transport. Processor time is that of the
+//! membership code and of encoding, together with the bookkeeping of the simulation, so it is an upper bound.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -21,8 +21,8 @@
 const SIZES: [usize; 5] = [8, 32, 128, 240, 600];
 const PAGE: u64 = 4_096;
 
-/// How long a fleet is watched in each state.
-const WATCHED: Duration = Duration::from_mins(2);
+/// How long a fleet is measured in each state.
+const MEASURED_SPAN: Duration = Duration::from_mins(2);
 
 fn main() {
     println!(
@@ -48,21 +48,24 @@
     let mut fleet = Fleet::new(3, 1);
     fleet.start_all(count, 3);
     fleet.run(Duration::from_mins(3));
-    assert!(fleet.is_converged(), "the fleet has settled");
+    assert!(fleet.is_converged(), "the fleet has converged");
     let per_member = resident().saturating_sub(before) / (count * count) as u64;
 
-    let idle = watch(&mut fleet, |_, _| {});
-    let busy = watch(&mut fleet, disturb);
+    let idle = measure_cost(&mut fleet, |_, _| {});
+    let busy = measure_cost(&mut fleet, inject_churn);
     fleet.run(Duration::from_mins(1));
-    assert!(fleet.is_converged(), "the fleet has settled again");
-    assert_eq!(fleet.false_deaths, 0, "nobody was taken for dead who was not");
+    assert!(fleet.is_converged(), "the fleet has converged again");
+    assert_eq!(
+        fleet.false_deaths, 0,
+        "no running and reachable member was declared dead"
+    );
 
-    let crash = until(
+    let crash = time_until(
         &mut fleet,
         |fleet| fleet.set(count - 1, Condition::Crashed),
         Fleet::is_converged,
     );
-    let frozen = until(
+    let frozen = time_until(
         &mut fleet,
         |fleet| fleet.set(count - 2, Condition::Frozen),
         Fleet::is_converged,
@@ -79,14 +82,14 @@
         let mut running = fleet.processes.values().filter(running);
         running.all(|process| process.membership.document().is_some_and(|(held, _)| held == revision))
     };
-    let document = until(&mut fleet, publish, in_force);
+    let document = time_until(&mut fleet, publish, in_force);
     println!(
         "{count:>7} {:>9.0} {:>9.0} {:>8.0} {:>8.1} {:>8.0} {per_member:>10} {:>8.2} {:>8.2} {:>9.3}",
         idle.mean, busy.mean, busy.max, idle.frames, idle.micros, crash, frozen, document
     );
 }
 
-/// What an instance sends and spends in a second.
+/// The traffic and processor time of an instance per second.
 struct Cost {
     mean: f64,
     max: f64,
@@ -94,16 +97,16 @@
     micros: f64,
 }
 
-fn watch(fleet: &mut Fleet, mut deed: impl FnMut(&mut Fleet, u64)) -> Cost {
+fn measure_cost(fleet: &mut Fleet, mut action: impl FnMut(&mut Fleet, u64)) -> Cost {
     for process in fleet.processes.values_mut() {
         process.sent_bytes = 0;
         process.sent_frames = 0;
-        process.learned.clear();
+        process.outputs.clear();
     }
     let started = Instant::now();
-    let seconds = WATCHED.as_secs();
+    let seconds = MEASURED_SPAN.as_secs();
     for second in 0..seconds {
-        deed(fleet, second);
+        action(fleet, second);
         fleet.run(Duration::from_secs(1));
     }
     let spent = started.elapsed();
@@ -119,8 +122,9 @@
     }
 }
 
-/// A replacement every ten seconds, and a new document every five: far more than on any day.
-fn disturb(fleet: &mut Fleet, second: u64) {
+/// Replaces an instance every ten seconds, and publishes a document every five: far more churn than in normal
+/// operation.
+fn inject_churn(fleet: &mut Fleet, second: u64) {
     let count = fleet.processes.len();
     if second % 10 == 3 {
         let index = 1 + (second as usize * 7) % (count - 1);
@@ -138,17 +142,17 @@
     }
 }
 
-/// Seconds until something holds, by the fleet's own clock.
-fn until(fleet: &mut Fleet, deed: impl FnOnce(&mut Fleet), holds: impl Fn(&Fleet) -> bool) -> f64 {
+/// The seconds of virtual time until a condition holds.
+fn time_until(fleet: &mut Fleet, action: impl FnOnce(&mut Fleet), holds: impl Fn(&Fleet) -> bool) -> f64 {
     let start: Time = fleet.now;
-    deed(fleet);
+    action(fleet);
     while !holds(fleet) && fleet.now.since(start) < Duration::from_mins(2) {
         fleet.run(Duration::from_millis(5));
     }
     fleet.now.since(start).as_secs_f64()
 }
 
-/// The memory of this process, in bytes.
+/// The resident memory of this process, in bytes.
 fn resident() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
--- a/crates/membership/src/lasting.rs
+++ b/crates/membership/src/grow_only.rs
@@ -1,7 +1,7 @@
-//! Facts that hold for ever once they are known: hand-overs, and marks on leaving upstreams.
+//! Grow-only sets of records that stay true once known: ledger hand-overs, and leaving upstreams.
 //!
-//! Both are sets that only grow, but for a bound on their size. The bound drops what is oldest by incarnation, which
-//! every instance sees alike, and not by a local clock, so that instances which exchange all they know end up with
+//! The size of each set is bounded. When a set is full, the record with the lowest incarnation is removed. All
+//! instances agree on incarnations but not on local clocks, so instances that exchange all their records end up with
 //! the same sets.
 
 use std::collections::BTreeMap;
@@ -14,86 +14,87 @@
 
 use crate::rendezvous::hash;
 
-/// How many hand-overs are remembered.
+/// The maximum number of hand-overs that are retained.
 const MAX_SUCCESSORS: usize = 1_024;
-/// How many leaving upstreams are remembered.
-const MAX_MARKS: usize = 4_096;
+/// The maximum number of leaving upstreams that are retained.
+const MAX_LEAVING_UPSTREAMS: usize = 4_096;
 
-/// One life of an instance.
+/// The name and incarnation of an instance, which identify one run of it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Life {
+pub(crate) struct InstanceId {
     pub(crate) name: InstanceName,
     pub(crate) incarnation: Incarnation,
 }
 
-/// Where the ledgers of an incarnation are now.
+/// The result of following the hand-overs of an incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End<'a> {
+pub(crate) enum HandoverEnd<'a> {
     /// No hand-over is known.
-    Unmoved,
-    /// They moved here.
-    At(&'a Life),
-    /// The records lead in a circle, which no correct instance makes.
-    Circle,
+    NoHandover,
+    /// The incarnation that the ledgers were last handed over to.
+    At(&'a InstanceId),
+    /// The records form a cycle, which no correct instance creates.
+    Cycle,
 }
 
 /// The known hand-overs.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Successors {
-    records: BTreeMap<Life, Life>,
-    pub(crate) view: u64,
+    records: BTreeMap<InstanceId, InstanceId>,
+    pub(crate) view_hash: u64,
 }
 
 impl Successors {
-    /// Adds a record; tells whether it was new. Of two for the same incarnation every instance keeps the same one.
+    /// Adds a record and returns whether it changed the set. Of two records for the same incarnation, every instance
+    /// keeps the same one.
     pub(crate) fn add(&mut self, record: &Successor) -> bool {
-        let from = Life {
+        let from = InstanceId {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         };
-        let to = Life {
+        let to = InstanceId {
             name: record.to.clone(),
             incarnation: record.to_incarnation,
         };
         let held = self.records.get(&from);
-        if from == to || held.is_some_and(|held| rank(held) >= rank(&to)) {
+        if from == to || held.is_some_and(|held| precedence(held) >= precedence(&to)) {
             return false;
         }
         if let Some(held) = held {
-            self.view ^= record_hash(&from, held);
+            self.view_hash ^= record_hash(&from, held);
         }
-        self.view ^= record_hash(&from, &to);
+        self.view_hash ^= record_hash(&from, &to);
         self.records.insert(from.clone(), to);
-        self.shrink();
+        self.enforce_limit();
         self.records.contains_key(&from)
     }
 
-    fn shrink(&mut self) {
+    fn enforce_limit(&mut self) {
         if self.records.len() <= MAX_SUCCESSORS {
             return;
         }
-        let age = |(from, to): &(&Life, &Life)| (from.incarnation.max(to.incarnation), (*from).clone());
+        let age = |(from, to): &(&InstanceId, &InstanceId)| (from.incarnation.max(to.incarnation), (*from).clone());
         let oldest = self.records.iter().min_by_key(age).map(|(from, _)| from.clone());
         if let Some((from, to)) = oldest.and_then(|from| self.records.remove_entry(&from)) {
-            self.view ^= record_hash(&from, &to);
+            self.view_hash ^= record_hash(&from, &to);
         }
     }
 
-    /// Follows the records from an incarnation to their end.
-    pub(crate) fn end(&self, from: &Life) -> End<'_> {
+    /// Follows the hand-overs from an incarnation to the last one.
+    pub(crate) fn resolve(&self, from: &InstanceId) -> HandoverEnd<'_> {
         let Some(mut last) = self.records.get(from) else {
-            return End::Unmoved;
+            return HandoverEnd::NoHandover;
         };
         for _ in 0..self.records.len() {
             let Some(next) = self.records.get(last) else {
-                return End::At(last);
+                return HandoverEnd::At(last);
             };
             last = next;
         }
-        End::Circle
+        HandoverEnd::Cycle
     }
 
-    pub(crate) fn get(&self, from: &Life) -> Option<Successor> {
+    pub(crate) fn get(&self, from: &InstanceId) -> Option<Successor> {
         self.records.get_key_value(from).map(|(from, to)| successor(from, to))
     }
 
@@ -102,11 +103,11 @@
     }
 }
 
-fn rank(life: &Life) -> (Incarnation, &InstanceName) {
-    (life.incarnation, &life.name)
+fn precedence(id: &InstanceId) -> (Incarnation, &InstanceName) {
+    (id.incarnation, &id.name)
 }
 
-fn successor(from: &Life, to: &Life) -> Successor {
+fn successor(from: &InstanceId, to: &InstanceId) -> Successor {
     Successor {
         from: from.name.clone(),
         from_incarnation: from.incarnation,
@@ -115,66 +116,66 @@
     }
 }
 
-fn record_hash(from: &Life, to: &Life) -> u64 {
+fn record_hash(from: &InstanceId, to: &InstanceId) -> u64 {
     let text = format!("succ {} {} {} {}", from.name, from.incarnation, to.name, to.incarnation);
     hash(text.as_bytes())
 }
 
 /// The highest leaving incarnation of each upstream.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Marks {
+pub(crate) struct LeavingUpstreams {
     highest: BTreeMap<UpstreamName, Incarnation>,
-    pub(crate) view: u64,
+    pub(crate) view_hash: u64,
 }
 
-impl Marks {
-    /// Adds a mark; tells whether it was new.
+impl LeavingUpstreams {
+    /// Adds a mark and returns whether it changed the set.
     pub(crate) fn add(&mut self, mark: &LeavingUpstream) -> bool {
         let held = self.highest.get(&mark.name).copied();
         if held.is_some_and(|held| held >= mark.incarnation) {
             return false;
         }
         if let Some(held) = held {
-            self.view ^= mark_hash(&mark.name, held);
+            self.view_hash ^= leaving_hash(&mark.name, held);
         }
-        self.view ^= mark_hash(&mark.name, mark.incarnation);
+        self.view_hash ^= leaving_hash(&mark.name, mark.incarnation);
         self.highest.insert(mark.name.clone(), mark.incarnation);
-        self.shrink();
+        self.enforce_limit();
         self.is_leaving(&mark.name, mark.incarnation)
     }
 
-    fn shrink(&mut self) {
-        if self.highest.len() <= MAX_MARKS {
+    fn enforce_limit(&mut self) {
+        if self.highest.len() <= MAX_LEAVING_UPSTREAMS {
             return;
         }
         let age = |(name, incarnation): &(&UpstreamName, &Incarnation)| (**incarnation, (*name).clone());
         let oldest = self.highest.iter().min_by_key(age).map(|(name, _)| name.clone());
         if let Some((name, incarnation)) = oldest.and_then(|name| self.highest.remove_entry(&name)) {
-            self.view ^= mark_hash(&name, incarnation);
+            self.view_hash ^= leaving_hash(&name, incarnation);
         }
     }
 
-    /// A mark holds for the marked incarnation and all before it.
+    /// Whether an incarnation is leaving. A mark covers the marked incarnation and all earlier ones.
     pub(crate) fn is_leaving(&self, name: &UpstreamName, incarnation: Incarnation) -> bool {
         self.highest.get(name).is_some_and(|highest| *highest >= incarnation)
     }
 
     pub(crate) fn get(&self, name: &UpstreamName) -> Option<LeavingUpstream> {
-        self.highest.get_key_value(name).map(mark)
+        self.highest.get_key_value(name).map(leaving_upstream)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = LeavingUpstream> {
-        self.highest.iter().map(mark)
+        self.highest.iter().map(leaving_upstream)
     }
 }
 
-fn mark((name, incarnation): (&UpstreamName, &Incarnation)) -> LeavingUpstream {
+fn leaving_upstream((name, incarnation): (&UpstreamName, &Incarnation)) -> LeavingUpstream {
     LeavingUpstream {
         name: name.clone(),
         incarnation: *incarnation,
     }
 }
 
-fn mark_hash(name: &UpstreamName, incarnation: Incarnation) -> u64 {
+fn leaving_hash(name: &UpstreamName, incarnation: Incarnation) -> u64 {
     hash(format!("mark {name} {incarnation}").as_bytes())
 }
--- a/crates/membership/tests/homes.rs
+++ b/crates/membership/tests/homes.rs
@@ -1,6 +1,6 @@
-//! Rendezvous: who is home of what, and what moves when the fleet changes.
+//! Tests the choice of homes and ledger successors, and which services move when the fleet changes.
 
-#[expect(dead_code, reason = "each program uses a part of it")]
+#[expect(dead_code, reason = "each target uses only a part of it")]
 mod support;
 
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 const SERVICES: usize = 4_000;
 
 fn service(index: usize) -> ServiceName {
-    format!("s{index}").parse().expect("a name")
+    format!("s{index}").parse().expect("a valid service name")
 }
 
 fn homes(fleet: &Fleet, at: usize) -> Vec<InstanceName> {
@@ -23,7 +23,7 @@
     (0..SERVICES).map(|index| home(index).name.clone()).collect()
 }
 
-fn settled(count: usize) -> Fleet {
+fn converged_fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new(4, 3);
     fleet.start_all(count, count);
     fleet.run(Duration::from_secs(20));
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn all_instances_name_the_same_homes_evenly() {
-    let fleet = settled(16);
+fn all_instances_choose_the_same_evenly_spread_homes() {
+    let fleet = converged_fleet(16);
     let mut shares: BTreeMap<InstanceName, usize> = BTreeMap::new();
     for home in homes(&fleet, 0) {
         *shares.entry(home).or_default() += 1;
@@ -46,7 +46,7 @@
 
 #[test]
 fn only_the_services_of_a_lost_or_leaving_member_move() {
-    let mut fleet = settled(16);
+    let mut fleet = converged_fleet(16);
     let before = homes(&fleet, 0);
     fleet.set(5, Condition::Crashed);
     fleet.run(Duration::from_secs(10));
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_region_without_members_has_no_home() {
-    let fleet = settled(4);
+    let fleet = converged_fleet(4);
     let membership = fleet.membership(0);
     assert_eq!(membership.home(&service(0), |_| false), None);
     let zone = fleet.zone(2);
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn ledgers_go_to_a_young_member_of_the_same_zone() {
-    let mut fleet = settled(16);
+fn ledgers_go_to_a_recently_started_member_of_the_same_zone() {
+    let mut fleet = converged_fleet(16);
     fleet.start(16, &[0]);
     fleet.run(Duration::from_secs(5));
     let candidate = |fleet: &Fleet, at| {
@@ -91,11 +91,15 @@
             .successor_candidate()
             .map(|member| member.name.clone())
     };
-    // Of the zone's four others the younger two are 12 and 16.
+    // Of the four other members of the zone, 12 and 16 started last.
     assert!([Some(name(12)), Some(name(16))].contains(&candidate(&fleet, 0)));
     let listed = fleet.incarnation(16);
-    fleet.act(0, |membership, _, _| membership.list_leaving(&name(16), listed));
-    assert_ne!(candidate(&fleet, 0), Some(name(16)), "the list says that it is leaving");
+    fleet.act(0, |membership, _, _| membership.set_listed_leaving(&name(16), listed));
+    assert_ne!(
+        candidate(&fleet, 0),
+        Some(name(16)),
+        "the platform's list reports it as leaving"
+    );
     for index in [0, 4, 8, 12] {
         fleet.set(index, Condition::Crashed);
     }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time, whose members exchange frames in memory: with loss, partitions, crashes and freezes.
+//! Simulates a fleet in virtual time. Its members exchange frames in memory, with message loss, partitions, crashes
+//! and frozen processes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,10 +26,10 @@
 const TICK: Duration = Duration::from_millis(50);
 /// How long it takes to fetch a document from a member.
 const FETCH: Duration = Duration::from_millis(3);
-/// When a fleet starts, in microseconds.
+/// The virtual time at which a fleet starts, in microseconds.
 const START: u64 = 1_000_000;
 
-/// What happens to a process.
+/// The condition of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     Running,
@@ -36,17 +37,16 @@
     Crashed,
 }
 
-/// One process.
 #[derive(Debug)]
 pub struct Process {
     pub membership: Membership,
     pub condition: Condition,
-    pub learned: Vec<(Time, Output)>,
+    pub outputs: Vec<(Time, Output)>,
     pub sent_bytes: u64,
     pub sent_frames: u64,
-    /// Bytes that went to other availability zones, of those sent.
-    pub far_bytes: u64,
-    waiting: Vec<Delivery>,
+    /// The part of `sent_bytes` that went to other availability zones.
+    pub cross_zone_bytes: u64,
+    inbox: Vec<Delivery>,
 }
 
 #[derive(Debug, Clone)]
@@ -63,7 +63,7 @@
     content: Content,
 }
 
-/// The instances, and the frames between them.
+/// The simulated instances, and the frames in flight between them.
 #[derive(Debug)]
 pub struct Fleet {
     pub now: Time,
@@ -71,18 +71,18 @@
     pub zones: usize,
     pub loss: f64,
     pub timing: Timing,
-    /// Members that were taken for dead while they ran and could be reached.
+    /// The number of times that a member was declared dead while it was running and reachable.
     pub false_deaths: usize,
     cut: BTreeSet<ZoneName>,
-    alone: BTreeSet<InstanceName>,
-    flying: BTreeMap<(Time, u64), Delivery>,
+    isolated: BTreeSet<InstanceName>,
+    in_flight: BTreeMap<(Time, u64), Delivery>,
     serial: u64,
     next_tick: Time,
     rng: StdRng,
 }
 
 pub fn name(index: usize) -> InstanceName {
-    format!("i{index}").parse().expect("a name")
+    format!("i{index}").parse().expect("a valid name")
 }
 
 pub fn address(index: usize) -> SocketAddr {
@@ -103,8 +103,8 @@
             timing: Timing::default(),
             false_deaths: 0,
             cut: BTreeSet::new(),
-            alone: BTreeSet::new(),
-            flying: BTreeMap::new(),
+            isolated: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
             serial: 0,
             next_tick: Time(START),
             rng: StdRng::seed_from_u64(seed),
@@ -112,10 +112,10 @@
     }
 
     pub fn zone(&self, index: usize) -> ZoneName {
-        format!("z{}", index % self.zones).parse().expect("a zone")
+        format!("z{}", index % self.zones).parse().expect("a valid zone name")
     }
 
-    /// Starts a process, or starts it anew, with hints to these others.
+    /// Starts or restarts a process, with hints to these others.
     pub fn start(&mut self, index: usize, hints: &[usize]) {
         let me = Member {
             name: name(index),
@@ -129,11 +129,11 @@
         let process = Process {
             membership: Membership::new(me, self.timing.clone(), seed, self.now),
             condition: Condition::Running,
-            learned: Vec::new(),
+            outputs: Vec::new(),
             sent_bytes: 0,
             sent_frames: 0,
-            far_bytes: 0,
-            waiting: Vec::new(),
+            cross_zone_bytes: 0,
+            inbox: Vec::new(),
         };
         self.processes.insert(name(index), process);
         for &hint in hints {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// An instance tells another, of which it knows the address only, that it is there.
+    /// Sends an introduction from an instance to another one of which it knows only the address.
     pub fn introduce(&mut self, index: usize, to: usize) {
         let membership = self.membership(index);
         let frame = Frame::News(membership.introduction());
@@ -164,24 +164,24 @@
     }
 
     pub fn set(&mut self, index: usize, condition: Condition) {
-        let process = self.processes.get_mut(&name(index)).expect("a process");
+        let process = self.processes.get_mut(&name(index)).expect("the process exists");
         process.condition = condition;
         if condition != Condition::Running {
             return;
         }
-        for delivery in std::mem::take(&mut process.waiting) {
+        for delivery in std::mem::take(&mut process.inbox) {
             self.deliver(delivery);
         }
     }
 
-    /// Cuts these zones off from all others, each by itself.
+    /// Cuts each of these zones off from all other zones.
     pub fn cut(&mut self, zones: &[usize]) {
         self.cut = zones.iter().map(|zone| self.zone(*zone)).collect();
     }
 
-    /// Cuts these instances off from all others, each by itself.
+    /// Cuts each of these instances off from all other instances.
     pub fn isolate(&mut self, indices: &[usize]) {
-        self.alone = indices.iter().map(|index| name(*index)).collect();
+        self.isolated = indices.iter().map(|index| name(*index)).collect();
     }
 
     pub fn membership(&self, index: usize) -> &Membership {
@@ -192,16 +192,16 @@
         self.membership(index).me().incarnation
     }
 
-    /// Does something to an instance, and sends what comes of it.
-    pub fn act(&mut self, index: usize, deed: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
+    /// Applies an action to an instance, and carries out the resulting outputs.
+    pub fn act(&mut self, index: usize, action: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
         let mut out = Vec::new();
         let now = self.now;
-        let process = self.processes.get_mut(&name(index)).expect("a process");
-        deed(&mut process.membership, now, &mut out);
-        self.carry_out(&name(index), out);
+        let process = self.processes.get_mut(&name(index)).expect("the process exists");
+        action(&mut process.membership, now, &mut out);
+        self.apply_outputs(&name(index), out);
     }
 
-    /// Whether each running process sees just the running ones, in their present incarnations.
+    /// Whether each running process sees exactly the running ones, in their current incarnations.
     pub fn is_converged(&self) -> bool {
         let running = || {
             self.processes
@@ -215,7 +215,7 @@
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            let next_frame = self.flying.first_key_value().map(|(key, _)| key.0);
+            let next_frame = self.in_flight.first_key_value().map(|(key, _)| key.0);
             let next = next_frame.unwrap_or(end).min(self.next_tick).min(end);
             self.now = self.now.max(next);
             if self.next_tick <= self.now {
@@ -223,8 +223,11 @@
                 self.tick_all();
                 continue;
             }
-            let due = self.flying.first_key_value().is_some_and(|(key, _)| key.0 <= self.now);
-            if let Some((_, delivery)) = due.then(|| self.flying.pop_first()).flatten() {
+            let due = self
+                .in_flight
+                .first_key_value()
+                .is_some_and(|(key, _)| key.0 <= self.now);
+            if let Some((_, delivery)) = due.then(|| self.in_flight.pop_first()).flatten() {
                 self.deliver(delivery);
             }
         }
@@ -237,20 +240,20 @@
         let names: Vec<InstanceName> = self.processes.iter().filter_map(running).collect();
         for name in names {
             let mut out = Vec::new();
-            let process = self.processes.get_mut(&name).expect("a process");
+            let process = self.processes.get_mut(&name).expect("the process exists");
             process.membership.tick(self.now, &mut out);
-            self.carry_out(&name, out);
+            self.apply_outputs(&name, out);
         }
     }
 
     fn deliver(&mut self, delivery: Delivery) {
         let now = self.now;
         let Some(process) = self.processes.get_mut(&delivery.to) else {
-            return self.refuse(&delivery);
+            return self.reject(&delivery);
         };
         match process.condition {
-            Condition::Crashed => return self.refuse(&delivery),
-            Condition::Frozen => return process.waiting.push(delivery),
+            Condition::Crashed => return self.reject(&delivery),
+            Condition::Frozen => return process.inbox.push(delivery),
             Condition::Running => {}
         }
         let mut out = Vec::new();
@@ -262,11 +265,11 @@
             Content::Fetched(revision, digest) => membership.set_document(*revision, *digest, now, &mut out),
             Content::Lost => membership.session_lost(now, &delivery.from, &mut out),
         }
-        self.carry_out(&delivery.to, out);
+        self.apply_outputs(&delivery.to, out);
     }
 
-    /// A frame for a process that is gone: its sender finds the session lost.
-    fn refuse(&mut self, delivery: &Delivery) {
+    /// Handles a frame for a process that has ended: the sender's session is lost.
+    fn reject(&mut self, delivery: &Delivery) {
         if !matches!(delivery.content, Content::Frame(..)) {
             return;
         }
@@ -278,18 +281,18 @@
         self.send(answer);
     }
 
-    fn carry_out(&mut self, from: &InstanceName, out: Vec<Output>) {
+    fn apply_outputs(&mut self, from: &InstanceName, out: Vec<Output>) {
         for output in out {
             let Output::Send { to, frame, .. } = output else {
-                self.note(from, output);
+                self.record_output(from, output);
                 continue;
             };
             let zone = |name| self.processes.get(name).map(|process| &process.membership.me().zone);
-            let is_far = zone(from) != zone(&to);
-            let process = self.processes.get_mut(from).expect("a process");
+            let crosses_zone = zone(from) != zone(&to);
+            let process = self.processes.get_mut(from).expect("the process exists");
             let bytes = wire::encode_frame(&frame).len() as u64;
             process.sent_bytes += bytes;
-            process.far_bytes += if is_far { bytes } else { 0 };
+            process.cross_zone_bytes += if crosses_zone { bytes } else { 0 };
             process.sent_frames += 1;
             let incarnation = process.membership.me().incarnation;
             let delivery = Delivery {
@@ -301,12 +304,12 @@
         }
     }
 
-    fn note(&mut self, at: &InstanceName, output: Output) {
+    fn record_output(&mut self, at: &InstanceName, output: Output) {
         if let Output::Down(member) = &output {
-            let there = self.processes.get(&member.name).is_some_and(|process| {
+            let is_running = self.processes.get(&member.name).is_some_and(|process| {
                 process.condition == Condition::Running && process.membership.me().incarnation == member.incarnation
             });
-            self.false_deaths += usize::from(there && self.is_linked(at, &member.name));
+            self.false_deaths += usize::from(is_running && self.is_reachable(at, &member.name));
         }
         if let Output::DocumentSeen { revision, digest, .. } = &output {
             self.serial += 1;
@@ -315,19 +318,19 @@
                 to: at.clone(),
                 content: Content::Fetched(*revision, *digest),
             };
-            self.flying.insert((self.now + FETCH, self.serial), fetched);
+            self.in_flight.insert((self.now + FETCH, self.serial), fetched);
         }
         let now = self.now;
-        let process = self.processes.get_mut(at).expect("a process");
-        process.learned.push((now, output));
+        let process = self.processes.get_mut(at).expect("the process exists");
+        process.outputs.push((now, output));
     }
 
-    fn is_linked(&self, a: &InstanceName, b: &InstanceName) -> bool {
+    fn is_reachable(&self, a: &InstanceName, b: &InstanceName) -> bool {
         let zone = |name| {
             let process: Option<&Process> = self.processes.get(name);
             process.map(|process| process.membership.me().zone.clone())
         };
-        if a != b && (self.alone.contains(a) || self.alone.contains(b)) {
+        if a != b && (self.isolated.contains(a) || self.isolated.contains(b)) {
             return false;
         }
         let (a, b) = (zone(a), zone(b));
@@ -337,11 +340,11 @@
 
     fn send(&mut self, delivery: Delivery) {
         let lost = self.loss > 0.0 && self.rng.random_bool(self.loss);
-        if lost || !self.is_linked(&delivery.from, &delivery.to) {
+        if lost || !self.is_reachable(&delivery.from, &delivery.to) {
             return;
         }
         let delay = Duration::from_micros(self.rng.random_range(300..1_500));
         self.serial += 1;
-        self.flying.insert((self.now + delay, self.serial), delivery);
+        self.in_flight.insert((self.now + delay, self.serial), delivery);
     }
 }
--- a/crates/units/src/id.rs
+++ b/crates/units/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers made by the system itself.
+//! Numeric identifiers that the system assigns.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a text is not an identifier.
+/// Error for text that does not parse as an identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseIdError(ParseIntError);
 
@@ -19,7 +19,7 @@
 
 impl std::error::Error for ParseIdError {}
 
-macro_rules! id {
+macro_rules! define_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -44,34 +44,34 @@
     };
 }
 
-id! {
+define_id! {
     /// A flow, unique within the incarnation that issued its first token.
     FlowId
 }
-id! {
-    /// One life of a process under a name. A later life has a higher number.
+define_id! {
+    /// Identifies one run of a process under its name. A later run has a higher number.
     Incarnation
 }
-id! {
-    /// A number that a caller picks to match an answer to what it asked.
+define_id! {
+    /// A number that a caller picks to match a reply to its request.
     Nonce
 }
-id! {
-    /// A request's number within its flow. A caller only counts up.
+define_id! {
+    /// A request's sequence number within its flow. A caller only increases it.
     RequestSeq
 }
-id! {
-    /// A configuration document's revision. It only grows.
+define_id! {
+    /// The revision of a configuration document. Revisions only increase within an [`Epoch`].
     Revision
 }
-id! {
-    /// How often a store has come back from an older copy of itself. Each time it gives out revisions anew that it had given out
-    /// before, so they order what it tells only within one epoch.
+define_id! {
+    /// How many times a store has been restored from an older copy of its data. A restored store assigns revisions that it
+    /// had already assigned, so revisions are comparable only within one epoch.
     Epoch
 }
 
 impl RequestSeq {
-    /// The number after this one.
+    /// The next sequence number.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -79,7 +79,7 @@
 }
 
 impl Revision {
-    /// The revision after this one.
+    /// The next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
--- a/crates/units/src/quantity.rs
+++ b/crates/units/src/quantity.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Why a text is not a quantity.
+/// Error for text that does not parse as a quantity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseQuantityError(ParseIntError);
 
@@ -19,7 +19,7 @@
 
 impl std::error::Error for ParseQuantityError {}
 
-macro_rules! quantity {
+macro_rules! define_quantity {
     ($(#[$doc:meta])* $name:ident($raw:ty)) => {
         $(#[$doc])*
         #[derive(
@@ -44,15 +44,15 @@
     };
 }
 
-quantity! {
+define_quantity! {
     /// A size in bytes.
     Bytes(u64)
 }
-quantity! {
-    /// How many requests an upstream serves at a time.
+define_quantity! {
+    /// The number of requests that an upstream can serve concurrently.
     Slots(u16)
 }
-quantity! {
-    /// How much one completed request counts, relative to others.
+define_quantity! {
+    /// The value of one completed request, relative to others.
     Weight(u32)
 }
