--- a/crates/flow/src/difference.rs
+++ b/crates/flow/src/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents.
+//! Differences between two documents.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,25 +9,25 @@
 use crate::route::Document;
 use crate::route::Route;
 
-/// One difference, from an older document to a newer one.
+/// A difference between an older document and a newer one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Difference {
-    /// A route that is new.
+    /// A route was added.
     Added {
         /// Its name.
         name: String,
         /// What it is.
         route: Route,
     },
-    /// A route that is gone.
+    /// A route was removed.
     Removed {
         /// Its name.
         name: String,
         /// What it was.
         route: Route,
     },
-    /// A route that is another one now.
+    /// A route was changed.
     Changed {
         /// Its name.
         name: String,
@@ -36,16 +36,16 @@
         /// What it is.
         new: Route,
     },
-    /// What a service's upstreams bear while they are cold.
+    /// The cold start limit of a service was changed.
     ColdStart {
         /// The service.
         service: String,
-        /// Before, if it was told.
+        /// The old limit, if there was one.
         old: Option<ColdStart>,
-        /// Now, if it is told.
+        /// The new limit, if there is one.
         new: Option<ColdStart>,
     },
-    /// How long a flow may be silent, in milliseconds.
+    /// The idle timeout of flows was changed, in milliseconds.
     IdleTimeout {
         /// Before.
         old_ms: u128,
@@ -68,20 +68,20 @@
     }
 }
 
-/// What cold upstreams bear, in words.
+/// Formats an optional cold start limit.
 struct Words(Option<ColdStart>);
 
 impl fmt::Display for Words {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(cold) => cold.fmt(f),
-            None => f.write_str("nothing told"),
+            None => f.write_str("not set"),
         }
     }
 }
 
 impl Document {
-    /// What differs from this document to a newer one, by the names of routes.
+    /// The differences from this document to a newer one. Routes are compared by name.
     pub fn differences(&self, newer: &Self) -> Vec<Difference> {
         let mut differences = Vec::new();
         let (old_ms, new_ms) = (self.idle_timeout.as_millis(), newer.idle_timeout.as_millis());
--- a/crates/flow/src/directory.rs
+++ b/crates/flow/src/directory.rs
@@ -1,5 +1,5 @@
-//! Upstreams by echo, by service and by availability zone. It shares their entries with what is known of them, and follows that entry by
-//! entry.
+//! The directory: an index of upstreams by echo, by service and by availability zone. It shares the entries of the
+//! instance's knowledge, and is updated entry by entry.
 
 mod echoes;
 mod pool;
@@ -23,42 +23,43 @@
 use echoes::Echoes;
 use pool::Pool;
 
-/// An upstream as the flow path uses it.
+/// An upstream with the state that the forwarding path needs.
 #[derive(Debug, Clone)]
 pub(crate) struct Listed {
     entry: Arc<Entry>,
     pub(crate) echo: Echo,
-    /// Since when it is no longer listed.
+    /// When it was removed from the list, if it was.
     pub(crate) gone_since: Option<Time>,
-    /// Until when it is slow after its start.
+    /// The end of the cold period after its start.
     pub(crate) cold_until: Time,
-    /// How many new flows it bears while it is cold, where operators tell.
+    /// The limit for new flows while it is cold, if operators have set one.
     cold_rate: Option<Rate>,
-    /// Whether operators have asked for its zone to be emptied.
+    /// Whether operators are evacuating its zone.
     pub(crate) is_evacuated: bool,
 }
 
 impl Listed {
-    /// The upstream as it was listed last.
+    /// The upstream as last listed.
     pub(crate) fn upstream(&self) -> &Upstream {
         &self.entry.upstream
     }
 
-    /// Whether new flows may go to it at all, whatever is seen of it. Open ones stay where they are.
+    /// Whether it may receive new flows, regardless of its health. Existing flows stay.
     pub(crate) fn takes_flows(&self) -> bool {
         !self.upstream().leaving && !self.is_evacuated
     }
 
-    /// How many new flows it bears, over all instances, if it is cold and operators tell.
+    /// The limit for new flows over all instances, if the upstream is cold and operators have set a limit.
     pub(crate) fn cold_rate(&self, now: Time) -> Option<Rate> {
         self.cold_rate.filter(|_| now < self.cold_until)
     }
 }
 
-/// Until when an upstream is cold, by what its entry tells and by what was known before of the same start.
+/// The end of an upstream's cold period, from its entry and from what was known before about the same start.
 ///
-/// An entry tells for how long from its writing on; it is counted from when it is first seen here, which errs on the safe side. One
-/// revision may stand for two writes, before and after the store came back from an older copy.
+/// An entry gives the remaining time as of its writing. The time is counted from when the entry is first seen here,
+/// which errs on the safe side. The same revision may denote two different writes, one before and one after the store
+/// was restored from an older copy.
 fn cold_until(entry: &Entry, held: Option<&Listed>, now: Time) -> Time {
     let told = now + entry.upstream.cold_for;
     let Some(held) = held else {
@@ -71,12 +72,12 @@
     held.cold_until.max(told)
 }
 
-/// What came of following changes.
+/// The result of applying changes.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(crate) struct Followed {
-    /// How many entries were taken in.
+    /// The number of entries that were indexed.
     pub(crate) indexed: u64,
-    /// The upstreams that have started again, in the order of their ids.
+    /// The upstreams that have restarted, ordered by id.
     pub(crate) restarted: Vec<UpstreamId>,
 }
 
@@ -87,22 +88,23 @@
     }
 }
 
-/// Upstreams by echo, by service and by availability zone.
+/// An index of upstreams by echo, by service and by availability zone.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Directory {
     listed: HashMap<UpstreamId, Listed>,
     echoes: Echoes,
     by_service: HashMap<CompactString, Pool>,
-    /// In the order of their ids.
+    /// Ordered by id.
     by_zone: HashMap<ZoneName, Vec<UpstreamId>>,
-    /// What the upstreams of services bear while they are cold.
+    /// The cold start limits by service.
     cold_starts: BTreeMap<String, ColdStart>,
 }
 
 impl Directory {
-    /// Follows what has become different.
+    /// Applies changes to the entries.
     ///
-    /// It touches the entries that are named and no others, unless operators have changed what holds for all upstreams of a service.
+    /// Only the entries that changed are visited, unless operators have changed a setting for all upstreams of a
+    /// service.
     pub(crate) fn follow(&mut self, knowledge: &Knowledge, changed: &Changed, now: Time) -> Followed {
         let cold_starts = knowledge.document().map(|(_, document)| &document.cold_starts);
         let has_cold_starts = cold_starts.is_none_or(|cold_starts| *cold_starts == self.cold_starts);
@@ -131,7 +133,7 @@
         followed
     }
 
-    /// Takes in one entry. Tells whether its upstream has started again.
+    /// Inserts or updates one entry. Returns whether its upstream has restarted.
     fn put(&mut self, id: UpstreamId, entry: &Arc<Entry>, knowledge: &Knowledge, now: Time) -> bool {
         let held = self.listed.get(&id);
         let has_restarted = held.is_some_and(|held| entry.upstream.is_other_start(held.upstream()));
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Whether it lists just what is known, as if it were made anew.
+    /// Whether the directory equals one that is rebuilt from `knowledge`.
     pub(crate) fn is_of(&self, knowledge: &Knowledge) -> bool {
         let agrees = |id: UpstreamId, entry: &Arc<Entry>| {
             let Some(listed) = self.listed.get(&id) else {
@@ -198,43 +200,43 @@
             && knowledge.entries().all(|(id, entry)| agrees(id, entry))
     }
 
-    /// The one upstream that an echo stands for.
+    /// The only upstream with this echo.
     pub(crate) fn by_echo(&self, echo: Echo) -> Option<UpstreamId> {
         self.echoes.get(echo)
     }
 
-    /// An upstream by its id.
     pub(crate) fn get(&self, id: UpstreamId) -> Option<&Listed> {
         self.listed.get(&id)
     }
 
-    /// All upstreams of a service, in the order of their ids.
+    /// All upstreams of a service, ordered by id.
     pub(crate) fn all_of(&self, service: &str) -> &[UpstreamId] {
         self.by_service.get(service).map(Pool::all).unwrap_or_default()
     }
 
-    /// Those upstreams of a service to look at for a new flow from a zone where it has too many to look at all; `None` where it has not.
+    /// The next candidates for a new flow from a zone, if the service has too many upstreams to consider all of them;
+    /// otherwise `None`.
     pub(crate) fn next(&mut self, service: &str, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
         self.by_service.get_mut(service)?.next(zone, first)
     }
 
-    /// An upstream that a packet can be led back to.
+    /// An upstream, if its echo is unique, so that packets can be routed back to it.
     pub(crate) fn reachable(&self, id: UpstreamId) -> Option<(UpstreamId, &Listed)> {
         let listed = self.listed.get(&id)?;
         (self.by_echo(listed.echo) == Some(id)).then_some((id, listed))
     }
 
-    /// The upstreams of a service that a packet can be led back to, gone ones among them.
+    /// The upstreams of a service that have a unique echo, including removed ones.
     pub(crate) fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = (UpstreamId, &'a Listed)> + use<'a> {
         self.all_of(service).iter().filter_map(|id| self.reachable(*id))
     }
 
-    /// The upstreams of an availability zone in the order of their ids, gone ones among them.
+    /// The upstreams of an availability zone, ordered by id, including removed ones.
     pub(crate) fn in_zone(&self, zone: &ZoneName) -> &[UpstreamId] {
         self.by_zone.get(zone).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// All upstreams that are cold and whose operators tell what they bear, in the order of their ids.
+    /// All cold upstreams with a limit for new flows, ordered by id.
     pub(crate) fn rationed(&self, now: Time) -> Vec<UpstreamId> {
         if self.cold_starts.values().all(|cold| cold.rate.is_none()) {
             return Vec::new();
@@ -245,7 +247,7 @@
         ids
     }
 
-    /// An upstream may be cold from now on, for as long as a start takes, if operators tell what it bears then.
+    /// Starts the cold period of an upstream, if operators have set a limit for its service.
     pub(crate) fn chill(&mut self, id: UpstreamId, now: Time) {
         let Some(listed) = self.listed.get_mut(&id) else {
             return;
@@ -257,14 +259,14 @@
         listed.cold_until = listed.cold_until.max(now + *lasts);
     }
 
-    /// All upstreams of a zone may be cold from now on.
+    /// Starts the cold period of all upstreams of a zone, where operators have set a limit.
     pub(crate) fn chill_zone(&mut self, zone: &ZoneName, now: Time) {
         for id in self.in_zone(zone).to_vec() {
             self.chill(id, now);
         }
     }
 
-    /// Whether an upstream is remembered.
+    /// Whether the directory contains an upstream, including a removed one.
     pub(crate) fn contains(&self, id: UpstreamId) -> bool {
         self.listed.contains_key(&id)
     }
--- a/crates/flow/src/directory/echoes.rs
+++ b/crates/flow/src/directory/echoes.rs
@@ -1,4 +1,4 @@
-//! Upstreams by their echoes. Two ids may have one echo, which then stands for neither.
+//! An index of upstreams by echo. Two ids may have the same echo, which then identifies neither.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,21 +7,21 @@
 use crate::packet::Echo;
 use crate::upstream::UpstreamId;
 
-/// Upstreams by their echoes.
+/// An index of upstreams by echo.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Echoes {
     single: HashMap<Echo, UpstreamId>,
-    /// The ids that share an echo, two or more.
+    /// Echoes with two or more ids.
     shared: BTreeMap<Echo, BTreeSet<UpstreamId>>,
 }
 
 impl Echoes {
-    /// The one upstream that an echo stands for.
+    /// The only upstream with this echo.
     pub(super) fn get(&self, echo: Echo) -> Option<UpstreamId> {
         self.single.get(&echo).copied()
     }
 
-    /// Whether an id is held with this echo, alone or not.
+    /// Whether an id is indexed under this echo, alone or with others.
     pub(super) fn holds(&self, echo: Echo, id: UpstreamId) -> bool {
         let is_shared = || self.shared.get(&echo).is_some_and(|ids| ids.contains(&id));
         self.get(echo) == Some(id) || is_shared()
--- a/crates/flow/src/directory/pool.rs
+++ b/crates/flow/src/directory/pool.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one service, and how some of many take turns.
+//! The upstreams of one service, and the rotation over subsets of them.
 
 use std::collections::HashMap;
 
@@ -6,19 +6,19 @@
 
 use crate::upstream::UpstreamId;
 
-/// Up to how many upstreams are all looked at for a new flow. Of more, some take turns: with hundreds of them, the best of a few is about
-/// as good as the best of all.
+/// The largest number of upstreams that are all considered for a new flow. Of more than this, a rotating subset is
+/// considered: among hundreds of upstreams, the best of a few is about as good as the best of all.
 const ALL: usize = 256;
-/// How many of the own availability zone have their turn together, and how many of all.
+/// The size of the subset from the own availability zone, and of the subset from all zones.
 const NEAR: usize = 24;
 const ANYWHERE: usize = 8;
 
-/// The upstreams of one service, in the order of their ids.
+/// The upstreams of one service, ordered by id.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Pool {
     all: Vec<UpstreamId>,
     by_zone: HashMap<ZoneName, Vec<UpstreamId>>,
-    /// How many flows have looked at some of them only.
+    /// The number of flows for which only a subset was considered.
     turns: usize,
 }
 
@@ -35,14 +35,15 @@
         }
     }
 
-    /// All of them.
+    /// All upstreams of the service.
     pub(crate) fn all(&self) -> &[UpstreamId] {
         &self.all
     }
 
-    /// Those to look at for a new flow from a zone where there are too many to look at all; `None` where there are not.
+    /// The next candidates for a new flow from a zone, if there are too many upstreams to consider all of them;
+    /// otherwise `None`.
     ///
-    /// `first` differs from one instance to another, so that not all begin with the same.
+    /// `first` differs between instances, so that they do not all start with the same candidates.
     pub(crate) fn next(&mut self, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
         if self.all.len() <= ALL {
             return None;
@@ -58,21 +59,21 @@
     }
 }
 
-/// Those of several whose turn it is, so many at a time.
+/// The next `count` ids in the rotation, for a given turn.
 fn turn(ids: &[UpstreamId], turn: usize, count: usize) -> impl Iterator<Item = UpstreamId> {
     let begin = turn.wrapping_mul(count) % ids.len().max(1);
     let next = ids.iter().cycle().skip(begin);
     next.take(count.min(ids.len())).copied()
 }
 
-/// Puts an id into its place.
+/// Inserts an id into a sorted vector.
 pub(super) fn insert(ids: &mut Vec<UpstreamId>, id: UpstreamId) {
     if let Err(place) = ids.binary_search(&id) {
         ids.insert(place, id);
     }
 }
 
-/// Takes an id out.
+/// Removes an id from a sorted vector.
 pub(super) fn remove(ids: &mut Vec<UpstreamId>, id: UpstreamId) {
     if let Ok(place) = ids.binary_search(&id) {
         ids.remove(place);
--- a/crates/flow/src/documents.rs
+++ b/crates/flow/src/documents.rs
@@ -1,7 +1,8 @@
-//! The document that an instance holds, and the steps that led to it.
+//! The document that an instance holds, and the steps (deltas) that led to it.
 //!
-//! A document of many routes changes little from one revision to the next. Whoever holds a recent one is told the steps
-//! from there, which are a hundredth of the size, so that a series of changes does not fill the links of small instances.
+//! A document with many routes changes little from one revision to the next. A peer with a recent document is sent the
+//! steps from there, which are a hundredth of the size, so that a series of changes does not saturate the links of
+//! small instances.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,32 +20,33 @@
 use crate::route::Route;
 use crate::warning::Warning;
 
-/// How many steps are remembered. Changes come every few seconds at most for long, and within seconds they are
-/// everywhere.
+/// The number of steps that are kept. Over long periods, changes arrive every few seconds at most, and each reaches
+/// all instances within seconds.
 const STEPS: usize = 16;
 
-/// What changed from one document to the next.
+/// The difference between two consecutive documents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// The place of the document before.
+    /// The store position of the previous document.
     from: Position,
-    /// The place of the document after.
+    /// The store position of the next document.
     to: Position,
-    /// The number that operators gave the document before, where the teller knows that places alone don't name a document.
+    /// The revision that operators assigned to the previous document. It is absent if the sender is of a release that
+    /// identifies documents by position alone.
     #[serde(default)]
     before: Option<Revision>,
-    /// The number that operators gave the document after.
+    /// The revision that operators assigned to the next document.
     revision: Revision,
     idle_timeout: Duration,
     cold_starts: BTreeMap<String, ColdStart>,
-    /// What could not be read of the document after.
+    /// The warnings of the next document.
     #[serde(default)]
     warnings: Vec<Warning>,
-    /// Routes that are new or different.
+    /// Routes that were added or changed.
     set: BTreeMap<String, Route>,
-    /// The names of routes that are gone.
+    /// The names of removed routes.
     removed: Vec<String>,
-    /// The digest of the document after.
+    /// The digest of the next document.
     digest: Digest,
 }
 
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The document after, unless the step does not lead to the one that was meant.
+    /// Applies the step to a document. Returns `None` if the result does not have the expected digest.
     fn apply(&self, before: &Document) -> Option<Document> {
         let mut after = Document {
             revision: self.revision,
@@ -88,20 +90,20 @@
     }
 }
 
-/// How one holder tells another of its document.
+/// An update of a peer's document.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// There is nothing newer.
+    /// The peer's document is up to date.
     #[default]
     Nothing,
-    /// The steps from the document that the other holds.
+    /// The steps from the document that the peer holds.
     Steps(Vec<Step>),
-    /// The whole document, with the place up to which none is newer.
+    /// The whole document, with the position up to which there is no newer one.
     Whole(Position, Document),
 }
 
 impl Update {
-    /// Puts all its places in one epoch.
+    /// Sets the epoch of all positions.
     pub(crate) fn set_epoch(&mut self, epoch: Epoch) {
         match self {
             Self::Nothing => {}
@@ -128,17 +130,17 @@
         self.current.as_ref()
     }
 
-    /// The place up to which no document is newer than the one held, zero without one.
+    /// The position up to which no document is newer than the one held, or zero if there is none.
     pub(crate) fn at(&self) -> Position {
         self.current.as_ref().map(|(at, _)| *at).unwrap_or_default()
     }
 
-    /// Takes in a document that stood at a place. Tells whether anything has changed.
+    /// Accepts a document that was read at a position. Returns whether anything has changed.
     ///
-    /// Operators number their documents, and their numbers only grow, whatever becomes of the store. So the number decides which of two
-    /// documents is newer, and the place only between two of one number. A store that has come back from an older copy shows
-    /// documents that were replaced long ago, at places that are later than all before: these are passed over, and only the
-    /// place is kept.
+    /// Operators number their documents, and the numbers only grow, whatever happens to the store. Therefore the
+    /// number decides which of two documents is newer, and the position only breaks ties. A store that was restored
+    /// from an older copy lists documents that were replaced long ago, at later positions than any before: these
+    /// documents are ignored, and only the position is recorded.
     pub(crate) fn take(&mut self, at: Position, document: Document) -> bool {
         let Some((held_at, held)) = &self.current else {
             self.current = Some((at, document));
@@ -151,7 +153,7 @@
         true
     }
 
-    /// Notes that nothing is newer than the document held up to a place. Tells whether that is news.
+    /// Records that no document is newer than the current one up to a position. Returns whether the position advanced.
     fn confirm(&mut self, at: Position) -> bool {
         let Some((held_at, held)) = &self.current else {
             return false;
@@ -163,7 +165,7 @@
         true
     }
 
-    /// Puts a document in place of the one held, and remembers the step.
+    /// Replaces the current document and records the step.
     fn set(&mut self, at: Position, document: Document) {
         if let Some((held_at, held)) = &self.current {
             self.steps.push_back(Step::new((*held_at, held), (at, &document)));
@@ -174,7 +176,7 @@
         self.current = Some((at, document));
     }
 
-    /// What a holder lacks whose document has this number, if it tells, and stands at this place.
+    /// The update for a peer whose document has the given revision, if it sent one, and position.
     pub(crate) fn since(&self, revision: Option<Revision>, at: Position) -> Update {
         let Some((held_at, document)) = &self.current else {
             return Update::Nothing;
@@ -190,10 +192,10 @@
         }
     }
 
-    /// Takes in what another holder told, whose document stands at a place. Tells whether anything has changed.
+    /// Applies an update from a peer whose document is at a position. Returns whether anything has changed.
     pub(crate) fn update(&mut self, update: Update, at: Position) -> bool {
         match update {
-            // The teller has no newer document, up to where it stands.
+            // The sender has no newer document up to its position.
             Update::Nothing => self.confirm(at),
             Update::Whole(at, document) => self.take(at, document),
             Update::Steps(steps) => {
--- a/crates/flow/src/draft.rs
+++ b/crates/flow/src/draft.rs
@@ -1,21 +1,21 @@
-//! An operators' document before it is in force: each value as it was written, or the text that can't be read.
+//! An unvalidated document from operators: each value is either parsed, or kept as the text that could not be parsed.
 //!
-//! Documents may be written for a later release than this one, by other tools or by mistake. What can't be read costs as little as
-//! it can:
+//! Documents may be written for a later release than this one, by other tools, or by mistake. A value that can't be
+//! parsed has as little effect as possible:
 //!
-//! | value | what holds in its place |
+//! | value | fallback |
 //! |---|---|
-//! | how requests may be treated | they run once at most |
-//! | how soon a request should be answered | nothing told |
-//! | the address, or all services, of a route | the route is left out |
-//! | the service of a share | the share is left out |
-//! | the weight of a share | 0: no new flows while others have a weight |
-//! | what a service's cold upstreams bear | nothing told |
-//! | how long a flow may be silent | [`LONGEST_IDLE`] |
+//! | whether requests are idempotent | requests run at most once |
+//! | the target response time of a request | none |
+//! | the address, or all services, of a route | the route is skipped |
+//! | the service of a share | the share is skipped |
+//! | the weight of a share | 0: no new flows while other shares have a weight |
+//! | the cold start limit of a service | none |
+//! | the idle timeout of flows | [`LONGEST_IDLE`] |
 //!
-//! What holds follows from the document alone, never from what was in force before, so that all instances hold the same and an auditor
-//! can tell it from the document. A route that is left out is refused at once, as one that was removed is. A document none of whose
-//! routes can be used is no document: an earlier one stays in force.
+//! The fallbacks depend on the document alone, never on the previous document, so that all instances agree and an
+//! auditor can derive the result from the document. New flows to a skipped route are refused at once, as for a removed
+//! route. A document without any usable route is rejected, and the previous document stays in force.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -32,25 +32,25 @@
 use crate::warning::Subject;
 use crate::warning::Warning;
 
-/// How long a flow may be silent where that can't be read: longer than flows live.
+/// The idle timeout of flows if it can't be parsed. It is longer than flows live.
 pub const LONGEST_IDLE: Duration = Duration::from_hours(1);
-/// How many warnings a document keeps. They travel with it between instances.
+/// The maximum number of warnings that a document keeps. Warnings are sent between instances along with the document.
 const MOST_WARNINGS: usize = 64;
 
-/// A value as it was written.
+/// A value as written in the document.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub enum Told<T> {
-    /// Nothing is said.
+    /// The value is missing.
     #[default]
     Absent,
-    /// It can be read.
+    /// The parsed value.
     Known(T),
-    /// It can't: the text as it was written.
+    /// The text of a value that can't be parsed.
     Unknown(String),
 }
 
 impl<T> Told<T> {
-    /// The value, or else the text that can't be read. Nothing at all can be read as little as nonsense.
+    /// Returns the value, or the text that can't be parsed. A missing value is an error like an invalid one.
     fn required(self) -> Result<T, String> {
         match self {
             Self::Absent => Err("nothing".to_owned()),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The value, `None` where nothing is said, or else the text that can't be read.
+    /// Returns the value, `None` if it is missing, or the text that can't be parsed.
     fn optional(self) -> Result<Option<T>, String> {
         match self {
             Self::Absent => Ok(None),
@@ -69,21 +69,21 @@
     }
 }
 
-/// How a request may be treated.
+/// Whether requests may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Running it twice does no harm.
+    /// A request may run more than once.
     Idempotent,
-    /// It may run once at most.
+    /// A request may run at most once.
     Once,
 }
 
-/// A service's part of a route.
+/// A service's share of a route.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Share {
-    /// The service that gets it.
+    /// The service that receives the flows.
     pub service: Told<String>,
-    /// Its size, relative to the route's other shares.
+    /// The weight of this share, relative to the other shares of the route.
     pub weight: Told<Weight>,
 }
 
@@ -92,11 +92,11 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The address that clients dial.
+    /// The address that clients connect to.
     pub address: Told<SocketAddrV4>,
-    /// How its requests may be treated.
+    /// Whether its requests may be repeated.
     pub kind: Told<Kind>,
-    /// How soon a request should be answered.
+    /// The target response time of a request.
     pub aim: Told<Duration>,
     /// The services that share its new flows.
     pub shares: Vec<Share>,
@@ -107,41 +107,41 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// For how long its upstreams are cold after their start.
+    /// How long its upstreams are cold after their start.
     pub lasts: Told<Duration>,
-    /// How many new flows a second each bears meanwhile.
+    /// The limit for new flows per second to each cold upstream.
     pub rate: Told<Rate>,
 }
 
 /// A document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Document {
-    /// The number that operators gave it.
+    /// The revision number that operators assigned.
     pub revision: Revision,
     /// Its routes.
     pub routes: Vec<Route>,
-    /// How long a flow may be silent before it may be forgotten.
+    /// The time for which a flow may be idle before it may be forgotten.
     pub idle_timeout: Told<Duration>,
     /// Its services.
     pub services: Vec<Service>,
 }
 
-/// None of a document's routes can be used.
+/// The error for a document without any usable route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NoRouteError {
-    /// Why the first of them can't.
+    /// The warning for the first skipped route.
     pub first: Warning,
 }
 
 impl fmt::Display for NoRouteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "none of its routes can be used, as {}", self.first)
+        write!(f, "none of its routes can be used: {}", self.first)
     }
 }
 
 impl std::error::Error for NoRouteError {}
 
-/// What can't be read of one subject, as it is found.
+/// Collects the warnings about one subject.
 struct Remarks<'a> {
     subject: Subject,
     warnings: &'a mut Vec<Warning>,
@@ -153,7 +153,7 @@
             .push(Warning::new(self.subject.clone(), field, value, reading));
     }
 
-    /// A value that may be left out, or `T::default()` where it can't be read.
+    /// Returns an optional value, or `T::default()` if it is missing or can't be parsed.
     fn optional<T: Default>(&mut self, field: &'static str, told: Told<T>) -> T {
         match told.optional() {
             Ok(value) => value.unwrap_or_default(),
@@ -179,7 +179,7 @@
             }
         }
         if has_routes && routes.is_empty() {
-            // Each route that is left out has its warning.
+            // Each skipped route has a warning.
             let first = warnings.into_iter().find(|warning| warning.reading == Reading::LeftOut);
             let first = first.unwrap_or_else(|| Warning::new(Subject::Document, "routes", "", Reading::LeftOut));
             return Err(NoRouteError { first });
@@ -204,7 +204,7 @@
     }
 }
 
-/// The route that a draft stands for, `None` if it can't be used.
+/// Validates a route. Returns `None` if it can't be used.
 fn read_route(draft: Route, warnings: &mut Vec<Warning>) -> Option<route::Route> {
     let mut remarks = Remarks {
         subject: Subject::Route(draft.name),
@@ -235,7 +235,7 @@
     }
 }
 
-/// The share that a draft stands for, `None` if it names no service.
+/// Validates a share. Returns `None` if it names no service.
 fn read_share(draft: Share, remarks: &mut Remarks<'_>) -> Option<route::Share> {
     let service = draft.service.required();
     let service = service.map_err(|text| remarks.add("service", &text, Reading::ShareLeftOut));
--- a/crates/flow/src/ejection.rs
+++ b/crates/flow/src/ejection.rs
@@ -1,7 +1,8 @@
-//! Whether an upstream that fails while it answers gets new flows: out for a while, then single flows on trial, then back.
+//! Ejection of upstreams that fail while they still respond: an upstream is ejected for a while, then probed with
+//! single flows, and finally readmitted.
 //!
-//! One instance leads: it has found the upstream failing, tries it again and tells the others how that ended. These follow, and
-//! try for themselves only if they hear nothing more.
+//! The instance that detects the failure is the leader: it probes the upstream and reports the result to the others.
+//! These follow its reports and only probe on their own if no further report arrives.
 
 use std::time::Duration;
 
@@ -12,44 +13,45 @@
 use crate::standing::Status;
 use crate::upstream::UpstreamId;
 
-/// How long an upstream is out at first. What fails for a moment is back soon.
+/// The first ejection period. It is short so that an upstream with a brief failure is readmitted soon.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// How long it is out at most until it is tried again. A trial costs one flow or two.
+/// The longest ejection period before the next probe. A probe costs only one or two flows.
 const LAST_PAUSE: Duration = Duration::from_secs(4);
-/// How long those that follow leave it out without further notice: twice as long as the leader's longest pause, and a little for
-/// the trial.
+/// How long followers keep an upstream ejected without a further report: twice the leader's longest ejection period,
+/// plus a margin for probing.
 const FOLLOWED: Duration = Duration::from_secs(10);
-/// How long it must have been back until its next pause is short again.
+/// How long an upstream must have been readmitted before its next ejection period starts from the shortest again.
 const FORGIVEN: Duration = Duration::from_secs(20);
-/// How far apart flows on trial are.
+/// The interval between probe flows.
 const TRIAL_SPACE: Duration = Duration::from_millis(200);
-/// How many tries must end well on trial until it is back: one that fails two of five gets as far once in thirteen times.
+/// The number of successful probes that readmit an upstream. An upstream at which two of five attempts fail passes
+/// once in thirteen times.
 const TRIALS: u32 = 5;
 
-/// Where an upstream stands here.
+/// The ejection state of an upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It gets flows like any other.
+    /// The upstream receives flows as usual.
     #[default]
     In,
-    /// It gets none until then, unless its service has no other.
+    /// The upstream receives no flows until `until`, unless its service has no other upstream.
     Out { until: Time },
-    /// It gets single flows. So many tries have ended well.
+    /// The upstream receives single probe flows, of which `good` have succeeded.
     Trial { good: u32, next: Time },
 }
 
-/// What a try has changed.
+/// The state transition that an outcome caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Turn {
     /// Nothing.
     None,
-    /// A try on trial has failed, so it is out again.
+    /// A probe has failed, so the upstream is ejected again.
     OutAgain,
-    /// It is back.
+    /// The upstream is readmitted.
     Back,
 }
 
-/// Whether an upstream gets new flows.
+/// Tracks the ejection of one upstream.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Ejection {
     phase: Phase,
@@ -59,7 +61,7 @@
 }
 
 impl Ejection {
-    /// Takes it out, as this instance has found it failing.
+    /// Ejects the upstream because this instance has detected that it is failing.
     pub(crate) fn eject(&mut self, now: Time) {
         if now.since(self.back_at) >= FORGIVEN {
             self.pause = Duration::ZERO;
@@ -79,7 +81,7 @@
         self.back_at = now;
     }
 
-    /// Follows another instance. Tells whether that was news.
+    /// Applies a report from another instance. Returns whether it was newer than the current state.
     pub(crate) fn follow(&mut self, round: u32, is_out: bool, now: Time) -> bool {
         if round <= self.round {
             return false;
@@ -94,7 +96,7 @@
         true
     }
 
-    /// What others should know.
+    /// The standing to report to other instances.
     pub(crate) fn standing(&self, upstream: UpstreamId) -> Standing {
         let status = if self.is_ejected() {
             Status::Failing
@@ -108,12 +110,12 @@
         }
     }
 
-    /// Whether it has to show first that it serves again.
+    /// Whether the upstream is ejected or still being probed.
     pub(crate) fn is_ejected(&self) -> bool {
         self.phase != Phase::In
     }
 
-    /// Whether others go before it now.
+    /// Whether other upstreams are preferred at this time.
     pub(crate) fn is_avoided(&self, now: Time) -> bool {
         match self.phase {
             Phase::In => false,
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A new flow goes to it.
+    /// Records that a new flow was placed on the upstream.
     pub(crate) fn note_placed(&mut self, now: Time) {
         let good = match self.phase {
             Phase::In => return,
@@ -134,7 +136,8 @@
         self.phase = Phase::Trial { good, next };
     }
 
-    /// A try has ended. While it is out, its open flows go on: as long as they fail, it stays out.
+    /// Records the outcome of an attempt. Existing flows continue while the upstream is ejected; as long as they fail,
+    /// it stays ejected.
     pub(crate) fn settle(&mut self, outcome: Outcome, now: Time) -> Turn {
         let is_good = outcome == Outcome::Good;
         let (good, next) = match self.phase {
--- a/crates/flow/src/entries.rs
+++ b/crates/flow/src/entries.rs
@@ -1,4 +1,4 @@
-//! The upstreams that an instance holds, as they stood at a place in the store's history.
+//! The upstream entries that an instance holds, as of a position in the store's history.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,26 +15,29 @@
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
-/// One upstream's entry. An upstream that has gone is remembered without what it was.
+/// The entry of one upstream. The entry of a removed upstream is kept for a while, with the upstream's last listed
+/// state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The platform's revision at which it became so, or a later one, in the epoch at which its holder's upstreams stand. Zero if it
-    /// became so in an earlier epoch.
+    /// The platform's revision of the last change, or a later one, in the epoch of the holder's upstreams. Zero if the
+    /// last change was in an earlier epoch.
     pub revision: Revision,
-    /// The upstream as it was listed last.
+    /// The upstream as last listed.
     pub upstream: Upstream,
-    /// Whether it is no longer listed.
+    /// Whether the upstream is no longer listed.
     pub gone: bool,
 }
 
 impl Entry {
-    /// Whether `other` is listed by an earlier start: a late write of a process that has ended.
+    /// Whether `other` is listed with an earlier start time than this entry. It is then a late write by a process that
+    /// has ended.
     fn is_later_start(&self, other: &Self) -> bool {
         !other.gone && other.upstream.is_earlier_start(&self.upstream)
     }
 
-    /// Whether this, which was known before the store came back from an older copy, may be later than what the copy says of the same
-    /// upstream. An upstream leaves and goes, and comes back only by another start.
+    /// Whether this entry, known before the store was restored from an older copy, may be newer than the copy's entry
+    /// for the same upstream. During one start an upstream only changes from serving to leaving to removed; it returns
+    /// only with a new start time.
     fn may_outdate(&self, copied: &Self) -> bool {
         if self.upstream.is_other_start(&copied.upstream) {
             return false;
@@ -43,75 +46,77 @@
     }
 }
 
-/// Which upstreams have become different.
+/// The set of upstreams that have changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(crate) struct Changed {
-    /// These.
+    /// The ids of changed upstreams.
     pub(crate) ids: BTreeSet<UpstreamId>,
-    /// Any of them.
+    /// Whether any upstream may have changed.
     pub(crate) is_all: bool,
 }
 
-/// The upstreams that an instance holds.
+/// The upstream entries that an instance holds.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Entries {
-    /// Up to where all changes are held.
+    /// The position up to which all changes are known.
     at: Position,
-    /// The place from which on all changes are remembered, those that took an upstream away among them.
+    /// The position since which all changes are known, including removals.
     complete_since: Position,
     by_id: BTreeMap<UpstreamId, Arc<Entry>>,
-    /// When each upstream went, as this instance learnt it.
+    /// When this instance learnt of the removal of each removed upstream.
     gone_since: BTreeMap<UpstreamId, Time>,
-    /// Whether the store has come back from an older copy since the first list.
+    /// Whether the store was restored from an older copy since the first list.
     has_come_back: bool,
-    /// What counts in place of what an older copy of the store says. It is not told to others, who have their own.
+    /// Entries that override those of a store restored from an older copy. They are not sent to other instances, which
+    /// keep their own.
     kept: Grace<UpstreamId, Arc<Entry>>,
-    /// What has become different since it was asked last.
+    /// The changes since the last call of `take_changed`.
     changed: Changed,
 }
 
 impl Entries {
-    /// Up to where all changes are held.
+    /// The position up to which all changes are known.
     pub(crate) fn at(&self) -> Position {
         self.at
     }
 
-    /// Whether the store has come back from an older copy since the first list.
+    /// Whether the store was restored from an older copy since the first list.
     pub(crate) fn has_come_back(&self) -> bool {
         self.has_come_back
     }
 
-    /// All upstreams, also those remembered after they went.
+    /// All upstreams, including removed ones that are still remembered.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (UpstreamId, &Arc<Entry>)> {
         let entries = self.by_id.iter();
         entries.map(|(id, entry)| (*id, self.kept.get(id).unwrap_or(entry)))
     }
 
-    /// An upstream's entry, also after it went.
+    /// The entry of an upstream, including a removed one.
     pub(crate) fn get(&self, id: UpstreamId) -> Option<&Arc<Entry>> {
         let entry = self.by_id.get(&id)?;
         Some(self.kept.get(&id).unwrap_or(entry))
     }
 
-    /// What has become different since this was asked last.
+    /// Returns the changes since the last call.
     pub(crate) fn take_changed(&mut self) -> Changed {
         std::mem::take(&mut self.changed)
     }
 
-    /// An upstream as it was listed last, also after it went.
+    /// An upstream as last listed, including a removed one.
     pub(crate) fn upstream(&self, id: UpstreamId) -> Option<&Upstream> {
         self.by_id.get(&id).map(|entry| &entry.upstream)
     }
 
-    /// When an upstream went, as far as this instance knows.
+    /// When an upstream was removed, as far as this instance knows.
     pub(crate) fn gone_since(&self, id: UpstreamId) -> Option<Time> {
         self.gone_since.get(&id).copied()
     }
 
-    /// What a holder at this place lacks, and whether that is all there is.
+    /// Returns the entries that a peer at the given position lacks, and whether these are all entries.
     ///
-    /// A list that was read from the platform does not tell what went before. A holder from before then gets all
-    /// upstreams, so that it finds out by what is missing. So does a holder of an earlier epoch.
+    /// A list read from the platform does not name the upstreams that were removed before it. A peer whose position is
+    /// older than such a list therefore receives all upstreams, so that it detects removals by absence. The same holds
+    /// for a peer in an earlier epoch.
     pub(crate) fn since(&self, held: Position) -> (bool, Vec<(UpstreamId, Arc<Entry>)>) {
         let is_newer = self.at > held;
         let is_whole = is_newer && held < self.complete_since;
@@ -120,7 +125,7 @@
         (is_whole, told.map(|(id, entry)| (*id, Arc::clone(entry))).collect())
     }
 
-    /// Takes in the whole list of upstreams as it stood at a place. Tells whether anything has changed.
+    /// Applies a complete list of upstreams as of a position. Returns whether anything has changed.
     pub(crate) fn take_list<S>(&mut self, at: Position, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
         S: Into<Sighting>,
@@ -133,10 +138,11 @@
         self.replace(at, entries, now)
     }
 
-    /// What is to be remembered of an upstream that was seen so; `None` if nothing was known of it and nothing is told.
+    /// The entry for an upstream that was listed in the given state. Returns `None` if the state contains no upstream
+    /// and none was known before.
     ///
-    /// An entry that can't be read names no upstream for new flows. Its open flows go on to where they were, as an upstream
-    /// that leaves keeps its own.
+    /// An upstream whose entry can't be parsed receives no new flows. Its existing flows continue at the previously
+    /// listed upstream, as for a leaving upstream.
     fn entry(&self, id: UpstreamId, revision: Revision, sighting: Sighting) -> Option<Entry> {
         let held = || self.upstream(id).cloned();
         let (upstream, gone) = match sighting {
@@ -157,8 +163,8 @@
         })
     }
 
-    /// Takes in all upstreams as they stood at a place. Those that are not told as listed have gone by then, whenever
-    /// the teller learnt it.
+    /// Replaces all upstreams with those of a position. Upstreams that are not listed there have been removed by then,
+    /// regardless of when the sender learnt it.
     pub(crate) fn replace(&mut self, at: Position, mut entries: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
         if at <= self.at {
             return false;
@@ -184,7 +190,7 @@
         self.apply(at, entries, now) || is_first
     }
 
-    /// Takes in all upstreams as a store holds them that has come back from an older copy.
+    /// Replaces all upstreams with those of a store that was restored from an older copy.
     fn come_back(&mut self, at: Position, entries: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
         let before: Vec<(UpstreamId, Arc<Entry>)> = self.iter().map(|(id, entry)| (id, Arc::clone(entry))).collect();
         let gone_since = self.gone_since.clone();
@@ -206,8 +212,8 @@
         has_changed
     }
 
-    /// Lets what the store says count for good once what was lost by its return has had time to be written again. Tells whether
-    /// that changes anything.
+    /// Drops the entries that override a restored store, once the grace period for rewriting lost entries is over.
+    /// Returns whether this changes anything.
     pub(crate) fn settle(&mut self, now: Time) -> bool {
         let ended = self.kept.end(now);
         self.changed.ids.extend(ended.keys());
@@ -219,7 +225,8 @@
         !ended.is_empty()
     }
 
-    /// Revisions of an earlier epoch say nothing in a later one, where they are given out again: whatever is told there is newer.
+    /// Starts a new epoch. Revisions of an earlier epoch are reused in a later one and can't be compared, so every
+    /// entry read in the new epoch is newer.
     fn begin_epoch(&mut self, at: Position) {
         for entry in self.by_id.values_mut() {
             Arc::make_mut(entry).revision = Revision(0);
@@ -227,12 +234,12 @@
         self.at = Position::new(at.epoch, Revision(0));
     }
 
-    /// Takes in what a watch told: changes in their order, without an upstream where it is no longer listed.
+    /// Applies changes from a watch, in order. A change without an upstream means that it is no longer listed.
     ///
-    /// Of several changes of one upstream the last counts, unless it tells of an earlier start. A change that takes an
-    /// entry away counts as of `at`, which may lie after the revision at which the entry came back. An upstream that went
-    /// keeps what was known of it. One that was never known here can't be remembered, so holders from before get all
-    /// upstreams.
+    /// Of several changes to one upstream the last one applies, unless it has an earlier start time. A removal is
+    /// dated `at`, which may be later than the revision at which the entry was listed again. A removed upstream keeps
+    /// its last known state. The removal of an upstream that was never known here can't be recorded, so peers with an
+    /// older position receive all upstreams.
     pub(crate) fn take_watched<S>(&mut self, at: Position, changes: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
         S: Into<Sighting>,
@@ -258,8 +265,8 @@
         self.apply(at, entries, now)
     }
 
-    /// Takes in single changes that lead from the place held, or an earlier one of its epoch, to `at`. Tells whether anything
-    /// has changed.
+    /// Applies changes that lead from the current position, or an earlier one of the same epoch, to `at`. Returns
+    /// whether anything has changed.
     pub(crate) fn apply(&mut self, at: Position, changes: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
         let is_next = at.epoch == self.at.epoch || self.at.is_none();
         if at <= self.at || !is_next {
@@ -272,7 +279,7 @@
                 continue;
             }
             has_changed = true;
-            // Others may have missed it in a later list of the same copy, which is no news.
+            // Another instance may have noticed the removal in a later list of the same copy. That is not a change.
             let is_still_missing = entry.gone && held.is_some_and(|held| held.gone);
             if !is_still_missing {
                 self.kept.remove(&id);
@@ -289,7 +296,7 @@
         has_changed
     }
 
-    /// Forgets upstreams that went before `then`. Flows must not outlive this memory.
+    /// Forgets upstreams that were removed before `then`. Flows must not outlive this memory.
     pub(crate) fn forget(&mut self, then: Time) -> bool {
         let before = self.by_id.len();
         let gone_since = &mut self.gone_since;
--- a/crates/flow/src/evacuations.rs
+++ b/crates/flow/src/evacuations.rs
@@ -1,6 +1,6 @@
-//! The availability zones that operators have asked to be emptied: nothing new is sent to their upstreams.
+//! The availability zones that operators are evacuating: their upstreams receive no new flows.
 //!
-//! There are few of them, so they are always read and told together, as they stood at one place in the store's history.
+//! There are few of them, so they are always read and sent as one set, as of one position in the store's history.
 
 use std::collections::BTreeSet;
 
@@ -12,23 +12,24 @@
 
 use crate::grace::Grace;
 
-/// The zones to be emptied, as they stood at a place in the store's history.
+/// The evacuated zones as of a position in the store's history.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The place.
+    /// The position in the store's history.
     pub at: Position,
-    /// The zones.
+    /// The evacuated zones.
     pub zones: BTreeSet<ZoneName>,
 }
 
-/// What an instance holds of them.
+/// The evacuations that an instance holds.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Held {
     current: Evacuations,
-    /// The latest place at which the platform was seen to ask for just these. It may be later than what others are told, who
-    /// need not hear of it each time that nothing has changed.
+    /// The latest position at which the platform listed exactly these zones. It may be later than the position that is
+    /// sent to other instances, which need not be notified when nothing has changed.
     confirmed_at: Position,
-    /// Whether zones are to be emptied of which an older copy of the store says otherwise. It is not told to others.
+    /// Overrides for zones for which a store restored from an older copy differs. They are not sent to other
+    /// instances.
     kept: Grace<ZoneName, bool>,
 }
 
@@ -37,20 +38,20 @@
         &self.current
     }
 
-    /// Whether a zone is to be emptied.
+    /// Whether a zone is evacuated.
     pub(crate) fn contains(&self, zone: &ZoneName) -> bool {
         let is_told = || self.current.zones.contains(zone);
         self.kept.get(zone).copied().unwrap_or_else(is_told)
     }
 
-    /// The zones to be emptied.
+    /// All evacuated zones.
     pub(crate) fn zones(&self) -> BTreeSet<ZoneName> {
         let kept = self.kept.iter().map(|(zone, _)| zone);
         let zones = self.current.zones.iter().chain(kept);
         zones.filter(|zone| self.contains(zone)).cloned().collect()
     }
 
-    /// Puts others in place of those held.
+    /// Replaces the current evacuations.
     fn set(&mut self, new: Evacuations, now: Time) {
         let before = self.zones();
         let is_later_epoch = !self.current.at.is_none() && new.at.epoch > self.current.at.epoch;
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Lets what the store says count for good once what was lost by its return has had time to be written again. Tells whether
-    /// that changes anything.
+    /// Drops the overrides of a restored store, once the grace period for rewriting lost entries is over. Returns
+    /// whether this changes anything.
     pub(crate) fn settle(&mut self, now: Time) -> bool {
         !self.kept.end(now).is_empty()
     }
 
-    /// Takes in what was read from the platform. A zone whose wish can't be read stays as it is. Tells whether others must hear
-    /// of it.
+    /// Applies evacuations read from the platform. A zone whose entry can't be parsed keeps its state. Returns whether
+    /// other instances must be notified.
     pub(crate) fn read(&mut self, mut read: Evacuations, unreadable: &BTreeSet<ZoneName>, now: Time) -> bool {
         if read.at <= self.confirmed_at {
             return false;
@@ -90,13 +91,15 @@
         true
     }
 
-    /// Takes in what another holder told. Tells whether anything is new, or others must hear what is held here.
+    /// Applies evacuations from a peer. Returns whether anything is new, or whether peers must be sent the current
+    /// state.
     pub(crate) fn hear(&mut self, told: Evacuations, now: Time) -> bool {
         if told.at <= self.current.at {
             return false;
         }
         if told.at <= self.confirmed_at {
-            // The teller knows of a change that was taken back since. Without a later place it would not ask.
+            // The sender knows of a change that has since been reverted. It only asks for the current state if its
+            // position is later.
             self.current.at = self.confirmed_at;
             return true;
         }
@@ -105,7 +108,7 @@
         true
     }
 
-    /// What a holder of those at a place lacks.
+    /// The evacuations to send to a peer at the given position, if they are newer.
     pub(crate) fn since(&self, at: Position) -> Option<Evacuations> {
         (self.current.at > at).then(|| self.current.clone())
     }
--- a/crates/flow/src/flows.rs
+++ b/crates/flow/src/flows.rs
@@ -1,4 +1,5 @@
-//! What this instance has seen of each flow. It is a cache for decisions: any of it may be lost at any time.
+//! The flow table: what this instance has observed of each flow. It is a cache that informs decisions; any of it may
+//! be lost at any time.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,16 +11,16 @@
 use crate::packet::Packet;
 use crate::upstream::UpstreamId;
 
-/// The least time between two copies that count. An end waits 200 milliseconds before the first copy and longer
-/// before each further one.
+/// The minimum interval between two retransmissions that both count. A sender waits 200 milliseconds before the first
+/// retransmission, and longer before each further one.
 pub(crate) const COPY_SPACE: Duration = Duration::from_millis(120);
 
-/// Names a flow: its two ends, as client, upstream and every instance see them.
+/// Identifies a flow by its two addresses, which are the same for the client, the upstream and every instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
-    /// The client's end.
+    /// The address of the client.
     pub client: SocketAddrV4,
-    /// The route's end.
+    /// The address of the route.
     pub route: SocketAddrV4,
 }
 
@@ -38,81 +39,80 @@
     }
 }
 
-/// How far a flow has come.
+/// The stage of a flow's life cycle, as seen by this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It was placed here, and its upstream has not answered yet.
+    /// This instance placed the flow, and the upstream has not responded yet.
     Opening,
-    /// Its packets came from another instance, or from before this one started.
+    /// The flow was first handled by another instance, or by this one before a restart.
     Adopted,
-    /// It is open.
+    /// The flow is established.
     Open,
 }
 
-/// What this instance has seen of one flow.
+/// What this instance has observed of one flow.
 #[derive(Debug, Clone)]
 pub(crate) struct Flow {
-    /// Where its packets go.
+    /// The upstream that its packets are forwarded to.
     pub(crate) upstream: UpstreamId,
-    /// How far it has come.
     pub(crate) stage: Stage,
-    /// When its first packet came here.
+    /// When this instance saw the first packet of the flow.
     pub(crate) first_seen: Time,
     pub(crate) last_seen: Time,
-    /// How far the client has everything from the upstream.
+    /// The latest acknowledgement number from the client.
     pub(crate) client_ack: u32,
-    /// The position after the last byte that the client has sent.
+    /// The sequence number after the last byte that the client has sent.
     pub(crate) next_seq: u32,
-    /// Data that the upstream has not reacted to.
+    /// Client data that the upstream has not responded to yet.
     pub(crate) pending: Option<Pending>,
-    /// The upstream's stall that this flow was last counted in.
+    /// The number of the upstream's stall that this flow was last counted in.
     pub(crate) counted_in: u32,
-    /// The last request, until it is known how it ended.
+    /// The latest request, while its outcome is unknown.
     pub(crate) asked: Option<Asked>,
 }
 
-/// A request whose end is not known yet.
+/// A request whose outcome is not known yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Asked {
     /// When it came.
     pub(crate) at: Time,
-    /// How far the client had everything before.
+    /// The client's acknowledgement number when the request arrived.
     ack: u32,
-    /// When the client last had more of the answer.
+    /// When the client last acknowledged more of the response.
     pub(crate) progress_at: Option<Time>,
 }
 
-/// Data from the client that the upstream has not reacted to yet.
+/// Client data that the upstream has not responded to yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Pending {
-    /// When it came first.
+    /// When the data was first seen.
     pub(crate) since: Time,
-    /// Its position.
+    /// The sequence number of the data.
     pub(crate) seq: u32,
-    /// How many copies came after the first.
+    /// The number of retransmissions after the first transmission.
     pub(crate) copies: u8,
-    /// When it came last, and when the time before.
+    /// When the latest transmission was seen, and the one before it.
     copied_at: Time,
     pub(crate) copied_before_at: Time,
 }
 
-/// What a packet tells about its flow's upstream.
+/// What a packet reveals about the upstream of its flow.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Sign {
-    /// The upstream has answered something.
+    /// Whether the upstream has sent new data or accepted the connection.
     pub(crate) is_progress: bool,
-    /// When what the upstream has answered was sent to it, if this packet tells of an answer to something.
+    /// If the packet shows that the upstream responded to something, when that was sent to the upstream.
     pub(crate) reached: Option<Time>,
-    /// How long the handshake took that this packet ends.
+    /// The duration of the handshake, if this packet completes it.
     pub(crate) opened_after: Option<Duration>,
-    /// How long it took to answer, if that can be told. An answer that shows only in the client's next request says
-    /// more about the client's pause.
+    /// The response time of the upstream, if it can be measured. A response that only becomes visible in the client's
+    /// next request is not measured, as the interval would mostly reflect the client's pause.
     pub(crate) waited: Option<Duration>,
-    /// A new request is on its way to it.
+    /// Whether the packet starts a new request.
     pub(crate) is_request: bool,
-    /// How many bytes the answer to the request before had, if that was not known yet.
+    /// The length in bytes of the response to the previous request, if it was not known yet.
     pub(crate) answered: Option<u32>,
-    /// Data came once more, as it has not reacted.
+    /// Whether the packet is a retransmission of data that the upstream has not responded to.
     pub(crate) is_copy: bool,
 }
 
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Since when it waits for its upstream.
+    /// When the flow started to wait for its upstream.
     pub(crate) fn waits_since(&self) -> Time {
         self.pending.map_or(self.first_seen, |pending| pending.since)
     }
 
-    /// Takes in a packet that is not an opening one.
+    /// Processes a packet that does not open a flow.
     pub(crate) fn see(&mut self, packet: &Packet, now: Time) -> Sign {
         self.last_seen = now;
         let stage = std::mem::replace(&mut self.stage, Stage::Open);
@@ -184,7 +184,7 @@
 }
 
 impl Flow {
-    /// A request begins. Gives the length of the answer to the one before.
+    /// Starts a new request. Returns the length of the response to the previous one.
     fn ask(&mut self, now: Time) -> Option<u32> {
         let answered = self.answered();
         self.asked = Some(Asked {
@@ -195,7 +195,8 @@
         answered
     }
 
-    /// How many bytes of the answer to the last request the client has, if there are any and its end is not known yet.
+    /// The number of response bytes that the client has acknowledged for the latest request, if there are any and the
+    /// outcome of the request is not known yet.
     pub(crate) fn answered(&self) -> Option<u32> {
         let asked = self.asked?;
         asked.progress_at?;
@@ -204,8 +205,8 @@
 }
 
 impl Pending {
-    /// Counts a copy. Copies that come together were held up on their way here, or this process was, and tell nothing
-    /// about the upstream.
+    /// Counts a retransmission. Retransmissions that arrive together were delayed on the way here, or this process was
+    /// paused; they reveal nothing about the upstream.
     fn note_copy(&mut self, seq: u32, now: Time) -> bool {
         let is_spaced = now.since(self.copied_at) >= COPY_SPACE;
         if seq != self.seq || !is_spaced {
@@ -218,13 +219,13 @@
     }
 }
 
-/// Whether a position lies ahead of another, also after the count has wrapped.
+/// Whether a sequence number is ahead of another, allowing for wraparound.
 fn is_ahead(position: u32, other: u32) -> bool {
     let distance = position.wrapping_sub(other);
     distance != 0 && distance < u32::MAX / 2
 }
 
-/// The flows seen by this instance.
+/// The flow table of this instance.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Flows {
     flows: HashMap<FlowKey, Flow>,
@@ -247,7 +248,7 @@
         self.flows.remove(key)
     }
 
-    /// Takes out the flows of one upstream, in the order of their ends.
+    /// Removes and returns the flows of one upstream, ordered by their keys.
     pub(crate) fn take_of(&mut self, upstream: UpstreamId) -> Vec<(FlowKey, Flow)> {
         let flows = self.flows.extract_if(|_, flow| flow.upstream == upstream);
         let mut flows: Vec<_> = flows.collect();
@@ -255,7 +256,7 @@
         flows
     }
 
-    /// Takes out the flows that have been silent for longer than they may be remembered.
+    /// Removes and returns the flows that have been idle for longer than `idle`.
     pub(crate) fn take_idle(&mut self, idle: Duration, now: Time) -> Vec<Flow> {
         let idle = self.flows.extract_if(|_, flow| now.since(flow.last_seen) > idle);
         idle.map(|(_, flow)| flow).collect()
--- a/crates/flow/src/knowledge.rs
+++ b/crates/flow/src/knowledge.rs
@@ -1,9 +1,10 @@
-//! What instances know of the platform and tell one another: the document, the upstreams, and the zones to be emptied, each as it
-//! stood at a place in the store's history.
+//! The platform state that instances hold and exchange: the document, the upstreams, and the evacuated zones, each as
+//! of a position in the store's history.
 //!
-//! The store may come back from an older copy of itself, and then gives out revisions anew. So places are ordered by their epoch first, and
-//! what is held of an earlier epoch stays in force until a later one tells otherwise. Documents are ordered by the number that
-//! their operators gave them before all else: one that is in the copy, and was replaced before the store went away, is never in force again.
+//! The store may be restored from an older copy of itself, and then reuses revisions. Positions are therefore ordered
+//! by epoch first, and state from an earlier epoch stays in force until a later epoch overrides it. Documents are
+//! ordered by the number that operators assigned before anything else: a document in the copy that had already been
+//! replaced before the store failed never comes into force again.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,48 +29,49 @@
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
-/// How many revisions an epoch counts for where both are one number: far more than any store gives out.
+/// The weight of an epoch, in revisions, when a position is expressed as one number. It is far more than the revisions
+/// that any store assigns.
 const REVISIONS: u64 = 1 << 40;
 
-/// The places in the store's history that a holder's knowledge stands at, zero for what it knows nothing of.
+/// The positions in the store's history of the parts of an instance's knowledge, zero for unknown parts.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Positions {
-    /// The number that operators gave the document, if it is known.
+    /// The revision that operators assigned to the document, if it is known.
     pub document: Option<Revision>,
-    /// Up to where no document is newer.
+    /// The position up to which no document is newer.
     pub document_at: Position,
-    /// The one up to which all changes of upstreams are held.
+    /// The position up to which all changes of upstreams are known.
     pub upstreams_at: Position,
-    /// The one at which the zones to be emptied stood.
+    /// The position of the evacuated zones.
     pub evacuations_at: Position,
 }
 
-/// What one holder knows that another does not.
+/// The knowledge that a peer lacks.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The newest document, or the steps to it.
+    /// The latest document, or the steps to it.
     pub document: Update,
-    /// The place that the document stands at.
+    /// The position of the document.
     #[serde(default)]
     pub document_at: Position,
-    /// The place that the upstreams stand at after this change.
+    /// The position of the upstreams after this change.
     pub upstreams_at: Position,
-    /// Whether all upstreams are told, and not only those that have changed since the place that was asked for.
+    /// Whether all upstreams are included, rather than only those that have changed since the requested position.
     pub is_whole: bool,
-    /// The upstreams that have changed, or all.
+    /// The changed upstreams, or all of them.
     pub upstreams: Vec<(UpstreamId, Arc<Entry>)>,
-    /// The zones to be emptied, if there is something newer.
+    /// The evacuated zones, if they are newer.
     #[serde(default)]
     pub evacuations: Option<Evacuations>,
-    /// Whether its places tell their epochs.
+    /// Whether the positions include epochs.
     #[serde(default)]
     pub tells_epochs: bool,
 }
 
-/// What an instance holds. Nothing here ever steps down to an older state.
+/// The platform state that an instance holds. No part ever reverts to an older state.
 #[derive(Debug, Default, Clone)]
 pub struct Knowledge {
-    /// Whether nothing may be placed before it is known which zones are to be emptied.
+    /// Whether no flow may be placed before the evacuated zones are known.
     awaits_evacuations: bool,
     evacuations: evacuations::Held,
     documents: Documents,
@@ -77,7 +79,8 @@
 }
 
 impl Knowledge {
-    /// Knowledge of a platform whose operators empty availability zones: it is not ready before that is known as well.
+    /// Creates the knowledge for a platform with evacuations: it is not ready before the evacuated zones are known as
+    /// well.
     pub fn awaiting_evacuations() -> Self {
         Self {
             awaits_evacuations: true,
@@ -85,98 +88,99 @@
         }
     }
 
-    /// The document, and the place up to which none is newer.
+    /// The document, and the position up to which no document is newer.
     pub fn document(&self) -> Option<&(Position, Document)> {
         self.documents.current()
     }
 
-    /// The place up to which no document is newer than the one held, zero without one.
+    /// The position up to which no document is newer than the one held, or zero if there is none.
     pub fn document_at(&self) -> Position {
         self.documents.at()
     }
 
-    /// The place up to which all changes of upstreams are held, zero if none were read yet.
+    /// The position up to which all changes of upstreams are known, or zero if none have been read yet.
     pub fn upstreams_at(&self) -> Position {
         self.upstreams.at()
     }
 
-    /// All upstreams, also those remembered after they went.
+    /// All upstreams, including removed ones that are still remembered.
     pub fn upstreams(&self) -> impl Iterator<Item = (UpstreamId, &Entry)> {
         self.upstreams.iter().map(|(id, entry)| (id, entry.as_ref()))
     }
 
-    /// The same, to be held elsewhere as well.
+    /// All upstreams, with shared ownership of their entries.
     pub(crate) fn entries(&self) -> impl Iterator<Item = (UpstreamId, &Arc<Entry>)> {
         self.upstreams.iter()
     }
 
-    /// An upstream's entry, also after it went.
+    /// The entry of an upstream, including a removed one.
     pub(crate) fn entry(&self, id: UpstreamId) -> Option<&Arc<Entry>> {
         self.upstreams.get(id)
     }
 
-    /// Which upstreams have become different since this was asked last.
+    /// Returns the upstreams that have changed since the last call.
     pub(crate) fn take_changed(&mut self) -> Changed {
         self.upstreams.take_changed()
     }
 
-    /// An upstream as it was listed last, also after it went.
+    /// An upstream as last listed, including a removed one.
     pub fn upstream(&self, id: UpstreamId) -> Option<&Upstream> {
         self.upstreams.upstream(id)
     }
 
-    /// The zones that operators have asked to be emptied, as the store had them at a place.
+    /// The evacuated zones as last read from the store.
     pub fn evacuations(&self) -> &Evacuations {
         self.evacuations.current()
     }
 
-    /// Whether a zone is to be emptied.
+    /// Whether a zone is evacuated.
     pub fn is_evacuated(&self, zone: &ZoneName) -> bool {
         self.evacuations.contains(zone)
     }
 
-    /// The zones that are to be emptied here: as the store says, but for what it has lost a moment ago.
+    /// The zones that this instance treats as evacuated: those of the store, corrected for changes that the store lost
+    /// recently.
     pub fn evacuated(&self) -> BTreeSet<ZoneName> {
         self.evacuations.zones()
     }
 
-    /// Whether flows can be placed: there are a document and a list of upstreams, and it is known which zones are to be emptied.
+    /// Whether flows can be placed: a document, a list of upstreams and, if required, the evacuated zones are known.
     pub fn is_ready(&self) -> bool {
         let knows_zones = !self.awaits_evacuations || !self.evacuations().at.is_none();
         self.has_routes_and_upstreams() && knows_zones
     }
 
-    /// Whether there are a document and a list of upstreams.
+    /// Whether a document and a list of upstreams are known.
     pub fn has_routes_and_upstreams(&self) -> bool {
         self.document().is_some() && !self.upstreams_at().is_none()
     }
 
-    /// One number that differs between two holders whenever one knows more than the other.
+    /// A number that differs between two instances whenever one knows more than the other.
     ///
-    /// Each part only grows, so whoever has the lower sum lacks something; equal sums with different parts are told
-    /// apart by [`Knowledge::positions`].
+    /// Each part only grows, so the instance with the lower sum lacks something. Equal sums of different parts are
+    /// distinguished by [`Knowledge::positions`].
     pub fn level(&self) -> Revision {
         let parts = self.parts().into_iter().map(as_number);
         Revision(parts.fold(0, u64::saturating_add))
     }
 
-    /// The places of all parts.
+    /// The positions of all parts.
     pub fn parts(&self) -> [Position; 3] {
         [self.document_at(), self.upstreams_at(), self.evacuations().at]
     }
 
-    /// The latest epoch that is known of.
+    /// The latest known epoch.
     pub fn epoch(&self) -> Epoch {
         let epochs = self.parts().map(|at| at.epoch);
         epochs.into_iter().max().unwrap_or_default()
     }
 
-    /// Whether this holder has seen the store come back from an older copy.
+    /// Whether this instance has seen the store restored from an older copy.
     pub(crate) fn has_come_back(&self) -> bool {
         self.upstreams.has_come_back()
     }
 
-    /// The places of all parts, by name, and the document's number.
+    /// The positions of all parts by name, and the document's revision.
     pub fn positions(&self) -> Positions {
         let [document_at, upstreams_at, evacuations_at] = self.parts();
         Positions {
@@ -187,7 +191,7 @@
         }
     }
 
-    /// What a holder at these places lacks.
+    /// Returns what a peer at these positions lacks.
     pub fn since(&self, held: &Positions) -> Change {
         let (is_whole, upstreams) = self.upstreams.since(held.upstreams_at);
         Change {
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Takes in what another holder knows. Tells whether anything is new.
+    /// Applies a change from a peer. Returns whether anything is new.
     pub fn take(&mut self, change: Change, now: Time) -> bool {
         let has_document = self.documents.update(change.document, change.document_at);
         let has_zones = change
@@ -216,25 +220,26 @@
         is_ahead || has_document || has_zones
     }
 
-    /// Takes in which zones the platform's operators ask to be emptied. Of those whose wish can't be read, the ones that are
-    /// being emptied go on being so. Tells whether anything has changed.
+    /// Applies the evacuated zones read from the platform. A zone whose entry can't be parsed keeps its state. Returns
+    /// whether anything has changed.
     pub fn take_evacuations(&mut self, read: Evacuations, unreadable: &BTreeSet<ZoneName>, now: Time) -> bool {
         self.evacuations.read(read, unreadable, now)
     }
 
-    /// Lets what the store says count for good once what was lost by its return has had time to be written again. Tells whether
-    /// that changes anything.
+    /// Drops state that overrides a restored store, once the grace period for rewriting lost entries is over. Returns
+    /// whether this changes anything.
     pub fn settle(&mut self, now: Time) -> bool {
         let upstreams = self.upstreams.settle(now);
         self.evacuations.settle(now) || upstreams
     }
 
-    /// Takes in a document. Tells whether anything has changed: what is in force, or up to where nothing is newer.
+    /// Applies a document. Returns whether anything has changed: the document in force, or the position up to which it
+    /// is the latest.
     pub fn take_document(&mut self, at: impl Into<Position>, document: Document) -> bool {
         self.documents.take(at.into(), document)
     }
 
-    /// Takes in the whole list of upstreams as it stood at a place. Tells whether anything has changed.
+    /// Applies a complete list of upstreams as of a position. Returns whether anything has changed.
     pub fn take_list<S>(&mut self, at: impl Into<Position>, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
         S: Into<Sighting>,
@@ -242,7 +247,7 @@
         self.upstreams.take_list(at.into(), list, now)
     }
 
-    /// Takes in what a watch told: changes in their order, without an upstream where it is no longer listed.
+    /// Applies changes from a watch, in order. A change without an upstream means that it is no longer listed.
     pub fn take_watched<S>(
         &mut self,
         at: impl Into<Position>,
@@ -255,18 +260,18 @@
         self.upstreams.take_watched(at.into(), changes, now)
     }
 
-    /// When an upstream went, as far as this instance knows.
+    /// When an upstream was removed, as far as this instance knows.
     pub fn gone_since(&self, id: UpstreamId) -> Option<Time> {
         self.upstreams.gone_since(id)
     }
 
-    /// Forgets upstreams that went before `then`. Flows must not outlive this memory.
+    /// Forgets upstreams that were removed before `then`. Flows must not outlive this memory.
     pub fn forget(&mut self, then: Time) -> bool {
         self.upstreams.forget(then)
     }
 }
 
-/// A place as one number, which grows with it.
+/// Expresses a position as one number that grows with it.
 fn as_number(at: Position) -> u64 {
     let Position { epoch, revision } = at;
     epoch.0.saturating_mul(REVISIONS).saturating_add(revision.0)
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,12 +1,13 @@
-//! The flow path: which upstream gets a new flow, where each later packet goes, and when a flow is given up.
+//! The forwarding path for flows: selecting an upstream for a new flow, forwarding its later packets, and deciding
+//! when to reset it.
 //!
-//! A flow is a connection between a client and one upstream that only these two can read. The upstream is chosen once,
-//! by the flow's first packet. That choice travels in each later packet as an *echo*, four bytes that both ends return,
-//! so any instance forwards any packet of any flow without having seen the flow before. What an instance remembers of
-//! a flow serves decisions only (load, stalled upstreams), never correctness.
+//! A flow is a connection between a client and one upstream, and only these two can read its contents. The upstream is
+//! selected by the first packet of the flow. The choice travels in each later packet as an *echo*, four bytes that
+//! both ends return, so any instance can forward any packet of any flow without having seen the flow before. The state
+//! that an instance keeps per flow only informs decisions (load, stalled upstreams); correctness never depends on it.
 //!
-//! This crate is pure: it does no I/O, reads no clock and draws on no randomness but from the seed it is given. It
-//! does not know how packets, routes and upstreams are written down.
+//! This crate does no I/O, reads no clock, and uses no randomness other than the seed that it is given. It is
+//! independent of the encoding of packets, routes and upstreams.
 
 mod answered;
 mod checks;
--- a/crates/flow/src/loss.rs
+++ b/crates/flow/src/loss.rs
@@ -1,7 +1,7 @@
-//! How often packets are lost on ways that work otherwise.
+//! Estimation of packet loss on paths that otherwise work.
 //!
-//! Data that was sent again counts as lost once its upstream is seen to answer. While loss is frequent, a few flows that
-//! wait in a row prove little.
+//! Retransmitted data counts as lost once its upstream is seen to respond. While loss is frequent, a few consecutive
+//! waiting flows are weak evidence that an upstream is dead.
 
 use std::time::Duration;
 
@@ -11,42 +11,42 @@
 
 use crate::decay::Decayed;
 
-/// The span over which losses and attempts are counted.
+/// The decay time constant of the counts of attempts and losses.
 const SPAN: Duration = Duration::from_secs(2);
-/// How many attempts without a loss are taken for granted, so that a single loss does not look frequent.
+/// The number of loss-free prior attempts, so that a single loss does not look frequent.
 const PRIOR_ATTEMPTS: f64 = 20.0;
-/// The loss that is assumed where none is seen.
+/// The lower limit of the loss ratio, assumed where no loss has been seen.
 const LEAST_LOSS: f64 = 0.01;
-/// The most that is taken for loss. Beyond it nothing could be told.
+/// The upper limit of the loss ratio. Above it a dead upstream could not be told from loss.
 const MOST_LOSS: f64 = 0.6;
-/// How rarely an upstream that lives may be taken for dead, as the negative logarithm of the probability: one in two
+/// The probability with which a live upstream may be declared dead, as a negative natural logarithm: one in two
 /// hundred thousand.
 const RARITY: f64 = 12.2;
 
-/// The same where what is found is told to all instances: a wrong status resets the flows of all of them, and a large fleet
-/// draws from chance more often. One in ten million.
+/// The same probability for decisions that are shared with all instances: one in ten million. It is lower because a
+/// wrong status resets the flows of all instances, and a large fleet makes more such decisions.
 const SHARED_RARITY: f64 = 16.1;
-/// The loss that is assumed there where none is seen. So many instances have tried that a smaller one would show than at a
-/// single instance.
+/// The lower limit of the loss ratio for shared decisions. With the attempts of many instances, a smaller loss ratio
+/// would be visible than at a single instance.
 const SHARED_LEAST_LOSS: f64 = 0.0045;
 
-/// How many packets an instance has sent lately, and how many of them were lost.
+/// The number of packets that an instance has sent recently, and the number of them that were lost.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Attempts, of which older ones count less.
+    /// Attempts, with a lower weight for older ones.
     pub attempts: u16,
-    /// Tenths of losses, as these fade as well.
+    /// Losses in tenths, as their weight decays as well.
     pub tenths_lost: u16,
 }
 
 impl Sample {
-    /// What several instances have seen, taken together.
+    /// Adds the sample of another instance.
     pub(crate) fn add(&mut self, other: Self) {
         self.attempts = self.attempts.saturating_add(other.attempts);
         self.tenths_lost = self.tenths_lost.saturating_add(other.tenths_lost);
     }
 
-    /// The share that is lost.
+    /// The loss ratio.
     pub(crate) fn share(self) -> f64 {
         share(f64::from(self.tenths_lost) / 10.0, f64::from(self.attempts))
     }
@@ -56,7 +56,7 @@
     (losses / (PRIOR_ATTEMPTS + attempts)).min(MOST_LOSS)
 }
 
-/// How often packets are lost, in percent.
+/// A loss ratio in percent.
 pub(crate) type Percent = u8;
 
 /// Counts attempts and losses.
@@ -82,7 +82,7 @@
         (share * 100.0).round() as Percent
     }
 
-    /// What to tell others.
+    /// The sample to report to other instances.
     pub(crate) fn sample(&self, now: Time) -> Sample {
         Sample {
             attempts: self.attempts.value(SPAN, now).round() as u16,
@@ -91,13 +91,13 @@
     }
 }
 
-/// How many flows must wait in a row until that is no chance any more.
+/// The number of consecutive waiting flows that chance no longer explains.
 pub(crate) fn flows_beyond_chance(loss: Percent) -> u32 {
     let loss = (f64::from(loss) / 100.0).clamp(LEAST_LOSS, MOST_LOSS);
     (RARITY / -loss.ln()).ceil() as u32
 }
 
-/// How many packets must have been lost in a row, over all instances, until that is no chance any more.
+/// The number of consecutive packets lost over all instances that chance no longer explains.
 pub(crate) fn signs_beyond_chance(share: f64) -> u32 {
     let share = share.clamp(SHARED_LEAST_LOSS, MOST_LOSS);
     (SHARED_RARITY / -share.ln()).ceil() as u32
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -1,9 +1,10 @@
-//! How tries at an upstream end, as the client's packets alone tell, and when more of them end badly than chance explains.
+//! Outcomes of attempts (handshakes and requests) at an upstream, inferred from the client's packets alone, and
+//! detection of upstreams at which more attempts fail than chance explains.
 //!
-//! An upstream that is silent shows by copies of what was sent to it, which is another module's business. One that fails while
-//! it answers sends no copies of its own accord: it resets connections, takes requests and never answers them, or answers
-//! with an error. To the client's side of a flow that looks like an opening packet that nothing follows, a request that the
-//! client never acknowledges an answer to, or an answer far shorter than its route's answers are.
+//! A silent upstream shows through retransmissions, which another module handles. An upstream that fails while it
+//! still responds causes no retransmissions: it resets connections, accepts requests but never answers them, or
+//! answers with an error. In the client's packets this appears as an opening packet that nothing follows, a request
+//! whose response the client never acknowledges, or a response far shorter than is usual for the route.
 
 use std::time::Duration;
 
@@ -14,35 +15,41 @@
 use crate::decay::Decayed;
 use crate::upstream::UpstreamId;
 
-/// The span over which a service's usual share of bad ends is counted.
+/// The decay time constant of a service's baseline failure ratio.
 const USUAL_SPAN: Duration = Duration::from_secs(2);
-/// The share of bad ends that is taken for granted: loss, clients that leave, and answers that are short by nature.
+/// The lower limit of the baseline failure ratio. It covers packet loss, clients that disconnect, and responses that
+/// are short by nature.
 const LEAST_USUAL: f64 = 0.03;
-/// How many tries that end as usual are taken for granted, so that one bad end of a few does not look usual.
+/// The number of prior attempts, assumed to fail at the baseline lower limit, so that one failure among a few attempts
+/// does not raise the baseline.
 const PRIOR_TRIES: f64 = 20.0;
-/// The greatest share that is taken for usual. Beyond it something common to all upstreams is wrong, and none is blamed.
+/// The upper limit of the baseline failure ratio. Above it the cause is common to all upstreams, so no upstream is
+/// blamed.
 const MOST_USUAL: f64 = 0.4;
-/// The least share of bad ends that is looked for, and how many times the usual one it is at least.
+/// The failure ratio that the test assumes for a failing upstream: at least the first value, and at least the second
+/// as a multiple of the baseline.
 const LEAST_FAILING: f64 = 0.3;
 const FAILING_FACTOR: f64 = 2.0;
-/// How much evidence is enough, as a logarithm of odds: an upstream at which a share as large as the usual one ends badly is
-/// found failing once in a million tries at most. Where half a percent ends badly, a sixth of what is taken for granted, none
-/// of fourteen was found failing in a million tries.
+/// The detection threshold, as a log-likelihood ratio. It bounds false positives: an upstream whose failure ratio
+/// equals the baseline is detected at most once in a million attempts. At an actual failure ratio of half a percent, a
+/// sixth of the assumed minimum, none of fourteen upstreams was detected in a million attempts.
 const ENOUGH: f64 = 13.8;
 
-/// The span over which the rate of tries at an upstream is measured.
+/// The decay time constant of the rate of attempts at an upstream.
 const RATE_SPAN: Duration = Duration::from_secs(10);
 
-/// How a try ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
-    /// The flow opened, or the request was answered as usual.
+    /// The flow was established, or the request was answered as usual.
     Good,
-    /// Nothing followed an opening packet, neither the end of the handshake nor a copy: the client was told that it is over.
+    /// Nothing followed an opening packet, neither the end of the handshake nor a retransmission: the client received
+    /// a reset.
     Refused,
-    /// The upstream took a request, and the client has not seen the begin of an answer long after answers usually come.
+    /// The upstream accepted a request, but the client has not received the start of a response long after responses
+    /// usually arrive.
     Overdue,
-    /// The answer was far shorter than the route's answers are.
+    /// The response was far shorter than is usual for the route.
     Short,
 }
 
@@ -62,7 +69,7 @@
     }
 }
 
-/// How tries ended lately.
+/// Decaying counts of recent attempts and failures.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Tally {
     tried: Decayed,
@@ -77,8 +84,8 @@
         }
     }
 
-    /// The share of bad ends that is usual at others than the one whose tally is `own`. One of a few upstreams would otherwise
-    /// make its own failures look usual.
+    /// The failure ratio of the upstreams other than the one whose tally is `own`. Where there are only a few
+    /// upstreams, the failures of one would otherwise raise its own baseline.
     pub(crate) fn usual_without(&self, own: &Self, now: Time) -> f64 {
         let tried = self.tried.value(USUAL_SPAN, now) - own.tried.value(USUAL_SPAN, now);
         let failed = self.failed.value(USUAL_SPAN, now) - own.failed.value(USUAL_SPAN, now);
@@ -87,25 +94,25 @@
     }
 }
 
-/// What an instance tells whoever sums up of tries at one upstream that end badly.
+/// A report of failed attempts at one upstream, sent to the instance that aggregates them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureReport {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// How many tries have ended badly since the last report.
+    /// The number of failed attempts since the last report.
     pub failed: u16,
-    /// How many tries end there in ten seconds, well or badly.
+    /// The number of completed attempts per ten seconds, successful or not.
     pub tried_in_ten: u16,
 }
 
-/// How tries at one upstream end, here and at instances that report to this one.
+/// Attempts at one upstream, observed here and by the instances that report to this one.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Record {
     tries: Decayed,
     since: Option<Time>,
-    /// Those of its tries that are part of its service's tally.
+    /// The attempts at this upstream that are included in the tally of its service.
     pub(crate) tally: Tally,
-    /// Bad ends that were not reported yet.
+    /// Failures that have not been reported yet.
     unreported: u16,
     evidence: Evidence,
 }
@@ -119,7 +126,7 @@
         }
     }
 
-    /// How many tries end here in a second.
+    /// The rate of completed attempts at this instance, per second.
     pub(crate) fn rate(&self, now: Time) -> f64 {
         let Some(since) = self.since else {
             return 0.0;
@@ -129,7 +136,7 @@
         self.tries.value(RATE_SPAN, now) / seen.max(1.0)
     }
 
-    /// What to tell whoever sums up, if a try has ended badly since the last time.
+    /// The report for the aggregating instance, if an attempt has failed since the last report.
     pub(crate) fn report(&mut self, upstream: UpstreamId, now: Time) -> Option<FailureReport> {
         let failed = std::mem::take(&mut self.unreported);
         let tried_in_ten = (self.rate(now) * RATE_SPAN.as_secs_f64()).round();
@@ -140,8 +147,8 @@
         })
     }
 
-    /// Takes in a report of one of so many instances that see about as much of the upstream. Tells whether it fails more often
-    /// than chance explains where this share of bad ends is usual.
+    /// Adds a report from one of `instances` instances that each see a similar share of the traffic to the upstream.
+    /// Returns whether the upstream fails more often than chance explains at the baseline failure ratio `usual`.
     pub(crate) fn hear(&mut self, report: &FailureReport, instances: u32, usual: f64, now: Time) -> bool {
         let told = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
         let rate = f64::midpoint(self.rate(now), told) * f64::from(instances.max(1));
@@ -149,14 +156,14 @@
         self.evidence.score >= ENOUGH
     }
 
-    /// Begins anew, as what was found has led to something.
+    /// Discards the evidence after it has been acted on.
     pub(crate) fn forget_evidence(&mut self) {
         self.evidence = Evidence::default();
     }
 }
 
-/// Evidence that an upstream fails (a cumulative sum of log odds, which never falls below zero): each bad end adds to it, and
-/// the good ends that go with the rate of tries take away.
+/// Evidence that an upstream is failing: a cumulative sum (CUSUM) of log-likelihood ratios that never falls below
+/// zero. Each failure increases it, and the successes estimated from the rate of attempts decrease it.
 #[derive(Debug, Default, Clone, Copy)]
 struct Evidence {
     score: f64,
--- a/crates/flow/src/packet.rs
+++ b/crates/flow/src/packet.rs
@@ -1,4 +1,4 @@
-//! A packet from a client as the flow path sees it, and what becomes of it.
+//! Client packets as the forwarding path sees them, and the reasons for resetting flows and dropping packets.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -7,13 +7,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Four bytes of ours that both ends of a flow return. Zero means that there are none.
+/// Four bytes set by this system that both ends of a flow return. Zero means that there is no echo.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Echo(pub u32);
 
 impl Echo {
-    /// No upstream has been chosen yet.
+    /// No upstream has been selected yet.
     pub const NONE: Self = Self(0);
 }
 
@@ -23,21 +23,21 @@
     }
 }
 
-/// What a packet announces.
+/// The TCP flags of a packet that the forwarding path uses.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Flags(u8);
 
 impl Flags {
     /// The packet opens a flow.
     pub const SYN: Self = Self(1);
-    /// The packet acknowledges.
+    /// The packet carries an acknowledgement.
     pub const ACK: Self = Self(2);
-    /// The sender has sent all it has.
+    /// The sender has no more data to send.
     pub const FIN: Self = Self(4);
-    /// The flow is over at once.
+    /// The flow is aborted.
     pub const RST: Self = Self(8);
 
-    /// Whether all of `other` are set.
+    /// Whether all flags of `other` are set.
     pub fn has(self, other: Self) -> bool {
         self.0 & other.0 == other.0
     }
@@ -51,39 +51,42 @@
     }
 }
 
-/// The head of a packet from a client. The bytes that it carries are none of our business.
+/// The header fields of a packet from a client. The payload is not inspected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Packet {
     /// The client's end.
     pub client: SocketAddrV4,
-    /// The route's end: the address that the client dialled.
+    /// The address of the route that the client connected to.
     pub route: SocketAddrV4,
-    /// What it announces.
+    /// The flags of the packet.
     pub flags: Flags,
-    /// What the client returns of ours.
+    /// The echo that the client returned.
     pub echo: Echo,
-    /// The position of its first byte in what the client sends.
+    /// The sequence number of the first payload byte.
     pub seq: u32,
-    /// How far the client has everything from the upstream. On an opening packet: how many copies came before.
+    /// The acknowledgement number: the client has received all upstream data before it. On an opening packet, the
+    /// number of earlier transmissions of the same packet.
     pub ack: u32,
-    /// How many bytes it carries.
+    /// The length of the payload in bytes.
     pub len: u16,
 }
 
-/// Why a flow is reset by an instance.
+/// The reason why an instance resets a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResetCause {
-    /// The address that the client dialled is not a route.
+    /// No route has the address that the client connected to.
     NoRoute,
-    /// No upstream of the service can take a flow.
+    /// No upstream of the service can accept a flow.
     NoUpstream,
-    /// The same, and operators have asked for zones with upstreams of the service to be emptied.
+    /// No upstream of the service can accept a flow, and some of them are in availability zones that operators are
+    /// evacuating.
     Evacuated,
-    /// The same, and some are cold and get as many flows as they bear.
+    /// No upstream of the service can accept a flow, and some of them are cold and already at their rate limit for new
+    /// flows.
     Cold,
-    /// The flow waits in vain while its upstream answers nobody.
+    /// The flow is waiting for an upstream that responds to no flow.
     Stalled,
-    /// The flow's upstream is taken for dead.
+    /// The upstream of the flow is considered dead.
     Dead,
 }
 
@@ -107,29 +110,29 @@
     }
 }
 
-/// Ends a flow towards its client.
+/// A reset to be sent to the client of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reset {
     /// The client's end.
     pub client: SocketAddrV4,
-    /// The route's end.
+    /// The address of the route.
     pub route: SocketAddrV4,
-    /// The position that the client expects next, or close to it.
+    /// The sequence number that the client expects next, or one close to it.
     pub seq: u32,
-    /// Why.
+    /// The reason for the reset.
     pub cause: ResetCause,
 }
 
-/// Why a packet is dropped.
+/// The reason for dropping a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DropCause {
-    /// Its echo names no upstream that is known, or more than one.
+    /// The echo of the packet identifies no known upstream, or more than one.
     UnknownEcho,
-    /// It has no echo, though it opens no flow.
+    /// The packet has no echo but does not open a flow.
     NoEcho,
-    /// There is no document or no directory yet.
+    /// The route document or the list of upstreams has not been received yet.
     NotReady,
-    /// A client's reset of a flow whose upstream is unknown.
+    /// The packet is a client's reset of a flow whose upstream is unknown.
     Reset,
 }
 
--- a/crates/flow/src/route.rs
+++ b/crates/flow/src/route.rs
@@ -1,4 +1,4 @@
-//! The routes in force.
+//! Routes and the document that defines them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,30 +15,31 @@
 
 use crate::warning::Warning;
 
-/// A part of a route's new flows.
+/// A service's share of the new flows of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// The service that gets it.
+    /// The service that receives the flows.
     pub service: String,
-    /// Its size, relative to the route's other shares.
+    /// The weight of this share, relative to the other shares of the route.
     pub weight: Weight,
 }
 
-/// Where new flows to one address go.
+/// Distributes the new flows to one address over services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The address that clients dial.
+    /// The address that clients connect to.
     pub address: SocketAddrV4,
     /// The services that share its new flows, at least one.
     pub shares: Vec<Share>,
-    /// Whether running a request twice does no harm.
+    /// Whether requests are idempotent.
     pub idempotent: bool,
-    /// How soon a request should be answered.
+    /// The target response time of a request.
     pub aim: Duration,
 }
 
 impl Route {
-    /// The service for a new flow: the same for all copies of its opening packet, at every instance.
+    /// Selects the service for a new flow. The choice is the same at every instance, also for retransmissions of the
+    /// opening packet.
     pub fn service_for(&self, client: SocketAddrV4) -> Option<&str> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight.0)).sum();
         if self.shares.len() == 1 || total == 0 {
@@ -71,7 +72,7 @@
     }
 }
 
-/// A number that is spread evenly over flows.
+/// A uniformly distributed hash of the addresses of a flow.
 fn spread(client: SocketAddrV4, route: SocketAddrV4) -> u64 {
     let mut bytes = [0; 12];
     bytes[..4].copy_from_slice(&client.ip().octets());
@@ -83,24 +84,25 @@
     u64::from_be_bytes(head)
 }
 
-/// The routes in force, as one document.
+/// The document that defines all routes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The number that operators gave it. It only grows.
+    /// The revision number that operators assigned. It only grows.
     pub revision: Revision,
     /// All routes by name.
     pub routes: BTreeMap<String, Route>,
-    /// How long a flow may be silent before it may be forgotten.
+    /// The time for which a flow may be idle before it may be forgotten.
     pub idle_timeout: Duration,
-    /// What the upstreams of services bear after their start, where operators tell.
+    /// The cold start limits by service, where operators have set them.
     #[serde(default)]
     pub cold_starts: BTreeMap<String, ColdStart>,
-    /// What could not be read of it. It follows from the document as it was written, and decides nothing.
+    /// Warnings about values that could not be parsed. They are derived from the document as written, and affect no
+    /// decision.
     #[serde(default)]
     pub warnings: Vec<Warning>,
 }
 
-/// The parts of a document that something hangs on, in the order in which its digest covers them.
+/// The parts of a document that affect decisions, in the order in which its digest covers them.
 #[derive(Serialize)]
 struct InForce<'a> {
     revision: Revision,
@@ -109,13 +111,13 @@
     cold_starts: &'a BTreeMap<String, ColdStart>,
 }
 
-/// What a service's upstreams bear while they are cold: for a while after their start, and after operators have taken back that
-/// their availability zone be emptied.
+/// The limit for new flows to a service's cold upstreams. Upstreams are cold for a while after their start, and after
+/// operators have cancelled an evacuation of their availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// For how long.
+    /// How long an upstream is cold.
     pub lasts: Duration,
-    /// How many new flows each bears meanwhile, over all instances; any number, if none is told.
+    /// The rate of new flows to each cold upstream, over all instances. `None` means no limit.
     pub rate: Option<Rate>,
 }
 
@@ -123,13 +125,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.rate {
             Some(rate) => write!(f, "{rate} for {} ms", self.lasts.as_millis()),
-            None => write!(f, "any number for {} ms", self.lasts.as_millis()),
+            None => write!(f, "unlimited for {} ms", self.lasts.as_millis()),
         }
     }
 }
 
 impl Document {
-    /// A digest over all that something hangs on. Two instances that hold the same document compute the same.
+    /// The digest of the parts that affect decisions. All instances that hold the same document compute the same
+    /// digest.
     pub fn digest(&self) -> Digest {
         let in_force = InForce {
             revision: self.revision,
@@ -137,8 +140,7 @@
             idle_timeout: self.idle_timeout,
             cold_starts: &self.cold_starts,
         };
-        let bytes =
-            postcard::to_stdvec(&in_force).expect("a document has a binary form, and a vector takes every write");
+        let bytes = postcard::to_stdvec(&in_force).expect("serialising a document to a vector never fails");
         let hash = blake3::hash(&bytes);
         Digest(hash.as_bytes().first_chunk().copied().unwrap_or_default())
     }
@@ -158,16 +160,16 @@
     }
 }
 
-/// Routes by the address that clients dial.
+/// Routes by the address that clients connect to.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Routes {
-    /// The number of their document, and the place at which it stood.
+    /// The revision of the document that the routes come from, and its position in the store's history.
     of: (Revision, Position),
     by_address: HashMap<SocketAddrV4, Route>,
 }
 
 impl Routes {
-    /// Indexes a document that stood at a place in the store's history.
+    /// Indexes the routes of a document at the given position in the store's history.
     pub(crate) fn new(at: Position, document: &Document) -> Self {
         let routes = document.routes.values().map(|route| (route.address, route.clone()));
         Self {
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Whether they are those of a document that stood at a place.
+    /// Whether these are the routes of the given document at the given position.
     pub(crate) fn are_of(&self, at: Position, document: &Document) -> bool {
         self.of == (document.revision, at)
     }
--- a/crates/flow/src/upstream.rs
+++ b/crates/flow/src/upstream.rs
@@ -14,13 +14,14 @@
 
 use crate::packet::Echo;
 
-/// Names an upstream. A later start at the same address has another id as a rule; one that starts again under its old id
-/// tells by its [`Start`].
+/// Identifies an upstream. A restart at the same address usually has another id; a restart under the same id is
+/// distinguished by its [`Start`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamId(pub u64);
 
-/// When an upstream started, by its own clock, in milliseconds since the Unix epoch. It tells two starts under one id apart.
+/// The start time of an upstream by its own clock, in milliseconds since the Unix epoch. It distinguishes restarts
+/// under the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Start(pub u64);
@@ -31,20 +32,20 @@
     }
 }
 
-/// A text is not an upstream's id.
+/// The error for a string that is not a valid upstream id.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseUpstreamIdError(ParseIntError);
 
 impl fmt::Display for ParseUpstreamIdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "not an upstream's id: {}", self.0)
+        write!(f, "invalid upstream id: {}", self.0)
     }
 }
 
 impl std::error::Error for ParseUpstreamIdError {}
 
 impl UpstreamId {
-    /// The echo that stands for this id: a hash, as an id has more than four bytes.
+    /// The echo for this id. It is a hash, as an id is longer than four bytes.
     pub fn echo(self) -> Echo {
         let hash = blake3::hash(&self.0.to_be_bytes());
         let bytes = hash.as_bytes();
@@ -69,50 +70,50 @@
 
 /// An upstream as the directory lists it.
 ///
-/// Between instances it is told without the names of its fields, which halves it to about 50 bytes: thousands of entries
-/// go to each instance that starts.
+/// Instances exchange it as a tuple without field names, which halves its size to about 50 bytes. This matters because
+/// each instance that starts receives thousands of entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Told", into = "Told")]
 pub struct Upstream {
-    /// The service that it runs, as the document names it.
+    /// The service that the upstream runs, as named in the route document.
     pub service: CompactString,
-    /// Where it takes packets.
+    /// The address that packets are forwarded to.
     pub address: SocketAddrV4,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How many requests it serves at a time.
+    /// The number of requests that it serves concurrently.
     pub slots: Slots,
-    /// Whether it is on its planned stop: it keeps its flows and should get no new ones.
+    /// Whether a planned shutdown is in progress: existing flows continue, and it should receive no new ones.
     pub leaving: bool,
-    /// How much longer it was slow after its start, when this entry was written.
+    /// The remaining time for which it was cold after its start, as of the writing of this entry.
     pub cold_for: Duration,
-    /// When it started, if its entry tells.
+    /// The start time, if the entry has one.
     pub started: Option<Start>,
 }
 
 impl Upstream {
-    /// Whether this is another start than `other`. An entry that doesn't tell is taken for the same one.
+    /// Whether the start time differs from that of `other`. An entry without a start time is assumed to have the same
+    /// one.
     pub(crate) fn is_other_start(&self, other: &Self) -> bool {
         let starts = self.started.zip(other.started);
         starts.is_some_and(|(started, other)| started != other)
     }
 
-    /// Whether this is an earlier start than `other`.
+    /// Whether the start time is earlier than that of `other`.
     pub(crate) fn is_earlier_start(&self, other: &Self) -> bool {
         let starts = self.started.zip(other.started);
         starts.is_some_and(|(started, other)| started < other)
     }
 }
 
-/// What the platform's directory says of an upstream.
+/// The state of an upstream in the platform's directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Sighting {
-    /// It is listed.
+    /// The upstream is listed.
     Listed(Upstream),
-    /// There is an entry that can't be read: it names no upstream to use, and tells nothing of the one that it named
-    /// before.
+    /// The entry can't be parsed: it identifies no usable upstream, and says nothing about the previously listed one.
     Unreadable,
-    /// It is no longer listed.
+    /// The upstream is no longer listed.
     Gone,
 }
 
@@ -128,8 +129,8 @@
     }
 }
 
-/// An upstream as instances tell it: service, address, zone, slots, whether it leaves, for how many milliseconds it
-/// was cold, and when it started.
+/// The serialised form of an upstream between instances: service, address, zone, slots, whether it is leaving, the
+/// remaining cold time in milliseconds, and the start time.
 type Told = (CompactString, SocketAddrV4, ZoneName, Slots, bool, u64, Option<Start>);
 
 impl From<Told> for Upstream {
--- a/crates/flow/src/warning.rs
+++ b/crates/flow/src/warning.rs
@@ -1,22 +1,22 @@
-//! What of a document in force can't be read, and what holds in its place.
+//! Warnings about values of the document in force that can't be parsed, and their fallbacks.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How much of a value that can't be read is kept, in characters.
+/// The maximum length of the kept part of a value, in characters.
 const MAX_VALUE_LEN: usize = 64;
 
-/// What a value belongs to.
+/// The part of the document that a value belongs to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Subject {
-    /// The document itself.
+    /// The document as a whole.
     Document,
-    /// A route, by its name.
+    /// The route of this name.
     Route(String),
-    /// A service, by its name.
+    /// The service of this name.
     Service(String),
 }
 
@@ -30,21 +30,21 @@
     }
 }
 
-/// What holds in place of a value that can't be read.
+/// The fallback for a value that can't be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reading {
-    /// Requests run once at most.
+    /// Requests run at most once.
     Once,
-    /// As if nothing were told.
+    /// The value is treated as missing.
     Absent,
-    /// A share gets no new flows while the route has others.
+    /// The share receives no new flows while the route has other shares.
     NoWeight,
-    /// A share is left out.
+    /// The share is skipped.
     ShareLeftOut,
-    /// A route is left out: new flows to it are refused.
+    /// The route is skipped: new flows to it are refused.
     LeftOut,
-    /// Flows may be silent for as long as any lives.
+    /// Flows may be idle for as long as any flow lives.
     LongestIdle,
 }
 
@@ -52,25 +52,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Once => "requests run once at most",
-            Self::Absent => "taken for not told",
-            Self::NoWeight => "the share gets no new flows beside others",
-            Self::ShareLeftOut => "the share is left out",
-            Self::LeftOut => "the route is left out and refuses new flows",
-            Self::LongestIdle => "flows may be silent for as long as they live",
+            Self::Absent => "treated as missing",
+            Self::NoWeight => "the share gets no new flows while the route has others",
+            Self::ShareLeftOut => "the share is skipped",
+            Self::LeftOut => "the route is skipped and new flows to it are refused",
+            Self::LongestIdle => "flows may be idle for as long as they live",
         })
     }
 }
 
-/// A value of a document that can't be read.
+/// A warning about a value of a document that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Warning {
-    /// What it belongs to.
+    /// The part of the document that the value belongs to.
     pub subject: Subject,
-    /// What it says of that.
+    /// The name of the field.
     pub field: String,
-    /// The value as it was written, its beginning if it is long.
+    /// The value as written, truncated if it is long.
     pub value: String,
-    /// What holds in its place.
+    /// The fallback.
     pub reading: Reading,
 }
 
