--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -25,7 +25,7 @@
 use crate::checks::Checks;
 use crate::decision::Decision;
 use crate::directory::Directory;
-use crate::directory::Followed;
+use crate::directory::IndexUpdate;
 use crate::flows::FlowKey;
 use crate::flows::Flows;
 use crate::health::Health;
@@ -198,7 +198,7 @@
         }
         let mut changed = self.knowledge.take_changed();
         changed.is_all |= self.knowledge.evacuated() != evacuated;
-        let Followed { indexed, restarted } = self.directory.follow(&self.knowledge, &changed, now);
+        let IndexUpdate { indexed, restarted } = self.directory.follow(&self.knowledge, &changed, now);
         self.stats.indexed += indexed;
         debug_assert!(
             self.directory.is_of(&self.knowledge),
--- a/crates/flow/src/core/carrying.rs
+++ b/crates/flow/src/core/carrying.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use crate::flows::Flow;
 use crate::flows::FlowKey;
-use crate::flows::Sign;
+use crate::flows::Observation;
 use crate::flows::Stage;
 use crate::health::Progress;
 use crate::packet::Flags;
@@ -44,14 +44,14 @@
     }
 
     /// Notes what a packet tells of its flow and of its upstream.
-    fn see(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
+    fn see(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Observation {
         if self.flows.get_mut(key).is_none_or(|flow| flow.upstream != id) {
             self.close(key);
             self.flows.insert(*key, Flow::new(id, Stage::Adopted, packet, now));
             self.health.entry(id).or_default().flows += 1;
         }
         let Some(flow) = self.flows.get_mut(key) else {
-            return Sign::default();
+            return Observation::default();
         };
         let sign = flow.see(packet, now);
         let health = self.health.entry(id).or_default();
@@ -82,7 +82,7 @@
     }
 
     /// Keeps the waits that a packet has ended, for the figures that operators see.
-    fn note_waits(&mut self, id: UpstreamId, sign: Sign) {
+    fn note_waits(&mut self, id: UpstreamId, sign: Observation) {
         let Some(listed) = self.directory.get(id) else {
             return;
         };
--- a/crates/flow/src/core/failing.rs
+++ b/crates/flow/src/core/failing.rs
@@ -15,9 +15,9 @@
 use super::Core;
 use crate::checks::Check;
 use crate::decision::Decision;
-use crate::ejection::Turn;
+use crate::ejection::Transition;
 use crate::flows::FlowKey;
-use crate::flows::Sign;
+use crate::flows::Observation;
 use crate::flows::Stage;
 use crate::outcome::FailureReport;
 use crate::outcome::Outcome;
@@ -90,7 +90,7 @@
     }
 
     /// Notes what a packet tells of tries that have ended or begun.
-    pub(super) fn note_tries(&mut self, key: &FlowKey, id: UpstreamId, sign: Sign, now: Time) {
+    pub(super) fn note_tries(&mut self, key: &FlowKey, id: UpstreamId, sign: Observation, now: Time) {
         if sign.opened_after.is_some() {
             self.settle(id, Outcome::Good, now);
         }
@@ -145,9 +145,9 @@
         health.record.add(outcome, now);
         let was_ejected = health.ejection.is_ejected();
         match health.ejection.settle(outcome, now) {
-            Turn::None => {}
-            Turn::OutAgain => self.tell_standing(id),
-            Turn::Back => {
+            Transition::None => {}
+            Transition::EjectedAgain => self.tell_standing(id),
+            Transition::Readmitted => {
                 self.decisions.push(Decision::Readmitted(id));
                 self.tell_standing(id);
             }
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -6,10 +6,10 @@
 
 use super::Core;
 use crate::decision::Decision;
-use crate::directory::Listed;
-use crate::flows::COPY_SPACE;
+use crate::directory::DirectoryEntry;
 use crate::flows::Flow;
 use crate::flows::FlowKey;
+use crate::flows::MIN_RETRANSMISSION_INTERVAL;
 use crate::flows::Stage;
 use crate::health::Health;
 use crate::packet::DropCause;
@@ -72,9 +72,9 @@
     /// upstream that has been told meanwhile to take no more gets neither.
     fn held_up(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let flow = self.flows.get_mut(key)?;
-        let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < COPY_SPACE;
+        let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < MIN_RETRANSMISSION_INTERVAL;
         let id = flow.upstream;
-        let takes_flows = self.directory.get(id).is_some_and(Listed::takes_flows);
+        let takes_flows = self.directory.get(id).is_some_and(DirectoryEntry::takes_flows);
         (is_held_up && takes_flows).then_some(id)
     }
 
@@ -165,7 +165,7 @@
 }
 
 /// How good a choice an upstream is at best, `None` if it gets no new flows.
-fn tier(listed: &Listed, health: Option<&Health>, now: Time) -> Option<Tier> {
+fn tier(listed: &DirectoryEntry, health: Option<&Health>, now: Time) -> Option<Tier> {
     if !listed.takes_flows() {
         return None;
     }
--- a/crates/flow/src/core/warming.rs
+++ b/crates/flow/src/core/warming.rs
@@ -11,7 +11,7 @@
 use units::Time;
 
 use super::Core;
-use crate::directory::Listed;
+use crate::directory::DirectoryEntry;
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
@@ -36,7 +36,7 @@
     }
 
     /// Whether an upstream bears a new flow from here now.
-    pub(super) fn bears(&self, id: UpstreamId, listed: &Listed, health: Option<&Health>, now: Time) -> bool {
+    pub(super) fn bears(&self, id: UpstreamId, listed: &DirectoryEntry, health: Option<&Health>, now: Time) -> bool {
         if listed.cold_rate(now).is_none() {
             return true;
         }
--- a/crates/flow/src/difference.rs
+++ b/crates/flow/src/difference.rs
@@ -61,7 +61,12 @@
             Self::Removed { name, route } => write!(f, "- {name}: {route}"),
             Self::Changed { name, old, new } => write!(f, "~ {name}: {old}, now {new}"),
             Self::ColdStart { service, old, new } => {
-                write!(f, "~ cold upstreams of {service}: {}, now {}", Words(*old), Words(*new))
+                write!(
+                    f,
+                    "~ cold upstreams of {service}: {}, now {}",
+                    OptionalLimit(*old),
+                    OptionalLimit(*new)
+                )
             }
             Self::IdleTimeout { old_ms, new_ms } => write!(f, "~ idle timeout: {old_ms} ms, now {new_ms} ms"),
         }
@@ -69,9 +74,9 @@
 }
 
 /// Formats an optional cold start limit.
-struct Words(Option<ColdStart>);
+struct OptionalLimit(Option<ColdStart>);
 
-impl fmt::Display for Words {
+impl fmt::Display for OptionalLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(cold) => cold.fmt(f),
--- a/crates/flow/src/directory.rs
+++ b/crates/flow/src/directory.rs
@@ -13,7 +13,7 @@
 use units::Time;
 use units::ZoneName;
 
-use crate::entries::Changed;
+use crate::entries::ChangedUpstreams;
 use crate::entries::Entry;
 use crate::knowledge::Knowledge;
 use crate::packet::Echo;
@@ -25,7 +25,7 @@
 
 /// An upstream with the state that the forwarding path needs.
 #[derive(Debug, Clone)]
-pub(crate) struct Listed {
+pub(crate) struct DirectoryEntry {
     entry: Arc<Entry>,
     pub(crate) echo: Echo,
     /// When it was removed from the list, if it was.
@@ -38,7 +38,7 @@
     pub(crate) is_evacuated: bool,
 }
 
-impl Listed {
+impl DirectoryEntry {
     /// The upstream as last listed.
     pub(crate) fn upstream(&self) -> &Upstream {
         &self.entry.upstream
@@ -60,7 +60,7 @@
 /// An entry gives the remaining time as of its writing. The time is counted from when the entry is first seen here,
 /// which errs on the safe side. The same revision may denote two different writes, one before and one after the store
 /// was restored from an older copy.
-fn cold_until(entry: &Entry, held: Option<&Listed>, now: Time) -> Time {
+fn cold_until(entry: &Entry, held: Option<&DirectoryEntry>, now: Time) -> Time {
     let told = now + entry.upstream.cold_for;
     let Some(held) = held else {
         return told;
@@ -74,14 +74,14 @@
 
 /// The result of applying changes.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(crate) struct Followed {
+pub(crate) struct IndexUpdate {
     /// The number of entries that were indexed.
     pub(crate) indexed: u64,
     /// The upstreams that have restarted, ordered by id.
     pub(crate) restarted: Vec<UpstreamId>,
 }
 
-impl Followed {
+impl IndexUpdate {
     fn add(&mut self, id: UpstreamId, has_restarted: bool) {
         self.indexed += 1;
         self.restarted.extend(has_restarted.then_some(id));
@@ -91,7 +91,7 @@
 /// An index of upstreams by echo, by service and by availability zone.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Directory {
-    listed: HashMap<UpstreamId, Listed>,
+    listed: HashMap<UpstreamId, DirectoryEntry>,
     echoes: Echoes,
     by_service: HashMap<CompactString, Pool>,
     /// Ordered by id.
@@ -105,13 +105,13 @@
     ///
     /// Only the entries that changed are visited, unless operators have changed a setting for all upstreams of a
     /// service.
-    pub(crate) fn follow(&mut self, knowledge: &Knowledge, changed: &Changed, now: Time) -> Followed {
+    pub(crate) fn follow(&mut self, knowledge: &Knowledge, changed: &ChangedUpstreams, now: Time) -> IndexUpdate {
         let cold_starts = knowledge.document().map(|(_, document)| &document.cold_starts);
         let has_cold_starts = cold_starts.is_none_or(|cold_starts| *cold_starts == self.cold_starts);
         if !has_cold_starts {
             self.cold_starts = cold_starts.cloned().unwrap_or_default();
         }
-        let mut followed = Followed::default();
+        let mut followed = IndexUpdate::default();
         if changed.is_all || !has_cold_starts {
             let gone = self.listed.keys().copied();
             let gone: Vec<UpstreamId> = gone.filter(|id| knowledge.entry(*id).is_none()).collect();
@@ -142,7 +142,7 @@
             held.service == entry.upstream.service && held.zone == entry.upstream.zone
         });
         let cold_start = self.cold_starts.get(entry.upstream.service.as_str());
-        let listed = Listed {
+        let listed = DirectoryEntry {
             entry: Arc::clone(entry),
             echo: held.map_or_else(|| id.echo(), |held| held.echo),
             gone_since: knowledge.gone_since(id).filter(|_| entry.gone),
@@ -158,7 +158,7 @@
         has_restarted
     }
 
-    fn index(&mut self, id: UpstreamId, listed: &Listed) {
+    fn index(&mut self, id: UpstreamId, listed: &DirectoryEntry) {
         let Upstream { service, zone, .. } = listed.upstream();
         self.echoes.insert(listed.echo, id);
         self.by_service.entry(service.clone()).or_default().insert(id, zone);
@@ -205,7 +205,7 @@
         self.echoes.get(echo)
     }
 
-    pub(crate) fn get(&self, id: UpstreamId) -> Option<&Listed> {
+    pub(crate) fn get(&self, id: UpstreamId) -> Option<&DirectoryEntry> {
         self.listed.get(&id)
     }
 
@@ -221,13 +221,16 @@
     }
 
     /// An upstream, if its echo is unique, so that packets can be routed back to it.
-    pub(crate) fn reachable(&self, id: UpstreamId) -> Option<(UpstreamId, &Listed)> {
+    pub(crate) fn reachable(&self, id: UpstreamId) -> Option<(UpstreamId, &DirectoryEntry)> {
         let listed = self.listed.get(&id)?;
         (self.by_echo(listed.echo) == Some(id)).then_some((id, listed))
     }
 
     /// The upstreams of a service that have a unique echo, including removed ones.
-    pub(crate) fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = (UpstreamId, &'a Listed)> + use<'a> {
+    pub(crate) fn of_service<'a>(
+        &'a self,
+        service: &str,
+    ) -> impl Iterator<Item = (UpstreamId, &'a DirectoryEntry)> + use<'a> {
         self.all_of(service).iter().filter_map(|id| self.reachable(*id))
     }
 
--- a/crates/flow/src/directory/pool.rs
+++ b/crates/flow/src/directory/pool.rs
@@ -8,10 +8,10 @@
 
 /// The largest number of upstreams that are all considered for a new flow. Of more than this, a rotating subset is
 /// considered: among hundreds of upstreams, the best of a few is about as good as the best of all.
-const ALL: usize = 256;
+const MAX_FULL_SCAN: usize = 256;
 /// The size of the subset from the own availability zone, and of the subset from all zones.
-const NEAR: usize = 24;
-const ANYWHERE: usize = 8;
+const ZONE_SUBSET: usize = 24;
+const GLOBAL_SUBSET: usize = 8;
 
 /// The upstreams of one service, ordered by id.
 #[derive(Debug, Default, Clone)]
@@ -45,14 +45,14 @@
     ///
     /// `first` differs between instances, so that they do not all start with the same candidates.
     pub(crate) fn next(&mut self, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
-        if self.all.len() <= ALL {
+        if self.all.len() <= MAX_FULL_SCAN {
             return None;
         }
         self.turns = self.turns.wrapping_add(1);
         let turn_of = |ids, count| turn(ids, first.wrapping_add(self.turns), count);
         let near = self.by_zone.get(zone).map(Vec::as_slice).unwrap_or_default();
-        let mut next: Vec<UpstreamId> = turn_of(near, NEAR).collect();
-        next.extend(turn_of(&self.all, ANYWHERE));
+        let mut next: Vec<UpstreamId> = turn_of(near, ZONE_SUBSET).collect();
+        next.extend(turn_of(&self.all, GLOBAL_SUBSET));
         next.sort_unstable();
         next.dedup();
         Some(next)
--- a/crates/flow/src/documents.rs
+++ b/crates/flow/src/documents.rs
@@ -22,11 +22,11 @@
 
 /// The number of steps that are kept. Over long periods, changes arrive every few seconds at most, and each reaches
 /// all instances within seconds.
-const STEPS: usize = 16;
+const MAX_STEPS: usize = 16;
 
 /// The difference between two consecutive documents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Step {
+pub struct DocumentStep {
     /// The store position of the previous document.
     from: Position,
     /// The store position of the next document.
@@ -50,7 +50,7 @@
     digest: Digest,
 }
 
-impl Step {
+impl DocumentStep {
     fn new(from: (Position, &Document), to: (Position, &Document)) -> Self {
         let (from, before) = from;
         let (to, after) = to;
@@ -97,7 +97,7 @@
     #[default]
     Nothing,
     /// The steps from the document that the peer holds.
-    Steps(Vec<Step>),
+    Steps(Vec<DocumentStep>),
     /// The whole document, with the position up to which there is no newer one.
     Whole(Position, Document),
 }
@@ -122,7 +122,7 @@
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Documents {
     current: Option<(Position, Document)>,
-    steps: VecDeque<Step>,
+    steps: VecDeque<DocumentStep>,
 }
 
 impl Documents {
@@ -168,9 +168,10 @@
     /// Replaces the current document and records the step.
     fn set(&mut self, at: Position, document: Document) {
         if let Some((held_at, held)) = &self.current {
-            self.steps.push_back(Step::new((*held_at, held), (at, &document)));
+            self.steps
+                .push_back(DocumentStep::new((*held_at, held), (at, &document)));
         }
-        if self.steps.len() > STEPS {
+        if self.steps.len() > MAX_STEPS {
             self.steps.pop_front();
         }
         self.current = Some((at, document));
@@ -185,7 +186,7 @@
         if told > document.revision || (told == document.revision && at >= *held_at) {
             return Update::Nothing;
         }
-        let is_next = |step: &Step| step.from == at && (revision.is_none() || step.before == revision);
+        let is_next = |step: &DocumentStep| step.from == at && (revision.is_none() || step.before == revision);
         match self.steps.iter().position(is_next) {
             Some(first) => Update::Steps(self.steps.iter().skip(first).cloned().collect()),
             None => Update::Whole(*held_at, document.clone()),
@@ -208,7 +209,7 @@
         }
     }
 
-    fn step(&mut self, step: &Step) -> bool {
+    fn step(&mut self, step: &DocumentStep) -> bool {
         let Some((at, held)) = &self.current else {
             return false;
         };
--- a/crates/flow/src/draft.rs
+++ b/crates/flow/src/draft.rs
@@ -28,18 +28,18 @@
 
 use crate::route;
 use crate::route::ColdStart;
-use crate::warning::Reading;
+use crate::warning::Fallback;
 use crate::warning::Subject;
 use crate::warning::Warning;
 
 /// The idle timeout of flows if it can't be parsed. It is longer than flows live.
 pub const LONGEST_IDLE: Duration = Duration::from_hours(1);
 /// The maximum number of warnings that a document keeps. Warnings are sent between instances along with the document.
-const MOST_WARNINGS: usize = 64;
+const MAX_WARNINGS: usize = 64;
 
 /// A value as written in the document.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub enum Told<T> {
+pub enum DraftValue<T> {
     /// The value is missing.
     #[default]
     Absent,
@@ -49,7 +49,7 @@
     Unknown(String),
 }
 
-impl<T> Told<T> {
+impl<T> DraftValue<T> {
     /// Returns the value, or the text that can't be parsed. A missing value is an error like an invalid one.
     fn required(self) -> Result<T, String> {
         match self {
@@ -82,9 +82,9 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Share {
     /// The service that receives the flows.
-    pub service: Told<String>,
+    pub service: DraftValue<String>,
     /// The weight of this share, relative to the other shares of the route.
-    pub weight: Told<Weight>,
+    pub weight: DraftValue<Weight>,
 }
 
 /// A route.
@@ -93,11 +93,11 @@
     /// Its name.
     pub name: String,
     /// The address that clients connect to.
-    pub address: Told<SocketAddrV4>,
+    pub address: DraftValue<SocketAddrV4>,
     /// Whether its requests may be repeated.
-    pub kind: Told<Kind>,
+    pub kind: DraftValue<Kind>,
     /// The target response time of a request.
-    pub aim: Told<Duration>,
+    pub aim: DraftValue<Duration>,
     /// The services that share its new flows.
     pub shares: Vec<Share>,
 }
@@ -108,9 +108,9 @@
     /// Its name.
     pub name: String,
     /// How long its upstreams are cold after their start.
-    pub lasts: Told<Duration>,
+    pub lasts: DraftValue<Duration>,
     /// The limit for new flows per second to each cold upstream.
-    pub rate: Told<Rate>,
+    pub rate: DraftValue<Rate>,
 }
 
 /// A document.
@@ -121,7 +121,7 @@
     /// Its routes.
     pub routes: Vec<Route>,
     /// The time for which a flow may be idle before it may be forgotten.
-    pub idle_timeout: Told<Duration>,
+    pub idle_timeout: DraftValue<Duration>,
     /// Its services.
     pub services: Vec<Service>,
 }
@@ -142,23 +142,23 @@
 impl std::error::Error for NoRouteError {}
 
 /// Collects the warnings about one subject.
-struct Remarks<'a> {
+struct WarningCollector<'a> {
     subject: Subject,
     warnings: &'a mut Vec<Warning>,
 }
 
-impl Remarks<'_> {
-    fn add(&mut self, field: &'static str, value: &str, reading: Reading) {
+impl WarningCollector<'_> {
+    fn add(&mut self, field: &'static str, value: &str, reading: Fallback) {
         self.warnings
             .push(Warning::new(self.subject.clone(), field, value, reading));
     }
 
     /// Returns an optional value, or `T::default()` if it is missing or can't be parsed.
-    fn optional<T: Default>(&mut self, field: &'static str, told: Told<T>) -> T {
+    fn optional<T: Default>(&mut self, field: &'static str, told: DraftValue<T>) -> T {
         match told.optional() {
             Ok(value) => value.unwrap_or_default(),
             Err(text) => {
-                self.add(field, &text, Reading::Absent);
+                self.add(field, &text, Fallback::Absent);
                 T::default()
             }
         }
@@ -180,8 +180,10 @@
         }
         if has_routes && routes.is_empty() {
             // Each skipped route has a warning.
-            let first = warnings.into_iter().find(|warning| warning.reading == Reading::LeftOut);
-            let first = first.unwrap_or_else(|| Warning::new(Subject::Document, "routes", "", Reading::LeftOut));
+            let first = warnings
+                .into_iter()
+                .find(|warning| warning.reading == Fallback::LeftOut);
+            let first = first.unwrap_or_else(|| Warning::new(Subject::Document, "routes", "", Fallback::LeftOut));
             return Err(NoRouteError { first });
         }
         let cold_starts = draft.services.into_iter();
@@ -189,11 +191,11 @@
             .map(|service| read_service(service, &mut warnings))
             .collect();
         let idle_timeout = draft.idle_timeout.required().unwrap_or_else(|text| {
-            let reading = Reading::LongestIdle;
+            let reading = Fallback::LongestIdle;
             warnings.push(Warning::new(Subject::Document, "idle timeout", &text, reading));
             LONGEST_IDLE
         });
-        warnings.truncate(MOST_WARNINGS);
+        warnings.truncate(MAX_WARNINGS);
         Ok(Self {
             revision: draft.revision,
             routes,
@@ -206,19 +208,19 @@
 
 /// Validates a route. Returns `None` if it can't be used.
 fn read_route(draft: Route, warnings: &mut Vec<Warning>) -> Option<route::Route> {
-    let mut remarks = Remarks {
+    let mut remarks = WarningCollector {
         subject: Subject::Route(draft.name),
         warnings,
     };
     let kind = draft.kind.required().unwrap_or_else(|text| {
-        remarks.add("kind", &text, Reading::Once);
+        remarks.add("kind", &text, Fallback::Once);
         Kind::Once
     });
     let aim = remarks.optional("aim", draft.aim);
     let shares = draft.shares.into_iter();
     let shares: Vec<route::Share> = shares.filter_map(|share| read_share(share, &mut remarks)).collect();
     if shares.is_empty() {
-        remarks.add("services", "nothing that can be read", Reading::LeftOut);
+        remarks.add("services", "nothing that can be read", Fallback::LeftOut);
         return None;
     }
     match draft.address.required() {
@@ -229,18 +231,18 @@
             aim,
         }),
         Err(text) => {
-            remarks.add("address", &text, Reading::LeftOut);
+            remarks.add("address", &text, Fallback::LeftOut);
             None
         }
     }
 }
 
 /// Validates a share. Returns `None` if it names no service.
-fn read_share(draft: Share, remarks: &mut Remarks<'_>) -> Option<route::Share> {
+fn read_share(draft: Share, remarks: &mut WarningCollector<'_>) -> Option<route::Share> {
     let service = draft.service.required();
-    let service = service.map_err(|text| remarks.add("service", &text, Reading::ShareLeftOut));
+    let service = service.map_err(|text| remarks.add("service", &text, Fallback::ShareLeftOut));
     let weight = draft.weight.required().unwrap_or_else(|text| {
-        remarks.add("weight", &text, Reading::NoWeight);
+        remarks.add("weight", &text, Fallback::NoWeight);
         Weight(0)
     });
     Some(route::Share {
@@ -250,7 +252,7 @@
 }
 
 fn read_service(draft: Service, warnings: &mut Vec<Warning>) -> (String, ColdStart) {
-    let mut remarks = Remarks {
+    let mut remarks = WarningCollector {
         subject: Subject::Service(draft.name.clone()),
         warnings,
     };
--- a/crates/flow/src/ejection.rs
+++ b/crates/flow/src/ejection.rs
@@ -14,41 +14,41 @@
 use crate::upstream::UpstreamId;
 
 /// The first ejection period. It is short so that an upstream with a brief failure is readmitted soon.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_EJECTION: Duration = Duration::from_secs(1);
 /// The longest ejection period before the next probe. A probe costs only one or two flows.
-const LAST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 /// How long followers keep an upstream ejected without a further report: twice the leader's longest ejection period,
 /// plus a margin for probing.
-const FOLLOWED: Duration = Duration::from_secs(10);
+const FOLLOWER_EJECTION: Duration = Duration::from_secs(10);
 /// How long an upstream must have been readmitted before its next ejection period starts from the shortest again.
-const FORGIVEN: Duration = Duration::from_secs(20);
+const BACKOFF_RESET: Duration = Duration::from_secs(20);
 /// The interval between probe flows.
-const TRIAL_SPACE: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// The number of successful probes that readmit an upstream. An upstream at which two of five attempts fail passes
 /// once in thirteen times.
-const TRIALS: u32 = 5;
+const REQUIRED_PROBES: u32 = 5;
 
 /// The ejection state of an upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// The upstream receives flows as usual.
     #[default]
-    In,
+    Admitted,
     /// The upstream receives no flows until `until`, unless its service has no other upstream.
-    Out { until: Time },
+    Ejected { until: Time },
     /// The upstream receives single probe flows, of which `good` have succeeded.
-    Trial { good: u32, next: Time },
+    Probing { good: u32, next: Time },
 }
 
 /// The state transition that an outcome caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum Transition {
     /// Nothing.
     None,
     /// A probe has failed, so the upstream is ejected again.
-    OutAgain,
+    EjectedAgain,
     /// The upstream is readmitted.
-    Back,
+    Readmitted,
 }
 
 /// Tracks the ejection of one upstream.
@@ -63,7 +63,7 @@
 impl Ejection {
     /// Ejects the upstream because this instance has detected that it is failing.
     pub(crate) fn eject(&mut self, now: Time) {
-        if now.since(self.back_at) >= FORGIVEN {
+        if now.since(self.back_at) >= BACKOFF_RESET {
             self.pause = Duration::ZERO;
         }
         self.pause_again(now);
@@ -71,13 +71,13 @@
 
     fn pause_again(&mut self, now: Time) {
         self.round = self.round.saturating_add(1);
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LAST_PAUSE);
+        self.pause = (self.pause * 2).clamp(MIN_EJECTION, MAX_EJECTION);
         let until = now + self.pause;
-        self.phase = Phase::Out { until };
+        self.phase = Phase::Ejected { until };
     }
 
     fn readmit(&mut self, now: Time) {
-        self.phase = Phase::In;
+        self.phase = Phase::Admitted;
         self.back_at = now;
     }
 
@@ -88,8 +88,8 @@
         }
         self.round = round;
         if is_out {
-            let until = now + FOLLOWED;
-            self.phase = Phase::Out { until };
+            let until = now + FOLLOWER_EJECTION;
+            self.phase = Phase::Ejected { until };
         } else {
             self.readmit(now);
         }
@@ -112,53 +112,53 @@
 
     /// Whether the upstream is ejected or still being probed.
     pub(crate) fn is_ejected(&self) -> bool {
-        self.phase != Phase::In
+        self.phase != Phase::Admitted
     }
 
     /// Whether other upstreams are preferred at this time.
     pub(crate) fn is_avoided(&self, now: Time) -> bool {
         match self.phase {
-            Phase::In => false,
-            Phase::Out { until } => now < until,
-            Phase::Trial { next, .. } => now < next,
+            Phase::Admitted => false,
+            Phase::Ejected { until } => now < until,
+            Phase::Probing { next, .. } => now < next,
         }
     }
 
     /// Records that a new flow was placed on the upstream.
     pub(crate) fn note_placed(&mut self, now: Time) {
         let good = match self.phase {
-            Phase::In => return,
-            Phase::Out { until } if now < until => return,
-            Phase::Out { .. } => 0,
-            Phase::Trial { good, .. } => good,
+            Phase::Admitted => return,
+            Phase::Ejected { until } if now < until => return,
+            Phase::Ejected { .. } => 0,
+            Phase::Probing { good, .. } => good,
         };
-        let next = now + TRIAL_SPACE;
-        self.phase = Phase::Trial { good, next };
+        let next = now + PROBE_INTERVAL;
+        self.phase = Phase::Probing { good, next };
     }
 
     /// Records the outcome of an attempt. Existing flows continue while the upstream is ejected; as long as they fail,
     /// it stays ejected.
-    pub(crate) fn settle(&mut self, outcome: Outcome, now: Time) -> Turn {
+    pub(crate) fn settle(&mut self, outcome: Outcome, now: Time) -> Transition {
         let is_good = outcome == Outcome::Good;
         let (good, next) = match self.phase {
-            Phase::Trial { good, next } => (good, next),
-            Phase::Out { until } => {
-                let until = if is_good { until } else { until.max(now + FIRST_PAUSE) };
-                self.phase = Phase::Out { until };
-                return Turn::None;
+            Phase::Probing { good, next } => (good, next),
+            Phase::Ejected { until } => {
+                let until = if is_good { until } else { until.max(now + MIN_EJECTION) };
+                self.phase = Phase::Ejected { until };
+                return Transition::None;
             }
-            Phase::In => return Turn::None,
+            Phase::Admitted => return Transition::None,
         };
         if !is_good {
             self.pause_again(now);
-            return Turn::OutAgain;
+            return Transition::EjectedAgain;
         }
-        if good + 1 >= TRIALS {
+        if good + 1 >= REQUIRED_PROBES {
             self.round = self.round.saturating_add(1);
             self.readmit(now);
-            return Turn::Back;
+            return Transition::Readmitted;
         }
-        self.phase = Phase::Trial { good: good + 1, next };
-        Turn::None
+        self.phase = Phase::Probing { good: good + 1, next };
+        Transition::None
     }
 }
--- a/crates/flow/src/entries.rs
+++ b/crates/flow/src/entries.rs
@@ -11,7 +11,7 @@
 use units::Time;
 
 use crate::grace::Grace;
-use crate::upstream::Sighting;
+use crate::upstream::ListingState;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
@@ -48,7 +48,7 @@
 
 /// The set of upstreams that have changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(crate) struct Changed {
+pub(crate) struct ChangedUpstreams {
     /// The ids of changed upstreams.
     pub(crate) ids: BTreeSet<UpstreamId>,
     /// Whether any upstream may have changed.
@@ -71,7 +71,7 @@
     /// keep their own.
     kept: Grace<UpstreamId, Arc<Entry>>,
     /// The changes since the last call of `take_changed`.
-    changed: Changed,
+    changed: ChangedUpstreams,
 }
 
 impl Entries {
@@ -98,7 +98,7 @@
     }
 
     /// Returns the changes since the last call.
-    pub(crate) fn take_changed(&mut self) -> Changed {
+    pub(crate) fn take_changed(&mut self) -> ChangedUpstreams {
         std::mem::take(&mut self.changed)
     }
 
@@ -128,7 +128,7 @@
     /// Applies a complete list of upstreams as of a position. Returns whether anything has changed.
     pub(crate) fn take_list<S>(&mut self, at: Position, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
-        S: Into<Sighting>,
+        S: Into<ListingState>,
     {
         let entries = list.into_iter().filter_map(|(id, revision, sighting)| {
             let entry = self.entry(id, revision, sighting.into())?;
@@ -143,18 +143,18 @@
     ///
     /// An upstream whose entry can't be parsed receives no new flows. Its existing flows continue at the previously
     /// listed upstream, as for a leaving upstream.
-    fn entry(&self, id: UpstreamId, revision: Revision, sighting: Sighting) -> Option<Entry> {
+    fn entry(&self, id: UpstreamId, revision: Revision, sighting: ListingState) -> Option<Entry> {
         let held = || self.upstream(id).cloned();
         let (upstream, gone) = match sighting {
-            Sighting::Listed(upstream) => (upstream, false),
-            Sighting::Unreadable => (
+            ListingState::Listed(upstream) => (upstream, false),
+            ListingState::Unreadable => (
                 Upstream {
                     leaving: true,
                     ..held()?
                 },
                 false,
             ),
-            Sighting::Gone => (held()?, true),
+            ListingState::Gone => (held()?, true),
         };
         Some(Entry {
             revision,
@@ -242,12 +242,12 @@
     /// older position receive all upstreams.
     pub(crate) fn take_watched<S>(&mut self, at: Position, changes: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
-        S: Into<Sighting>,
+        S: Into<ListingState>,
     {
-        let mut last: BTreeMap<UpstreamId, (Revision, Sighting)> = BTreeMap::new();
+        let mut last: BTreeMap<UpstreamId, (Revision, ListingState)> = BTreeMap::new();
         for (id, revision, sighting) in changes {
             let sighting = sighting.into();
-            if let (Some((_, Sighting::Listed(held))), Sighting::Listed(new)) = (last.get(&id), &sighting)
+            if let (Some((_, ListingState::Listed(held))), ListingState::Listed(new)) = (last.get(&id), &sighting)
                 && new.is_earlier_start(held)
             {
                 continue;
--- a/crates/flow/src/evacuations.rs
+++ b/crates/flow/src/evacuations.rs
@@ -23,7 +23,7 @@
 
 /// The evacuations that an instance holds.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Held {
+pub(crate) struct EvacuationState {
     current: Evacuations,
     /// The latest position at which the platform listed exactly these zones. It may be later than the position that is
     /// sent to other instances, which need not be notified when nothing has changed.
@@ -33,7 +33,7 @@
     kept: Grace<ZoneName, bool>,
 }
 
-impl Held {
+impl EvacuationState {
     pub(crate) fn current(&self) -> &Evacuations {
         &self.current
     }
--- a/crates/flow/src/flows.rs
+++ b/crates/flow/src/flows.rs
@@ -13,7 +13,7 @@
 
 /// The minimum interval between two retransmissions that both count. A sender waits 200 milliseconds before the first
 /// retransmission, and longer before each further one.
-pub(crate) const COPY_SPACE: Duration = Duration::from_millis(120);
+pub(crate) const MIN_RETRANSMISSION_INTERVAL: Duration = Duration::from_millis(120);
 
 /// Identifies a flow by its two addresses, which are the same for the client, the upstream and every instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -68,12 +68,12 @@
     /// The number of the upstream's stall that this flow was last counted in.
     pub(crate) counted_in: u32,
     /// The latest request, while its outcome is unknown.
-    pub(crate) asked: Option<Asked>,
+    pub(crate) asked: Option<OpenRequest>,
 }
 
 /// A request whose outcome is not known yet.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asked {
+pub(crate) struct OpenRequest {
     /// When it came.
     pub(crate) at: Time,
     /// The client's acknowledgement number when the request arrived.
@@ -98,7 +98,7 @@
 
 /// What a packet reveals about the upstream of its flow.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Sign {
+pub(crate) struct Observation {
     /// Whether the upstream has sent new data or accepted the connection.
     pub(crate) is_progress: bool,
     /// If the packet shows that the upstream responded to something, when that was sent to the upstream.
@@ -137,13 +137,13 @@
     }
 
     /// Processes a packet that does not open a flow.
-    pub(crate) fn see(&mut self, packet: &Packet, now: Time) -> Sign {
+    pub(crate) fn see(&mut self, packet: &Packet, now: Time) -> Observation {
         self.last_seen = now;
         let stage = std::mem::replace(&mut self.stage, Stage::Open);
-        let mut sign = Sign {
+        let mut sign = Observation {
             reached: (stage == Stage::Opening).then_some(self.first_seen),
             opened_after: (stage == Stage::Opening).then(|| now.since(self.first_seen)),
-            ..Sign::default()
+            ..Observation::default()
         };
         if stage == Stage::Opening || is_ahead(packet.ack, self.client_ack) {
             self.client_ack = packet.ack;
@@ -187,7 +187,7 @@
     /// Starts a new request. Returns the length of the response to the previous one.
     fn ask(&mut self, now: Time) -> Option<u32> {
         let answered = self.answered();
-        self.asked = Some(Asked {
+        self.asked = Some(OpenRequest {
             at: now,
             ack: self.client_ack,
             progress_at: None,
@@ -208,7 +208,7 @@
     /// Counts a retransmission. Retransmissions that arrive together were delayed on the way here, or this process was
     /// paused; they reveal nothing about the upstream.
     fn note_copy(&mut self, seq: u32, now: Time) -> bool {
-        let is_spaced = now.since(self.copied_at) >= COPY_SPACE;
+        let is_spaced = now.since(self.copied_at) >= MIN_RETRANSMISSION_INTERVAL;
         if seq != self.seq || !is_spaced {
             return false;
         }
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -11,7 +11,7 @@
 use crate::grounds::Grounds;
 use crate::loss;
 use crate::loss::Percent;
-use crate::outcome::Record;
+use crate::outcome::AttemptRecord;
 use crate::report::Report;
 use crate::report::ReporterId;
 use crate::upstream::UpstreamId;
@@ -101,7 +101,7 @@
     /// When the next new flow may go to it from here, while it is cold and its operators tell what it bears.
     pub(crate) cold_next: Time,
     /// How tries at it end.
-    pub(crate) record: Record,
+    pub(crate) record: AttemptRecord,
     /// Whether it gets new flows in spite of that.
     pub(crate) ejection: Ejection,
 }
--- a/crates/flow/src/knowledge.rs
+++ b/crates/flow/src/knowledge.rs
@@ -19,19 +19,19 @@
 
 use crate::documents::Documents;
 use crate::documents::Update;
-use crate::entries::Changed;
+use crate::entries::ChangedUpstreams;
 use crate::entries::Entries;
 use crate::entries::Entry;
 use crate::evacuations;
 use crate::evacuations::Evacuations;
 use crate::route::Document;
-use crate::upstream::Sighting;
+use crate::upstream::ListingState;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
 /// The weight of an epoch, in revisions, when a position is expressed as one number. It is far more than the revisions
 /// that any store assigns.
-const REVISIONS: u64 = 1 << 40;
+const REVISIONS_PER_EPOCH: u64 = 1 << 40;
 
 /// The positions in the store's history of the parts of an instance's knowledge, zero for unknown parts.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -73,7 +73,7 @@
 pub struct Knowledge {
     /// Whether no flow may be placed before the evacuated zones are known.
     awaits_evacuations: bool,
-    evacuations: evacuations::Held,
+    evacuations: evacuations::EvacuationState,
     documents: Documents,
     upstreams: Entries,
 }
@@ -119,7 +119,7 @@
     }
 
     /// Returns the upstreams that have changed since the last call.
-    pub(crate) fn take_changed(&mut self) -> Changed {
+    pub(crate) fn take_changed(&mut self) -> ChangedUpstreams {
         self.upstreams.take_changed()
     }
 
@@ -242,7 +242,7 @@
     /// Applies a complete list of upstreams as of a position. Returns whether anything has changed.
     pub fn take_list<S>(&mut self, at: impl Into<Position>, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
-        S: Into<Sighting>,
+        S: Into<ListingState>,
     {
         self.upstreams.take_list(at.into(), list, now)
     }
@@ -255,7 +255,7 @@
         now: Time,
     ) -> bool
     where
-        S: Into<Sighting>,
+        S: Into<ListingState>,
     {
         self.upstreams.take_watched(at.into(), changes, now)
     }
@@ -274,5 +274,5 @@
 /// Expresses a position as one number that grows with it.
 fn as_number(at: Position) -> u64 {
     let Position { epoch, revision } = at;
-    epoch.0.saturating_mul(REVISIONS).saturating_add(revision.0)
+    epoch.0.saturating_mul(REVISIONS_PER_EPOCH).saturating_add(revision.0)
 }
--- a/crates/flow/src/loss.rs
+++ b/crates/flow/src/loss.rs
@@ -16,19 +16,19 @@
 /// The number of loss-free prior attempts, so that a single loss does not look frequent.
 const PRIOR_ATTEMPTS: f64 = 20.0;
 /// The lower limit of the loss ratio, assumed where no loss has been seen.
-const LEAST_LOSS: f64 = 0.01;
+const MIN_LOSS: f64 = 0.01;
 /// The upper limit of the loss ratio. Above it a dead upstream could not be told from loss.
-const MOST_LOSS: f64 = 0.6;
+const MAX_LOSS: f64 = 0.6;
 /// The probability with which a live upstream may be declared dead, as a negative natural logarithm: one in two
 /// hundred thousand.
-const RARITY: f64 = 12.2;
+const FALSE_POSITIVE_EXPONENT: f64 = 12.2;
 
 /// The same probability for decisions that are shared with all instances: one in ten million. It is lower because a
 /// wrong status resets the flows of all instances, and a large fleet makes more such decisions.
-const SHARED_RARITY: f64 = 16.1;
+const SHARED_FALSE_POSITIVE_EXPONENT: f64 = 16.1;
 /// The lower limit of the loss ratio for shared decisions. With the attempts of many instances, a smaller loss ratio
 /// would be visible than at a single instance.
-const SHARED_LEAST_LOSS: f64 = 0.0045;
+const SHARED_MIN_LOSS: f64 = 0.0045;
 
 /// The number of packets that an instance has sent recently, and the number of them that were lost.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 }
 
 fn share(losses: f64, attempts: f64) -> f64 {
-    (losses / (PRIOR_ATTEMPTS + attempts)).min(MOST_LOSS)
+    (losses / (PRIOR_ATTEMPTS + attempts)).min(MAX_LOSS)
 }
 
 /// A loss ratio in percent.
@@ -93,12 +93,12 @@
 
 /// The number of consecutive waiting flows that chance no longer explains.
 pub(crate) fn flows_beyond_chance(loss: Percent) -> u32 {
-    let loss = (f64::from(loss) / 100.0).clamp(LEAST_LOSS, MOST_LOSS);
-    (RARITY / -loss.ln()).ceil() as u32
+    let loss = (f64::from(loss) / 100.0).clamp(MIN_LOSS, MAX_LOSS);
+    (FALSE_POSITIVE_EXPONENT / -loss.ln()).ceil() as u32
 }
 
 /// The number of consecutive packets lost over all instances that chance no longer explains.
 pub(crate) fn signs_beyond_chance(share: f64) -> u32 {
-    let share = share.clamp(SHARED_LEAST_LOSS, MOST_LOSS);
-    (SHARED_RARITY / -share.ln()).ceil() as u32
+    let share = share.clamp(SHARED_MIN_LOSS, MAX_LOSS);
+    (SHARED_FALSE_POSITIVE_EXPONENT / -share.ln()).ceil() as u32
 }
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -16,24 +16,24 @@
 use crate::upstream::UpstreamId;
 
 /// The decay time constant of a service's baseline failure ratio.
-const USUAL_SPAN: Duration = Duration::from_secs(2);
+const BASELINE_SPAN: Duration = Duration::from_secs(2);
 /// The lower limit of the baseline failure ratio. It covers packet loss, clients that disconnect, and responses that
 /// are short by nature.
-const LEAST_USUAL: f64 = 0.03;
+const MIN_BASELINE: f64 = 0.03;
 /// The number of prior attempts, assumed to fail at the baseline lower limit, so that one failure among a few attempts
 /// does not raise the baseline.
-const PRIOR_TRIES: f64 = 20.0;
+const PRIOR_ATTEMPTS: f64 = 20.0;
 /// The upper limit of the baseline failure ratio. Above it the cause is common to all upstreams, so no upstream is
 /// blamed.
-const MOST_USUAL: f64 = 0.4;
+const MAX_BASELINE: f64 = 0.4;
 /// The failure ratio that the test assumes for a failing upstream: at least the first value, and at least the second
 /// as a multiple of the baseline.
-const LEAST_FAILING: f64 = 0.3;
+const MIN_FAILING: f64 = 0.3;
 const FAILING_FACTOR: f64 = 2.0;
 /// The detection threshold, as a log-likelihood ratio. It bounds false positives: an upstream whose failure ratio
 /// equals the baseline is detected at most once in a million attempts. At an actual failure ratio of half a percent, a
 /// sixth of the assumed minimum, none of fourteen upstreams was detected in a million attempts.
-const ENOUGH: f64 = 13.8;
+const DETECTION_THRESHOLD: f64 = 13.8;
 
 /// The decay time constant of the rate of attempts at an upstream.
 const RATE_SPAN: Duration = Duration::from_secs(10);
@@ -78,19 +78,19 @@
 
 impl Tally {
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
-        self.tried.add(1, USUAL_SPAN, now);
+        self.tried.add(1, BASELINE_SPAN, now);
         if outcome.is_bad() {
-            self.failed.add(1, USUAL_SPAN, now);
+            self.failed.add(1, BASELINE_SPAN, now);
         }
     }
 
     /// The failure ratio of the upstreams other than the one whose tally is `own`. Where there are only a few
     /// upstreams, the failures of one would otherwise raise its own baseline.
     pub(crate) fn usual_without(&self, own: &Self, now: Time) -> f64 {
-        let tried = self.tried.value(USUAL_SPAN, now) - own.tried.value(USUAL_SPAN, now);
-        let failed = self.failed.value(USUAL_SPAN, now) - own.failed.value(USUAL_SPAN, now);
-        let share = (failed + PRIOR_TRIES * LEAST_USUAL) / (tried + PRIOR_TRIES);
-        share.clamp(LEAST_USUAL, MOST_USUAL)
+        let tried = self.tried.value(BASELINE_SPAN, now) - own.tried.value(BASELINE_SPAN, now);
+        let failed = self.failed.value(BASELINE_SPAN, now) - own.failed.value(BASELINE_SPAN, now);
+        let share = (failed + PRIOR_ATTEMPTS * MIN_BASELINE) / (tried + PRIOR_ATTEMPTS);
+        share.clamp(MIN_BASELINE, MAX_BASELINE)
     }
 }
 
@@ -107,7 +107,7 @@
 
 /// Attempts at one upstream, observed here and by the instances that report to this one.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Record {
+pub(crate) struct AttemptRecord {
     tries: Decayed,
     since: Option<Time>,
     /// The attempts at this upstream that are included in the tally of its service.
@@ -117,7 +117,7 @@
     evidence: Evidence,
 }
 
-impl Record {
+impl AttemptRecord {
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
         self.since.get_or_insert(now);
         self.tries.add(1, RATE_SPAN, now);
@@ -153,7 +153,7 @@
         let told = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
         let rate = f64::midpoint(self.rate(now), told) * f64::from(instances.max(1));
         self.evidence.add(report.failed, rate, usual, now);
-        self.evidence.score >= ENOUGH
+        self.evidence.score >= DETECTION_THRESHOLD
     }
 
     /// Discards the evidence after it has been acted on.
@@ -172,7 +172,7 @@
 
 impl Evidence {
     fn add(&mut self, failed: u16, rate: f64, usual: f64, now: Time) {
-        let failing = (usual * FAILING_FACTOR).max(LEAST_FAILING);
+        let failing = (usual * FAILING_FACTOR).max(MIN_FAILING);
         let for_bad = (failing / usual).ln();
         let for_good = ((1.0 - failing) / (1.0 - usual)).ln();
         let tried = rate * now.since(self.at).as_secs_f64();
--- a/crates/flow/src/place.rs
+++ b/crates/flow/src/place.rs
@@ -7,7 +7,7 @@
 use units::Time;
 use units::ZoneName;
 
-use crate::directory::Listed;
+use crate::directory::DirectoryEntry;
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
@@ -74,7 +74,7 @@
 }
 
 impl View {
-    pub(crate) fn new(listed: &Listed, health: &Health, now: Time) -> Self {
+    pub(crate) fn new(listed: &DirectoryEntry, health: &Health, now: Time) -> Self {
         let flows = f64::from(health.flows);
         let load = flows * FLOW_WEIGHT + health.activity(now);
         Self {
@@ -171,7 +171,14 @@
 /// Flows that others lead to another zone's upstreams can't be seen from here. They are taken to be as busy as those
 /// of one's own zone at least; without that, idle as they look, they would draw flows away from a zone in good order.
 /// Response times count squared, so that an upstream that answers twice as slowly gets a quarter of the flows.
-pub(crate) fn cost(listed: &Listed, view: View, peers: &Peers, zone: &ZoneName, now: Time, rng: &mut SmallRng) -> f64 {
+pub(crate) fn cost(
+    listed: &DirectoryEntry,
+    view: View,
+    peers: &Peers,
+    zone: &ZoneName,
+    now: Time,
+    rng: &mut SmallRng,
+) -> f64 {
     let mut cost = if listed.upstream().zone == *zone {
         BASE_LOAD + view.load
     } else {
--- a/crates/flow/src/route.rs
+++ b/crates/flow/src/route.rs
@@ -104,7 +104,7 @@
 
 /// The parts of a document that affect decisions, in the order in which its digest covers them.
 #[derive(Serialize)]
-struct InForce<'a> {
+struct DigestInput<'a> {
     revision: Revision,
     routes: &'a BTreeMap<String, Route>,
     idle_timeout: Duration,
@@ -134,7 +134,7 @@
     /// The digest of the parts that affect decisions. All instances that hold the same document compute the same
     /// digest.
     pub fn digest(&self) -> Digest {
-        let in_force = InForce {
+        let in_force = DigestInput {
             revision: self.revision,
             routes: &self.routes,
             idle_timeout: self.idle_timeout,
--- a/crates/flow/src/upstream.rs
+++ b/crates/flow/src/upstream.rs
@@ -15,7 +15,7 @@
 use crate::packet::Echo;
 
 /// Identifies an upstream. A restart at the same address usually has another id; a restart under the same id is
-/// distinguished by its [`Start`].
+/// distinguished by its [`StartTime`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamId(pub u64);
@@ -24,9 +24,9 @@
 /// under the same id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Start(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for Start {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -73,7 +73,7 @@
 /// Instances exchange it as a tuple without field names, which halves its size to about 50 bytes. This matters because
 /// each instance that starts receives thousands of entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "Told", into = "Told")]
+#[serde(from = "UpstreamTuple", into = "UpstreamTuple")]
 pub struct Upstream {
     /// The service that the upstream runs, as named in the route document.
     pub service: CompactString,
@@ -88,7 +88,7 @@
     /// The remaining time for which it was cold after its start, as of the writing of this entry.
     pub cold_for: Duration,
     /// The start time, if the entry has one.
-    pub started: Option<Start>,
+    pub started: Option<StartTime>,
 }
 
 impl Upstream {
@@ -108,7 +108,7 @@
 
 /// The state of an upstream in the platform's directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Sighting {
+pub enum ListingState {
     /// The upstream is listed.
     Listed(Upstream),
     /// The entry can't be parsed: it identifies no usable upstream, and says nothing about the previously listed one.
@@ -117,13 +117,13 @@
     Gone,
 }
 
-impl From<Upstream> for Sighting {
+impl From<Upstream> for ListingState {
     fn from(upstream: Upstream) -> Self {
         Self::Listed(upstream)
     }
 }
 
-impl From<Option<Upstream>> for Sighting {
+impl From<Option<Upstream>> for ListingState {
     fn from(upstream: Option<Upstream>) -> Self {
         upstream.map_or(Self::Gone, Self::Listed)
     }
@@ -131,10 +131,18 @@
 
 /// The serialised form of an upstream between instances: service, address, zone, slots, whether it is leaving, the
 /// remaining cold time in milliseconds, and the start time.
-type Told = (CompactString, SocketAddrV4, ZoneName, Slots, bool, u64, Option<Start>);
-
-impl From<Told> for Upstream {
-    fn from((service, address, zone, slots, leaving, cold_ms, started): Told) -> Self {
+type UpstreamTuple = (
+    CompactString,
+    SocketAddrV4,
+    ZoneName,
+    Slots,
+    bool,
+    u64,
+    Option<StartTime>,
+);
+
+impl From<UpstreamTuple> for Upstream {
+    fn from((service, address, zone, slots, leaving, cold_ms, started): UpstreamTuple) -> Self {
         Self {
             service,
             address,
@@ -147,7 +155,7 @@
     }
 }
 
-impl From<Upstream> for Told {
+impl From<Upstream> for UpstreamTuple {
     fn from(upstream: Upstream) -> Self {
         let cold_ms = u64::try_from(upstream.cold_for.as_millis()).unwrap_or(u64::MAX);
         (
--- a/crates/flow/src/warning.rs
+++ b/crates/flow/src/warning.rs
@@ -33,7 +33,7 @@
 /// The fallback for a value that can't be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reading {
+pub enum Fallback {
     /// Requests run at most once.
     Once,
     /// The value is treated as missing.
@@ -48,7 +48,7 @@
     LongestIdle,
 }
 
-impl fmt::Display for Reading {
+impl fmt::Display for Fallback {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Once => "requests run once at most",
@@ -71,11 +71,11 @@
     /// The value as written, truncated if it is long.
     pub value: String,
     /// The fallback.
-    pub reading: Reading,
+    pub reading: Fallback,
 }
 
 impl Warning {
-    pub(crate) fn new(subject: Subject, field: &str, value: &str, reading: Reading) -> Self {
+    pub(crate) fn new(subject: Subject, field: &str, value: &str, reading: Fallback) -> Self {
         Self {
             subject,
             field: field.to_owned(),
--- a/crates/flow/tests/directory.rs
+++ b/crates/flow/tests/directory.rs
@@ -8,9 +8,9 @@
 
 use flow::Core;
 use flow::Evacuations;
+use flow::ListingState;
 use flow::Options;
-use flow::Sighting;
-use flow::Start;
+use flow::StartTime;
 use flow::Upstream;
 use flow::UpstreamId;
 use rand::RngExt;
@@ -46,15 +46,15 @@
         slots: Slots(2),
         leaving: rng.random_bool(0.2),
         cold_for: Duration::from_millis(rng.random_range(0..3)),
-        started: Some(Start(rng.random_range(1..5))),
+        started: Some(StartTime(rng.random_range(1..5))),
     }
 }
 
-fn sighting(rng: &mut SmallRng) -> Sighting {
+fn sighting(rng: &mut SmallRng) -> ListingState {
     match rng.random_range(0..6) {
-        0 => Sighting::Gone,
-        1 => Sighting::Unreadable,
-        _ => Sighting::Listed(upstream(rng)),
+        0 => ListingState::Gone,
+        1 => ListingState::Unreadable,
+        _ => ListingState::Listed(upstream(rng)),
     }
 }
 
@@ -94,7 +94,7 @@
         self.at
     }
 
-    fn sightings(&mut self, likely: f64) -> Vec<(UpstreamId, Revision, Sighting)> {
+    fn sightings(&mut self, likely: f64) -> Vec<(UpstreamId, Revision, ListingState)> {
         let revision = self.at.revision;
         let rng = &mut self.rng;
         let chosen = self.ids.iter().filter(|_| rng.random_bool(likely));
--- a/crates/flow/tests/draft.rs
+++ b/crates/flow/tests/draft.rs
@@ -8,20 +8,20 @@
 use flow::Decision;
 use flow::Document;
 use flow::Echo;
+use flow::Fallback;
 use flow::Flags;
 use flow::Options;
 use flow::Packet;
-use flow::Reading;
 use flow::ResetCause;
 use flow::Subject;
 use flow::Upstream;
 use flow::UpstreamId;
 use flow::Verdict;
 use flow::draft;
+use flow::draft::DraftValue;
 use flow::draft::Kind;
 use flow::draft::LONGEST_IDLE;
 use flow::draft::NoRouteError;
-use flow::draft::Told;
 use units::Position;
 use units::Revision;
 use units::Slots;
@@ -34,17 +34,17 @@
 
 fn share(service: &str) -> draft::Share {
     draft::Share {
-        service: Told::Known(service.to_owned()),
-        weight: Told::Known(Weight(1)),
+        service: DraftValue::Known(service.to_owned()),
+        weight: DraftValue::Known(Weight(1)),
     }
 }
 
 fn route(port: u16) -> draft::Route {
     draft::Route {
         name: format!("r-{port}"),
-        address: Told::Known(address(port)),
-        kind: Told::Known(Kind::Idempotent),
-        aim: Told::Known(Duration::from_millis(120)),
+        address: DraftValue::Known(address(port)),
+        kind: DraftValue::Known(Kind::Idempotent),
+        aim: DraftValue::Known(Duration::from_millis(120)),
         shares: vec![share("search")],
     }
 }
@@ -53,13 +53,13 @@
     draft::Document {
         revision: Revision(revision),
         routes,
-        idle_timeout: Told::Known(Duration::from_secs(15)),
+        idle_timeout: DraftValue::Known(Duration::from_secs(15)),
         services: Vec::new(),
     }
 }
 
-fn unknown<T>() -> Told<T> {
-    Told::Unknown("later".to_owned())
+fn unknown<T>() -> DraftValue<T> {
+    DraftValue::Unknown("later".to_owned())
 }
 
 /// Reads a document of two routes, the first of which was changed.
@@ -70,7 +70,7 @@
 }
 
 /// The one warning of a document.
-fn warning(document: &Document) -> (Subject, Reading) {
+fn warning(document: &Document) -> (Subject, Fallback) {
     let [warning] = document.warnings.as_slice() else {
         panic!("one warning expected: {:?}", document.warnings);
     };
@@ -79,9 +79,9 @@
 
 #[test]
 fn a_route_whose_kind_is_unknown_is_served_and_runs_once_at_most() {
-    for kind in [unknown(), Told::Absent] {
+    for kind in [unknown(), DraftValue::Absent] {
         let document = read(|route| route.kind = kind);
-        assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Reading::Once));
+        assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Fallback::Once));
         assert!(!document.routes["r-1"].idempotent && document.routes["r-2"].idempotent);
     }
 }
@@ -89,23 +89,26 @@
 #[test]
 fn a_value_that_little_hangs_on_is_taken_for_not_told() {
     let document = read(|route| route.aim = unknown());
-    assert_eq!(warning(&document).1, Reading::Absent);
+    assert_eq!(warning(&document).1, Fallback::Absent);
     assert_eq!(document.routes["r-1"].aim, Duration::ZERO);
-    let not_told = read(|route| route.aim = Told::Absent);
+    let not_told = read(|route| route.aim = DraftValue::Absent);
     assert_eq!(not_told.warnings, []);
 
-    let mut draft = document_with_service(unknown(), Told::Known("4".parse().unwrap()));
+    let mut draft = document_with_service(unknown(), DraftValue::Known("4".parse().unwrap()));
     let cold = Document::try_from(draft.clone()).unwrap();
-    assert_eq!(warning(&cold), (Subject::Service("search".to_owned()), Reading::Absent));
+    assert_eq!(
+        warning(&cold),
+        (Subject::Service("search".to_owned()), Fallback::Absent)
+    );
     assert_eq!(cold.cold_starts["search"].lasts, Duration::ZERO);
     draft.idle_timeout = unknown();
     draft.services.clear();
     let idle = Document::try_from(draft).unwrap();
-    assert_eq!(warning(&idle), (Subject::Document, Reading::LongestIdle));
+    assert_eq!(warning(&idle), (Subject::Document, Fallback::LongestIdle));
     assert_eq!(idle.idle_timeout, LONGEST_IDLE);
 }
 
-fn document_with_service(lasts: Told<Duration>, rate: Told<units::Rate>) -> draft::Document {
+fn document_with_service(lasts: DraftValue<Duration>, rate: DraftValue<units::Rate>) -> draft::Document {
     let service = draft::Service {
         name: "search".to_owned(),
         lasts,
@@ -122,19 +125,19 @@
     let document = read(|route| {
         route.shares.push(draft::Share {
             service: unknown(),
-            weight: Told::Known(Weight(3)),
+            weight: DraftValue::Known(Weight(3)),
         });
     });
-    assert_eq!(warning(&document).1, Reading::ShareLeftOut);
+    assert_eq!(warning(&document).1, Fallback::ShareLeftOut);
     assert_eq!(document.routes["r-1"].shares.len(), 1);
 
     let document = read(|route| {
         route.shares.push(draft::Share {
-            service: Told::Known("photos".to_owned()),
+            service: DraftValue::Known("photos".to_owned()),
             weight: unknown(),
         });
     });
-    assert_eq!(warning(&document).1, Reading::NoWeight);
+    assert_eq!(warning(&document).1, Fallback::NoWeight);
     for port in 1..200 {
         let client = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
         assert_eq!(document.routes["r-1"].service_for(client), Some("search"));
@@ -146,7 +149,10 @@
     let without_services = |route: &mut draft::Route| route.shares.clear();
     let without_address = |route: &mut draft::Route| route.address = unknown();
     for document in [read(without_services), read(without_address)] {
-        assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Reading::LeftOut));
+        assert_eq!(
+            warning(&document),
+            (Subject::Route("r-1".to_owned()), Fallback::LeftOut)
+        );
         assert_eq!(document.routes.keys().collect::<Vec<_>>(), ["r-2"]);
     }
 }
--- a/crates/flow/tests/knowledge.rs
+++ b/crates/flow/tests/knowledge.rs
@@ -10,7 +10,7 @@
 use flow::Evacuations;
 use flow::Knowledge;
 use flow::Route;
-use flow::Start;
+use flow::StartTime;
 use flow::Upstream;
 use flow::UpstreamId;
 use proptest::collection::vec;
@@ -189,7 +189,7 @@
     fn put(&mut self, id: u64, leaving: bool) {
         self.puts += 1;
         let upstream = Upstream {
-            started: self.starts.get(&id).copied().map(Start),
+            started: self.starts.get(&id).copied().map(StartTime),
             ..upstream(leaving, self.puts)
         };
         self.change(|state| state.put(UpstreamId(id), upstream.clone()));
--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -27,6 +27,7 @@
 use flow::Evacuations;
 use flow::FailureReport;
 use flow::Flags;
+use flow::ListingState;
 use flow::Options;
 use flow::Packet;
 use flow::Report;
@@ -34,9 +35,8 @@
 use flow::Route;
 use flow::Sample;
 use flow::Share;
-use flow::Sighting;
 use flow::Standing;
-use flow::Start;
+use flow::StartTime;
 use flow::Status;
 use flow::Upstream;
 use flow::UpstreamId;
@@ -258,11 +258,11 @@
             let id: UpstreamId = words[0].parse().unwrap();
             let revision = Revision(self.revision);
             if words[1] == "gone" {
-                changes.push((id, revision, Sighting::Gone));
+                changes.push((id, revision, ListingState::Gone));
                 continue;
             }
             if words[1] == "unreadable" {
-                changes.push((id, revision, Sighting::Unreadable));
+                changes.push((id, revision, ListingState::Unreadable));
                 continue;
             }
             let value = |name: &str| words.iter().find_map(|word| word.strip_prefix(name));
@@ -275,10 +275,10 @@
                 slots: Slots(value("slots=").map_or(2, |slots| slots.parse().unwrap())),
                 leaving: words.contains(&"leaving"),
                 cold_for: Duration::from_millis(value("cold=").map_or(0, millis)),
-                started: value("started=").map(|started| Start(millis(started))),
+                started: value("started=").map(|started| StartTime(millis(started))),
             };
             self.upstreams.insert(id, upstream.clone());
-            changes.push((id, revision, Sighting::Listed(upstream)));
+            changes.push((id, revision, ListingState::Listed(upstream)));
         }
         let at = Revision(self.revision);
         let now = self.now;
