--- a/crates/flow/benches/support/mod.rs
+++ b/crates/flow/benches/support/mod.rs
@@ -69,7 +69,7 @@
         warnings: Vec::new(),
     };
     core.learn(START, |knowledge| {
-        knowledge.take_list(Revision(2), list, START) | knowledge.take_document(Revision(1), document)
+        knowledge.apply_list(Revision(2), list, START) | knowledge.apply_document(Revision(1), document)
     });
     core
 }
--- a/crates/flow/examples/upstream_memory.rs
+++ b/crates/flow/examples/upstream_memory.rs
@@ -46,7 +46,7 @@
             });
             let changes: Vec<_> = changes.collect();
             core.learn(START, |knowledge: &mut Knowledge| {
-                knowledge.take_watched(Revision(at), changes, START)
+                knowledge.apply_watched(Revision(at), changes, START)
             });
         };
         let began = Instant::now();
--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -180,7 +180,7 @@
             return false;
         }
         if let Some(&(at, ref document)) = self.knowledge.document()
-            && !self.routes.are_of(at, document)
+            && !self.routes.are_from(at, document)
         {
             let warnings = document
                 .warnings
@@ -198,10 +198,10 @@
         }
         let mut changed = self.knowledge.take_changed();
         changed.is_all |= self.knowledge.evacuated() != evacuated;
-        let IndexUpdate { indexed, restarted } = self.directory.follow(&self.knowledge, &changed, now);
+        let IndexUpdate { indexed, restarted } = self.directory.apply_changes(&self.knowledge, &changed, now);
         self.stats.indexed += indexed;
         debug_assert!(
-            self.directory.is_of(&self.knowledge),
+            self.directory.matches(&self.knowledge),
             "the directory follows what is known"
         );
         for id in restarted {
@@ -221,7 +221,7 @@
     /// Its flows are over, but no reset is sent for them here: some may have been opened at the new start before this was
     /// known. The upstream itself resets those that it does not hold.
     fn forget_start(&mut self, id: UpstreamId) {
-        let flows = self.flows.take_of(id).len();
+        let flows = self.flows.take_by_upstream(id).len();
         self.health.remove(&id);
         self.decisions.push(Decision::Restarted { upstream: id, flows });
     }
@@ -229,7 +229,7 @@
     /// Decides what becomes of a packet from a client.
     pub fn packet(&mut self, packet: &Packet, now: Time) -> Verdict {
         self.settle_due(now);
-        let verdict = if packet.flags.has(Flags::SYN) {
+        let verdict = if packet.flags.contains(Flags::SYN) {
             self.open(packet, now)
         } else {
             self.carry(packet, now)
@@ -318,6 +318,6 @@
             }
         }
         let then = now.before(self.options.max_flow * 2);
-        self.learn(now, |knowledge| knowledge.settle(now) | knowledge.forget(then));
+        self.learn(now, |knowledge| knowledge.end_grace(now) | knowledge.forget(then));
     }
 }
--- a/crates/flow/src/core/carrying.rs
+++ b/crates/flow/src/core/carrying.rs
@@ -25,7 +25,7 @@
             return Verdict::Drop(unknown_echo(packet));
         };
         let key = FlowKey::from(packet);
-        if packet.flags.has(Flags::RST) || packet.flags.has(Flags::FIN) {
+        if packet.flags.contains(Flags::RST) || packet.flags.contains(Flags::FIN) {
             self.settle_last(&key, packet, now);
             self.close(&key);
             return self.forward(id);
@@ -36,7 +36,7 @@
             self.close(&key);
             return Verdict::Reset(reset_open(packet, ResetCause::Dead));
         }
-        if sign.is_copy && self.is_stalled(&key, now) {
+        if sign.is_retransmission && self.is_stalled(&key, now) {
             self.close(&key);
             return Verdict::Reset(reset_open(packet, ResetCause::Stalled));
         }
@@ -53,14 +53,14 @@
         let Some(flow) = self.flows.get_mut(key) else {
             return Observation::default();
         };
-        let sign = flow.see(packet, now);
+        let sign = flow.observe(packet, now);
         let health = self.health.entry(id).or_default();
         let progress = if sign.is_progress {
             health.note_progress(now)
         } else {
             Progress::default()
         };
-        if let Some(at) = sign.reached {
+        if let Some(at) = sign.answered_sent_at {
             self.answered.note(id, at, now);
         }
         self.loss.note_losses(progress.losses, now);
@@ -68,7 +68,7 @@
             health.note_request(now);
             self.loss.note_attempt(now);
         }
-        if sign.is_copy {
+        if sign.is_retransmission {
             let is_lost = health.note_copy(flow, now);
             self.loss.note_losses(is_lost.into(), now);
             self.judge(id, now);
@@ -88,8 +88,8 @@
         };
         let is_at_home = listed.upstream().zone == self.options.zone;
         let waits = [
-            (WaitKind::Handshake, sign.opened_after),
-            (WaitKind::Response, sign.waited),
+            (WaitKind::Handshake, sign.handshake_time),
+            (WaitKind::Response, sign.response_time),
         ];
         for (kind, time) in waits {
             let Some(time) = time else {
--- a/crates/flow/src/core/evacuating.rs
+++ b/crates/flow/src/core/evacuating.rs
@@ -27,7 +27,7 @@
             self.decisions.push(Decision::Evacuated { zone, at, flows });
         }
         for zone in before.difference(&after) {
-            self.directory.chill_zone(zone, now);
+            self.directory.start_cold_period_in_zone(zone, now);
             let zone = zone.clone();
             self.decisions.push(Decision::Restored { zone, at });
         }
--- a/crates/flow/src/core/failing.rs
+++ b/crates/flow/src/core/failing.rs
@@ -68,16 +68,16 @@
         let Some(flow) = self.flows.get_mut(&check.key) else {
             return;
         };
-        let Some(asked) = flow.asked.filter(|asked| asked.at == check.began) else {
+        let Some(asked) = flow.request.filter(|asked| asked.at == check.began) else {
             return;
         };
         if asked.progress_at.is_some_and(|at| now.since(at) < WHOLE_AFTER) {
             return self.checks.request(check.key, check.began, now + WHOLE_AFTER);
         }
         let upstream = flow.upstream;
-        let is_sent_again = flow.pending.is_some_and(|pending| pending.copies > 0);
-        let answered = flow.answered();
-        flow.asked = None;
+        let is_sent_again = flow.pending.is_some_and(|pending| pending.retransmissions > 0);
+        let answered = flow.answer_len();
+        flow.request = None;
         if now.since(check.due) > LATEST {
             return;
         }
@@ -91,10 +91,10 @@
 
     /// Notes what a packet tells of tries that have ended or begun.
     pub(super) fn note_tries(&mut self, key: &FlowKey, id: UpstreamId, sign: Observation, now: Time) {
-        if sign.opened_after.is_some() {
+        if sign.handshake_time.is_some() {
             self.settle(id, Outcome::Good, now);
         }
-        if let Some(bytes) = sign.answered {
+        if let Some(bytes) = sign.answer_len {
             self.settle_answer(key, id, bytes, now);
         }
         let Some(service) = self.directory.get(id).map(|listed| &listed.upstream().service) else {
@@ -104,7 +104,7 @@
             Some(service) => service,
             None => self.services.entry(service.clone()).or_default(),
         };
-        if let Some(waited) = sign.waited {
+        if let Some(waited) = sign.response_time {
             service.note_response(waited);
             let sample = waited.as_secs_f64().max(service.least_response());
             self.health.entry(id).or_default().note_response(sample, now);
@@ -117,14 +117,14 @@
 
     /// A client ends its flow: the last answer is whole.
     pub(super) fn settle_last(&mut self, key: &FlowKey, packet: &Packet, now: Time) {
-        if !packet.flags.has(Flags::FIN) {
+        if !packet.flags.contains(Flags::FIN) {
             return;
         }
         let Some(flow) = self.flows.get_mut(key) else {
             return;
         };
-        flow.see(packet, now);
-        if let Some(bytes) = flow.answered() {
+        flow.observe(packet, now);
+        if let Some(bytes) = flow.answer_len() {
             let upstream = flow.upstream;
             self.settle_answer(key, upstream, bytes, now);
         }
@@ -144,7 +144,7 @@
         let health = self.health.entry(id).or_default();
         health.record.add(outcome, now);
         let was_ejected = health.ejection.is_ejected();
-        match health.ejection.settle(outcome, now) {
+        match health.ejection.note_outcome(outcome, now) {
             Transition::None => {}
             Transition::EjectedAgain => self.tell_standing(id),
             Transition::Readmitted => {
@@ -186,13 +186,13 @@
         let service = self.services.get(&listed.upstream().service);
         let health = self.health.entry(id).or_default();
         let usual = service.copied().unwrap_or_default().tally;
-        let usual = usual.usual_without(&health.record.tally, now);
-        let is_failing = health.record.hear(report, instances, usual, now);
+        let usual = usual.baseline_without(&health.record.tally, now);
+        let is_failing = health.record.add_report(report, instances, usual, now);
         if !is_failing || health.ejection.is_ejected() || !self.may_eject(id) {
             return;
         }
         let health = self.health.entry(id).or_default();
-        health.record.forget_evidence();
+        health.record.clear_evidence();
         health.ejection.eject(now);
         let usual_percent = (usual * 100.0).round() as u32;
         self.decisions.push(Decision::Ejected {
--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -74,7 +74,7 @@
         let flow = self.flows.get_mut(key)?;
         let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < MIN_RETRANSMISSION_INTERVAL;
         let id = flow.upstream;
-        let takes_flows = self.directory.get(id).is_some_and(DirectoryEntry::takes_flows);
+        let takes_flows = self.directory.get(id).is_some_and(DirectoryEntry::accepts_flows);
         (is_held_up && takes_flows).then_some(id)
     }
 
@@ -84,7 +84,7 @@
             let listed = self.directory.of_service(service).map(|(_, listed)| listed);
             listed.filter(|listed| listed.gone_since.is_none())
         };
-        if listed().any(|listed| listed.takes_flows() && listed.cold_rate(now).is_some()) {
+        if listed().any(|listed| listed.accepts_flows() && listed.cold_rate(now).is_some()) {
             return ResetCause::Cold;
         }
         if listed().any(|listed| listed.is_evacuated) {
@@ -111,13 +111,16 @@
     ///
     /// Of a service with very many upstreams some take turns, and all are looked at only where none of these is in good order.
     fn place(&mut self, service: &str, earlier: Option<UpstreamId>, now: Time) -> Option<Candidate> {
-        if let Some(next) = self.directory.next(service, &self.options.zone, self.first_turn) {
+        if let Some(next) = self
+            .directory
+            .next_candidates(service, &self.options.zone, self.first_turn)
+        {
             let best = self.best_of(&next, service, earlier, now);
             if let Some(best) = best.filter(|best| best.tier == Tier::Ready && Some(best.id) != earlier) {
                 return Some(best);
             }
         }
-        let all = self.directory.all_of(service).to_vec();
+        let all = self.directory.service_ids(service).to_vec();
         self.best_of(&all, service, earlier, now)
     }
 
@@ -166,7 +169,7 @@
 
 /// How good a choice an upstream is at best, `None` if it gets no new flows.
 fn tier(listed: &DirectoryEntry, health: Option<&Health>, now: Time) -> Option<Tier> {
-    if !listed.takes_flows() {
+    if !listed.accepts_flows() {
         return None;
     }
     if let Some(since) = listed.gone_since {
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -110,7 +110,7 @@
             return;
         }
         let there = self.outlook(&zone);
-        let is_silent = there.stalled >= loss::flows_beyond_chance(loss) && there.silent >= SILENT_IN_ZONE;
+        let is_silent = there.stalled >= loss::significant_flow_count(loss) && there.silent >= SILENT_IN_ZONE;
         if !is_silent || there.last_progress >= there.since {
             return;
         }
@@ -236,7 +236,7 @@
     /// Ends all flows of an upstream that is taken for dead, also those that are silent: a client whose flow is reset
     /// before its next request opens another one in time, and loses nothing.
     pub(super) fn give_up(&mut self, id: UpstreamId, was_dead: bool, grounds: Grounds) {
-        let flows = self.flows.take_of(id);
+        let flows = self.flows.take_by_upstream(id);
         let Some(health) = self.health.get_mut(&id) else {
             return;
         };
@@ -274,13 +274,13 @@
         let Some(health) = self.health.get(&flow.upstream) else {
             return false;
         };
-        let copies = u32::from(pending.copies);
+        let copies = u32::from(pending.retransmissions);
         let signs = copies + health.other_flows();
         let loss = self.loss.percent(now);
-        let is_beyond_chance = copies >= STALLED_COPIES && signs >= loss::flows_beyond_chance(loss);
+        let is_beyond_chance = copies >= STALLED_COPIES && signs >= loss::significant_flow_count(loss);
         let missed = health.expected_answers(now.since(pending.since), now);
         let is_silent = health.last_progress <= pending.since && missed >= MISSED_ANSWERS;
-        is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.copied_before_at))
+        is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.previously_sent_at))
     }
 
     /// Whether data for an upstream is answered with a reset, as the upstream was taken for dead a moment ago: the flow
--- a/crates/flow/src/core/standings.rs
+++ b/crates/flow/src/core/standings.rs
@@ -40,7 +40,7 @@
     /// An upstream that was taken for dead has answered. All are told who were told that it is silent. It may have started
     /// again, which its entry tells only later, so it counts as cold.
     pub(super) fn note_revived(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
-        self.directory.chill(id, now);
+        self.directory.start_cold_period(id, now);
         self.decisions.push(Decision::Revived(id));
         let was_told = self.health.get_mut(&id).is_some_and(Health::take_told_silent);
         if was_told {
@@ -97,7 +97,7 @@
         let id = standing.upstream;
         let health = self.health.entry(id).or_default();
         let was_ejected = health.ejection.is_ejected();
-        if !health.ejection.follow(standing.round, is_out, now) {
+        if !health.ejection.apply_report(standing.round, is_out, now) {
             return;
         }
         self.heard.push((now, *standing));
--- a/crates/flow/src/core/warming.rs
+++ b/crates/flow/src/core/warming.rs
@@ -27,7 +27,7 @@
 impl Core {
     /// The upstreams that are cold and whose operators tell what they bear.
     pub fn rationed(&self, now: Time) -> Vec<UpstreamId> {
-        self.directory.rationed(now)
+        self.directory.rate_limited(now)
     }
 
     /// This instance keeps these of them from now on, and no others.
--- a/crates/flow/src/directory.rs
+++ b/crates/flow/src/directory.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether it may receive new flows, regardless of its health. Existing flows stay.
-    pub(crate) fn takes_flows(&self) -> bool {
+    pub(crate) fn accepts_flows(&self) -> bool {
         !self.upstream().leaving && !self.is_evacuated
     }
 
@@ -61,15 +61,15 @@
 /// which errs on the safe side. The same revision may denote two different writes, one before and one after the store
 /// was restored from an older copy.
 fn cold_until(entry: &Entry, held: Option<&DirectoryEntry>, now: Time) -> Time {
-    let told = now + entry.upstream.cold_for;
+    let from_entry = now + entry.upstream.cold_for;
     let Some(held) = held else {
-        return told;
+        return from_entry;
     };
     let is_same_write = held.entry.revision == entry.revision && *held.upstream() == entry.upstream;
     if is_same_write || entry.upstream.cold_for.is_zero() {
         return held.cold_until;
     }
-    held.cold_until.max(told)
+    held.cold_until.max(from_entry)
 }
 
 /// The result of applying changes.
@@ -105,13 +105,18 @@
     ///
     /// Only the entries that changed are visited, unless operators have changed a setting for all upstreams of a
     /// service.
-    pub(crate) fn follow(&mut self, knowledge: &Knowledge, changed: &ChangedUpstreams, now: Time) -> IndexUpdate {
+    pub(crate) fn apply_changes(
+        &mut self,
+        knowledge: &Knowledge,
+        changed: &ChangedUpstreams,
+        now: Time,
+    ) -> IndexUpdate {
         let cold_starts = knowledge.document().map(|(_, document)| &document.cold_starts);
         let has_cold_starts = cold_starts.is_none_or(|cold_starts| *cold_starts == self.cold_starts);
         if !has_cold_starts {
             self.cold_starts = cold_starts.cloned().unwrap_or_default();
         }
-        let mut followed = IndexUpdate::default();
+        let mut update = IndexUpdate::default();
         if changed.is_all || !has_cold_starts {
             let gone = self.listed.keys().copied();
             let gone: Vec<UpstreamId> = gone.filter(|id| knowledge.entry(*id).is_none()).collect();
@@ -119,22 +124,22 @@
                 self.remove(id);
             }
             for (id, entry) in knowledge.entries() {
-                followed.add(id, self.put(id, entry, knowledge, now));
+                update.add(id, self.upsert(id, entry, knowledge, now));
             }
-            return followed;
+            return update;
         }
         for id in &changed.ids {
             let Some(entry) = knowledge.entry(*id) else {
                 self.remove(*id);
                 continue;
             };
-            followed.add(*id, self.put(*id, entry, knowledge, now));
+            update.add(*id, self.upsert(*id, entry, knowledge, now));
         }
-        followed
+        update
     }
 
     /// Inserts or updates one entry. Returns whether its upstream has restarted.
-    fn put(&mut self, id: UpstreamId, entry: &Arc<Entry>, knowledge: &Knowledge, now: Time) -> bool {
+    fn upsert(&mut self, id: UpstreamId, entry: &Arc<Entry>, knowledge: &Knowledge, now: Time) -> bool {
         let held = self.listed.get(&id);
         let has_restarted = held.is_some_and(|held| entry.upstream.is_other_start(held.upstream()));
         let is_indexed = held.is_some_and(|held| {
@@ -180,7 +185,7 @@
     }
 
     /// Whether the directory equals one that is rebuilt from `knowledge`.
-    pub(crate) fn is_of(&self, knowledge: &Knowledge) -> bool {
+    pub(crate) fn matches(&self, knowledge: &Knowledge) -> bool {
         let agrees = |id: UpstreamId, entry: &Arc<Entry>| {
             let Some(listed) = self.listed.get(&id) else {
                 return false;
@@ -189,9 +194,9 @@
             Arc::ptr_eq(entry, &listed.entry)
                 && listed.gone_since == knowledge.gone_since(id).filter(|_| entry.gone)
                 && listed.is_evacuated == knowledge.is_evacuated(zone)
-                && self.echoes.holds(listed.echo, id)
+                && self.echoes.contains(listed.echo, id)
                 && self.in_zone(zone).binary_search(&id).is_ok()
-                && self.all_of(service).binary_search(&id).is_ok()
+                && self.service_ids(service).binary_search(&id).is_ok()
         };
         let indexed: usize = self.by_zone.values().map(Vec::len).sum();
         let pooled: usize = self.by_service.values().map(|pool| pool.all().len()).sum();
@@ -210,14 +215,14 @@
     }
 
     /// All upstreams of a service, ordered by id.
-    pub(crate) fn all_of(&self, service: &str) -> &[UpstreamId] {
+    pub(crate) fn service_ids(&self, service: &str) -> &[UpstreamId] {
         self.by_service.get(service).map(Pool::all).unwrap_or_default()
     }
 
     /// The next candidates for a new flow from a zone, if the service has too many upstreams to consider all of them;
     /// otherwise `None`.
-    pub(crate) fn next(&mut self, service: &str, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
-        self.by_service.get_mut(service)?.next(zone, first)
+    pub(crate) fn next_candidates(&mut self, service: &str, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
+        self.by_service.get_mut(service)?.next_candidates(zone, first)
     }
 
     /// An upstream, if its echo is unique, so that packets can be routed back to it.
@@ -231,7 +236,7 @@
         &'a self,
         service: &str,
     ) -> impl Iterator<Item = (UpstreamId, &'a DirectoryEntry)> + use<'a> {
-        self.all_of(service).iter().filter_map(|id| self.reachable(*id))
+        self.service_ids(service).iter().filter_map(|id| self.reachable(*id))
     }
 
     /// The upstreams of an availability zone, ordered by id, including removed ones.
@@ -240,18 +245,18 @@
     }
 
     /// All cold upstreams with a limit for new flows, ordered by id.
-    pub(crate) fn rationed(&self, now: Time) -> Vec<UpstreamId> {
+    pub(crate) fn rate_limited(&self, now: Time) -> Vec<UpstreamId> {
         if self.cold_starts.values().all(|cold| cold.rate.is_none()) {
             return Vec::new();
         }
-        let rationed = self.listed.iter().filter(|(_, listed)| listed.cold_rate(now).is_some());
-        let mut ids: Vec<UpstreamId> = rationed.map(|(id, _)| *id).collect();
+        let rate_limited = self.listed.iter().filter(|(_, listed)| listed.cold_rate(now).is_some());
+        let mut ids: Vec<UpstreamId> = rate_limited.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
 
     /// Starts the cold period of an upstream, if operators have set a limit for its service.
-    pub(crate) fn chill(&mut self, id: UpstreamId, now: Time) {
+    pub(crate) fn start_cold_period(&mut self, id: UpstreamId, now: Time) {
         let Some(listed) = self.listed.get_mut(&id) else {
             return;
         };
@@ -263,9 +268,9 @@
     }
 
     /// Starts the cold period of all upstreams of a zone, where operators have set a limit.
-    pub(crate) fn chill_zone(&mut self, zone: &ZoneName, now: Time) {
+    pub(crate) fn start_cold_period_in_zone(&mut self, zone: &ZoneName, now: Time) {
         for id in self.in_zone(zone).to_vec() {
-            self.chill(id, now);
+            self.start_cold_period(id, now);
         }
     }
 
--- a/crates/flow/src/directory/echoes.rs
+++ b/crates/flow/src/directory/echoes.rs
@@ -10,7 +10,7 @@
 /// An index of upstreams by echo.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Echoes {
-    single: HashMap<Echo, UpstreamId>,
+    unique: HashMap<Echo, UpstreamId>,
     /// Echoes with two or more ids.
     shared: BTreeMap<Echo, BTreeSet<UpstreamId>>,
 }
@@ -18,11 +18,11 @@
 impl Echoes {
     /// The only upstream with this echo.
     pub(super) fn get(&self, echo: Echo) -> Option<UpstreamId> {
-        self.single.get(&echo).copied()
+        self.unique.get(&echo).copied()
     }
 
     /// Whether an id is indexed under this echo, alone or with others.
-    pub(super) fn holds(&self, echo: Echo, id: UpstreamId) -> bool {
+    pub(super) fn contains(&self, echo: Echo, id: UpstreamId) -> bool {
         let is_shared = || self.shared.get(&echo).is_some_and(|ids| ids.contains(&id));
         self.get(echo) == Some(id) || is_shared()
     }
@@ -32,9 +32,9 @@
             ids.insert(id);
             return;
         }
-        match self.single.insert(echo, id) {
+        match self.unique.insert(echo, id) {
             Some(held) if held != id => {
-                self.single.remove(&echo);
+                self.unique.remove(&echo);
                 self.shared.insert(echo, BTreeSet::from([held, id]));
             }
             Some(_) | None => {}
@@ -43,7 +43,7 @@
 
     pub(super) fn remove(&mut self, echo: Echo, id: UpstreamId) {
         let Some(ids) = self.shared.get_mut(&echo) else {
-            self.single.remove(&echo);
+            self.unique.remove(&echo);
             return;
         };
         ids.remove(&id);
@@ -53,7 +53,7 @@
         let last = ids.pop_first();
         self.shared.remove(&echo);
         if let Some(last) = last {
-            self.single.insert(echo, last);
+            self.unique.insert(echo, last);
         }
     }
 }
--- a/crates/flow/src/directory/pool.rs
+++ b/crates/flow/src/directory/pool.rs
@@ -44,15 +44,15 @@
     /// otherwise `None`.
     ///
     /// `first` differs between instances, so that they do not all start with the same candidates.
-    pub(crate) fn next(&mut self, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
+    pub(crate) fn next_candidates(&mut self, zone: &ZoneName, first: usize) -> Option<Vec<UpstreamId>> {
         if self.all.len() <= MAX_FULL_SCAN {
             return None;
         }
         self.turns = self.turns.wrapping_add(1);
-        let turn_of = |ids, count| turn(ids, first.wrapping_add(self.turns), count);
+        let candidates = |ids, count| rotate(ids, first.wrapping_add(self.turns), count);
         let near = self.by_zone.get(zone).map(Vec::as_slice).unwrap_or_default();
-        let mut next: Vec<UpstreamId> = turn_of(near, ZONE_SUBSET).collect();
-        next.extend(turn_of(&self.all, GLOBAL_SUBSET));
+        let mut next: Vec<UpstreamId> = candidates(near, ZONE_SUBSET).collect();
+        next.extend(candidates(&self.all, GLOBAL_SUBSET));
         next.sort_unstable();
         next.dedup();
         Some(next)
@@ -60,7 +60,7 @@
 }
 
 /// The next `count` ids in the rotation, for a given turn.
-fn turn(ids: &[UpstreamId], turn: usize, count: usize) -> impl Iterator<Item = UpstreamId> {
+fn rotate(ids: &[UpstreamId], turn: usize, count: usize) -> impl Iterator<Item = UpstreamId> {
     let begin = turn.wrapping_mul(count) % ids.len().max(1);
     let next = ids.iter().cycle().skip(begin);
     next.take(count.min(ids.len())).copied()
--- a/crates/flow/src/documents.rs
+++ b/crates/flow/src/documents.rs
@@ -141,7 +141,7 @@
     /// number decides which of two documents is newer, and the position only breaks ties. A store that was restored
     /// from an older copy lists documents that were replaced long ago, at later positions than any before: these
     /// documents are ignored, and only the position is recorded.
-    pub(crate) fn take(&mut self, at: Position, document: Document) -> bool {
+    pub(crate) fn accept(&mut self, at: Position, document: Document) -> bool {
         let Some((held_at, held)) = &self.current else {
             self.current = Some((at, document));
             return true;
@@ -182,8 +182,8 @@
         let Some((held_at, document)) = &self.current else {
             return Update::Nothing;
         };
-        let told = revision.unwrap_or(document.revision);
-        if told > document.revision || (told == document.revision && at >= *held_at) {
+        let peer_revision = revision.unwrap_or(document.revision);
+        if peer_revision > document.revision || (peer_revision == document.revision && at >= *held_at) {
             return Update::Nothing;
         }
         let is_next = |step: &DocumentStep| step.from == at && (revision.is_none() || step.before == revision);
@@ -194,22 +194,22 @@
     }
 
     /// Applies an update from a peer whose document is at a position. Returns whether anything has changed.
-    pub(crate) fn update(&mut self, update: Update, at: Position) -> bool {
+    pub(crate) fn apply_update(&mut self, update: Update, at: Position) -> bool {
         match update {
             // The sender has no newer document up to its position.
             Update::Nothing => self.confirm(at),
-            Update::Whole(at, document) => self.take(at, document),
+            Update::Whole(at, document) => self.accept(at, document),
             Update::Steps(steps) => {
                 let mut has_changed = false;
                 for step in steps {
-                    has_changed |= self.step(&step);
+                    has_changed |= self.apply_step(&step);
                 }
                 has_changed
             }
         }
     }
 
-    fn step(&mut self, step: &DocumentStep) -> bool {
+    fn apply_step(&mut self, step: &DocumentStep) -> bool {
         let Some((at, held)) = &self.current else {
             return false;
         };
@@ -217,7 +217,7 @@
             return false;
         }
         match step.apply(held) {
-            Some(document) => self.take(step.to, document),
+            Some(document) => self.accept(step.to, document),
             None => false,
         }
     }
--- a/crates/flow/src/draft.rs
+++ b/crates/flow/src/draft.rs
@@ -154,8 +154,8 @@
     }
 
     /// Returns an optional value, or `T::default()` if it is missing or can't be parsed.
-    fn optional<T: Default>(&mut self, field: &'static str, told: DraftValue<T>) -> T {
-        match told.optional() {
+    fn optional<T: Default>(&mut self, field: &'static str, value: DraftValue<T>) -> T {
+        match value.optional() {
             Ok(value) => value.unwrap_or_default(),
             Err(text) => {
                 self.add(field, &text, Fallback::Absent);
@@ -208,19 +208,19 @@
 
 /// Validates a route. Returns `None` if it can't be used.
 fn read_route(draft: Route, warnings: &mut Vec<Warning>) -> Option<route::Route> {
-    let mut remarks = WarningCollector {
+    let mut collector = WarningCollector {
         subject: Subject::Route(draft.name),
         warnings,
     };
     let kind = draft.kind.required().unwrap_or_else(|text| {
-        remarks.add("kind", &text, Fallback::Once);
+        collector.add("kind", &text, Fallback::Once);
         Kind::Once
     });
-    let aim = remarks.optional("aim", draft.aim);
+    let aim = collector.optional("aim", draft.aim);
     let shares = draft.shares.into_iter();
-    let shares: Vec<route::Share> = shares.filter_map(|share| read_share(share, &mut remarks)).collect();
+    let shares: Vec<route::Share> = shares.filter_map(|share| read_share(share, &mut collector)).collect();
     if shares.is_empty() {
-        remarks.add("services", "nothing that can be read", Fallback::LeftOut);
+        collector.add("services", "nothing that can be read", Fallback::LeftOut);
         return None;
     }
     match draft.address.required() {
@@ -231,18 +231,18 @@
             aim,
         }),
         Err(text) => {
-            remarks.add("address", &text, Fallback::LeftOut);
+            collector.add("address", &text, Fallback::LeftOut);
             None
         }
     }
 }
 
 /// Validates a share. Returns `None` if it names no service.
-fn read_share(draft: Share, remarks: &mut WarningCollector<'_>) -> Option<route::Share> {
+fn read_share(draft: Share, collector: &mut WarningCollector<'_>) -> Option<route::Share> {
     let service = draft.service.required();
-    let service = service.map_err(|text| remarks.add("service", &text, Fallback::ShareLeftOut));
+    let service = service.map_err(|text| collector.add("service", &text, Fallback::ShareLeftOut));
     let weight = draft.weight.required().unwrap_or_else(|text| {
-        remarks.add("weight", &text, Fallback::NoWeight);
+        collector.add("weight", &text, Fallback::NoWeight);
         Weight(0)
     });
     Some(route::Share {
@@ -252,12 +252,12 @@
 }
 
 fn read_service(draft: Service, warnings: &mut Vec<Warning>) -> (String, ColdStart) {
-    let mut remarks = WarningCollector {
+    let mut collector = WarningCollector {
         subject: Subject::Service(draft.name.clone()),
         warnings,
     };
-    let lasts = remarks.optional("cold time", draft.lasts);
-    let rate = remarks.optional("cold rate", draft.rate);
+    let lasts = collector.optional("cold time", draft.lasts);
+    let rate = collector.optional("cold rate", draft.rate);
     let cold = ColdStart {
         lasts,
         rate: Some(rate).filter(|rate| *rate > Rate::default()),
--- a/crates/flow/src/earlier.rs
+++ b/crates/flow/src/earlier.rs
@@ -46,7 +46,7 @@
     pub fn read_without_epochs(&self, change: Change) -> Option<Change> {
         let held = self.positions();
         let is_first_epoch = self.epoch() == Epoch(0);
-        (is_first_epoch || !self.has_come_back()).then(|| change.in_epochs(&held))
+        (is_first_epoch || !self.was_restored()).then(|| change.in_epochs(&held))
     }
 
     /// The level of an instance that knows no epochs, as it stands to the one held here.
--- a/crates/flow/src/ejection.rs
+++ b/crates/flow/src/ejection.rs
@@ -36,8 +36,8 @@
     Admitted,
     /// The upstream receives no flows until `until`, unless its service has no other upstream.
     Ejected { until: Time },
-    /// The upstream receives single probe flows, of which `good` have succeeded.
-    Probing { good: u32, next: Time },
+    /// The upstream receives single probe flows, of which `successes` have succeeded.
+    Probing { successes: u32, next: Time },
 }
 
 /// The state transition that an outcome caused.
@@ -56,33 +56,33 @@
 pub(crate) struct Ejection {
     phase: Phase,
     round: u32,
-    pause: Duration,
-    back_at: Time,
+    period: Duration,
+    readmitted_at: Time,
 }
 
 impl Ejection {
     /// Ejects the upstream because this instance has detected that it is failing.
     pub(crate) fn eject(&mut self, now: Time) {
-        if now.since(self.back_at) >= BACKOFF_RESET {
-            self.pause = Duration::ZERO;
+        if now.since(self.readmitted_at) >= BACKOFF_RESET {
+            self.period = Duration::ZERO;
         }
-        self.pause_again(now);
+        self.extend(now);
     }
 
-    fn pause_again(&mut self, now: Time) {
+    fn extend(&mut self, now: Time) {
         self.round = self.round.saturating_add(1);
-        self.pause = (self.pause * 2).clamp(MIN_EJECTION, MAX_EJECTION);
-        let until = now + self.pause;
+        self.period = (self.period * 2).clamp(MIN_EJECTION, MAX_EJECTION);
+        let until = now + self.period;
         self.phase = Phase::Ejected { until };
     }
 
     fn readmit(&mut self, now: Time) {
         self.phase = Phase::Admitted;
-        self.back_at = now;
+        self.readmitted_at = now;
     }
 
     /// Applies a report from another instance. Returns whether it was newer than the current state.
-    pub(crate) fn follow(&mut self, round: u32, is_out: bool, now: Time) -> bool {
+    pub(crate) fn apply_report(&mut self, round: u32, is_out: bool, now: Time) -> bool {
         if round <= self.round {
             return false;
         }
@@ -126,22 +126,22 @@
 
     /// Records that a new flow was placed on the upstream.
     pub(crate) fn note_placed(&mut self, now: Time) {
-        let good = match self.phase {
+        let successes = match self.phase {
             Phase::Admitted => return,
             Phase::Ejected { until } if now < until => return,
             Phase::Ejected { .. } => 0,
-            Phase::Probing { good, .. } => good,
+            Phase::Probing { successes, .. } => successes,
         };
         let next = now + PROBE_INTERVAL;
-        self.phase = Phase::Probing { good, next };
+        self.phase = Phase::Probing { successes, next };
     }
 
     /// Records the outcome of an attempt. Existing flows continue while the upstream is ejected; as long as they fail,
     /// it stays ejected.
-    pub(crate) fn settle(&mut self, outcome: Outcome, now: Time) -> Transition {
+    pub(crate) fn note_outcome(&mut self, outcome: Outcome, now: Time) -> Transition {
         let is_good = outcome == Outcome::Good;
-        let (good, next) = match self.phase {
-            Phase::Probing { good, next } => (good, next),
+        let (successes, next) = match self.phase {
+            Phase::Probing { successes, next } => (successes, next),
             Phase::Ejected { until } => {
                 let until = if is_good { until } else { until.max(now + MIN_EJECTION) };
                 self.phase = Phase::Ejected { until };
@@ -150,15 +150,18 @@
             Phase::Admitted => return Transition::None,
         };
         if !is_good {
-            self.pause_again(now);
+            self.extend(now);
             return Transition::EjectedAgain;
         }
-        if good + 1 >= REQUIRED_PROBES {
+        if successes + 1 >= REQUIRED_PROBES {
             self.round = self.round.saturating_add(1);
             self.readmit(now);
             return Transition::Readmitted;
         }
-        self.phase = Phase::Probing { good: good + 1, next };
+        self.phase = Phase::Probing {
+            successes: successes + 1,
+            next,
+        };
         Transition::None
     }
 }
--- a/crates/flow/src/entries.rs
+++ b/crates/flow/src/entries.rs
@@ -38,7 +38,7 @@
     /// Whether this entry, known before the store was restored from an older copy, may be newer than the copy's entry
     /// for the same upstream. During one start an upstream only changes from serving to leaving to removed; it returns
     /// only with a new start time.
-    fn may_outdate(&self, copied: &Self) -> bool {
+    fn may_supersede(&self, copied: &Self) -> bool {
         if self.upstream.is_other_start(&copied.upstream) {
             return false;
         }
@@ -66,10 +66,10 @@
     /// When this instance learnt of the removal of each removed upstream.
     gone_since: BTreeMap<UpstreamId, Time>,
     /// Whether the store was restored from an older copy since the first list.
-    has_come_back: bool,
+    was_restored: bool,
     /// Entries that override those of a store restored from an older copy. They are not sent to other instances, which
     /// keep their own.
-    kept: Grace<UpstreamId, Arc<Entry>>,
+    overrides: Grace<UpstreamId, Arc<Entry>>,
     /// The changes since the last call of `take_changed`.
     changed: ChangedUpstreams,
 }
@@ -81,20 +81,20 @@
     }
 
     /// Whether the store was restored from an older copy since the first list.
-    pub(crate) fn has_come_back(&self) -> bool {
-        self.has_come_back
+    pub(crate) fn was_restored(&self) -> bool {
+        self.was_restored
     }
 
     /// All upstreams, including removed ones that are still remembered.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (UpstreamId, &Arc<Entry>)> {
         let entries = self.by_id.iter();
-        entries.map(|(id, entry)| (*id, self.kept.get(id).unwrap_or(entry)))
+        entries.map(|(id, entry)| (*id, self.overrides.get(id).unwrap_or(entry)))
     }
 
     /// The entry of an upstream, including a removed one.
     pub(crate) fn get(&self, id: UpstreamId) -> Option<&Arc<Entry>> {
         let entry = self.by_id.get(&id)?;
-        Some(self.kept.get(&id).unwrap_or(entry))
+        Some(self.overrides.get(&id).unwrap_or(entry))
     }
 
     /// Returns the changes since the last call.
@@ -120,13 +120,13 @@
     pub(crate) fn since(&self, held: Position) -> (bool, Vec<(UpstreamId, Arc<Entry>)>) {
         let is_newer = self.at > held;
         let is_whole = is_newer && held < self.complete_since;
-        let told = self.by_id.iter();
-        let told = told.filter(|(_, entry)| is_whole || (is_newer && entry.revision > held.revision));
-        (is_whole, told.map(|(id, entry)| (*id, Arc::clone(entry))).collect())
+        let entries = self.by_id.iter();
+        let entries = entries.filter(|(_, entry)| is_whole || (is_newer && entry.revision > held.revision));
+        (is_whole, entries.map(|(id, entry)| (*id, Arc::clone(entry))).collect())
     }
 
     /// Applies a complete list of upstreams as of a position. Returns whether anything has changed.
-    pub(crate) fn take_list<S>(&mut self, at: Position, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
+    pub(crate) fn apply_list<S>(&mut self, at: Position, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
         S: Into<ListingState>,
     {
@@ -185,37 +185,37 @@
         }
         self.complete_since = at;
         if at.epoch > self.at.epoch && !is_first {
-            return self.come_back(at, entries, now);
+            return self.apply_restored(at, entries, now);
         }
         self.apply(at, entries, now) || is_first
     }
 
     /// Replaces all upstreams with those of a store that was restored from an older copy.
-    fn come_back(&mut self, at: Position, entries: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
+    fn apply_restored(&mut self, at: Position, entries: Vec<(UpstreamId, Arc<Entry>)>, now: Time) -> bool {
         let before: Vec<(UpstreamId, Arc<Entry>)> = self.iter().map(|(id, entry)| (id, Arc::clone(entry))).collect();
         let gone_since = self.gone_since.clone();
         self.begin_epoch(at);
-        self.has_come_back = true;
+        self.was_restored = true;
         let has_changed = self.apply(at, entries, now);
-        let mut kept = BTreeMap::new();
+        let mut overrides = BTreeMap::new();
         for (id, entry) in before {
-            if !self.by_id.get(&id).is_some_and(|copied| entry.may_outdate(copied)) {
+            if !self.by_id.get(&id).is_some_and(|copied| entry.may_supersede(copied)) {
                 continue;
             }
             if entry.gone {
                 self.gone_since.insert(id, gone_since.get(&id).copied().unwrap_or(now));
             }
-            kept.insert(id, entry);
+            overrides.insert(id, entry);
         }
-        self.kept = Grace::begin(kept, now);
+        self.overrides = Grace::begin(overrides, now);
         self.changed.is_all = true;
         has_changed
     }
 
     /// Drops the entries that override a restored store, once the grace period for rewriting lost entries is over.
     /// Returns whether this changes anything.
-    pub(crate) fn settle(&mut self, now: Time) -> bool {
-        let ended = self.kept.end(now);
+    pub(crate) fn end_grace(&mut self, now: Time) -> bool {
+        let ended = self.overrides.end(now);
         self.changed.ids.extend(ended.keys());
         for id in ended.keys() {
             if self.by_id.get(id).is_some_and(|entry| !entry.gone) {
@@ -240,7 +240,7 @@
     /// dated `at`, which may be later than the revision at which the entry was listed again. A removed upstream keeps
     /// its last known state. The removal of an upstream that was never known here can't be recorded, so peers with an
     /// older position receive all upstreams.
-    pub(crate) fn take_watched<S>(&mut self, at: Position, changes: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
+    pub(crate) fn apply_watched<S>(&mut self, at: Position, changes: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
         S: Into<ListingState>,
     {
@@ -282,7 +282,7 @@
             // Another instance may have noticed the removal in a later list of the same copy. That is not a change.
             let is_still_missing = entry.gone && held.is_some_and(|held| held.gone);
             if !is_still_missing {
-                self.kept.remove(&id);
+                self.overrides.remove(&id);
             }
             if entry.gone {
                 self.gone_since.entry(id).or_insert(now);
--- a/crates/flow/src/evacuations.rs
+++ b/crates/flow/src/evacuations.rs
@@ -30,7 +30,7 @@
     confirmed_at: Position,
     /// Overrides for zones for which a store restored from an older copy differs. They are not sent to other
     /// instances.
-    kept: Grace<ZoneName, bool>,
+    overrides: Grace<ZoneName, bool>,
 }
 
 impl EvacuationState {
@@ -40,14 +40,14 @@
 
     /// Whether a zone is evacuated.
     pub(crate) fn contains(&self, zone: &ZoneName) -> bool {
-        let is_told = || self.current.zones.contains(zone);
-        self.kept.get(zone).copied().unwrap_or_else(is_told)
+        let is_listed = || self.current.zones.contains(zone);
+        self.overrides.get(zone).copied().unwrap_or_else(is_listed)
     }
 
     /// All evacuated zones.
     pub(crate) fn zones(&self) -> BTreeSet<ZoneName> {
-        let kept = self.kept.iter().map(|(zone, _)| zone);
-        let zones = self.current.zones.iter().chain(kept);
+        let overrides = self.overrides.iter().map(|(zone, _)| zone);
+        let zones = self.current.zones.iter().chain(overrides);
         zones.filter(|zone| self.contains(zone)).cloned().collect()
     }
 
@@ -59,24 +59,24 @@
         self.current = new;
         if is_later_epoch {
             let differing = before.symmetric_difference(&self.current.zones);
-            let kept = differing.map(|zone| (zone.clone(), before.contains(zone)));
-            self.kept = Grace::begin(kept.collect(), now);
+            let overrides = differing.map(|zone| (zone.clone(), before.contains(zone)));
+            self.overrides = Grace::begin(overrides.collect(), now);
             return;
         }
         for zone in changed {
-            self.kept.remove(&zone);
+            self.overrides.remove(&zone);
         }
     }
 
     /// Drops the overrides of a restored store, once the grace period for rewriting lost entries is over. Returns
     /// whether this changes anything.
-    pub(crate) fn settle(&mut self, now: Time) -> bool {
-        !self.kept.end(now).is_empty()
+    pub(crate) fn end_grace(&mut self, now: Time) -> bool {
+        !self.overrides.end(now).is_empty()
     }
 
     /// Applies evacuations read from the platform. A zone whose entry can't be parsed keeps its state. Returns whether
     /// other instances must be notified.
-    pub(crate) fn read(&mut self, mut read: Evacuations, unreadable: &BTreeSet<ZoneName>, now: Time) -> bool {
+    pub(crate) fn apply_read(&mut self, mut read: Evacuations, unreadable: &BTreeSet<ZoneName>, now: Time) -> bool {
         if read.at <= self.confirmed_at {
             return false;
         }
@@ -93,18 +93,18 @@
 
     /// Applies evacuations from a peer. Returns whether anything is new, or whether peers must be sent the current
     /// state.
-    pub(crate) fn hear(&mut self, told: Evacuations, now: Time) -> bool {
-        if told.at <= self.current.at {
+    pub(crate) fn apply_received(&mut self, received: Evacuations, now: Time) -> bool {
+        if received.at <= self.current.at {
             return false;
         }
-        if told.at <= self.confirmed_at {
+        if received.at <= self.confirmed_at {
             // The sender knows of a change that has since been reverted. It only asks for the current state if its
             // position is later.
             self.current.at = self.confirmed_at;
             return true;
         }
-        self.confirmed_at = told.at;
-        self.set(told, now);
+        self.confirmed_at = received.at;
+        self.set(received, now);
         true
     }
 
--- a/crates/flow/src/flows.rs
+++ b/crates/flow/src/flows.rs
@@ -66,9 +66,9 @@
     /// Client data that the upstream has not responded to yet.
     pub(crate) pending: Option<Pending>,
     /// The number of the upstream's stall that this flow was last counted in.
-    pub(crate) counted_in: u32,
+    pub(crate) counted_in_stall: u32,
     /// The latest request, while its outcome is unknown.
-    pub(crate) asked: Option<OpenRequest>,
+    pub(crate) request: Option<OpenRequest>,
 }
 
 /// A request whose outcome is not known yet.
@@ -90,10 +90,10 @@
     /// The sequence number of the data.
     pub(crate) seq: u32,
     /// The number of retransmissions after the first transmission.
-    pub(crate) copies: u8,
+    pub(crate) retransmissions: u8,
     /// When the latest transmission was seen, and the one before it.
-    copied_at: Time,
-    pub(crate) copied_before_at: Time,
+    last_sent_at: Time,
+    pub(crate) previously_sent_at: Time,
 }
 
 /// What a packet reveals about the upstream of its flow.
@@ -102,18 +102,18 @@
     /// Whether the upstream has sent new data or accepted the connection.
     pub(crate) is_progress: bool,
     /// If the packet shows that the upstream responded to something, when that was sent to the upstream.
-    pub(crate) reached: Option<Time>,
+    pub(crate) answered_sent_at: Option<Time>,
     /// The duration of the handshake, if this packet completes it.
-    pub(crate) opened_after: Option<Duration>,
+    pub(crate) handshake_time: Option<Duration>,
     /// The response time of the upstream, if it can be measured. A response that only becomes visible in the client's
     /// next request is not measured, as the interval would mostly reflect the client's pause.
-    pub(crate) waited: Option<Duration>,
+    pub(crate) response_time: Option<Duration>,
     /// Whether the packet starts a new request.
     pub(crate) is_request: bool,
     /// The length in bytes of the response to the previous request, if it was not known yet.
-    pub(crate) answered: Option<u32>,
+    pub(crate) answer_len: Option<u32>,
     /// Whether the packet is a retransmission of data that the upstream has not responded to.
-    pub(crate) is_copy: bool,
+    pub(crate) is_retransmission: bool,
 }
 
 impl Flow {
@@ -126,101 +126,101 @@
             client_ack: packet.ack,
             next_seq: packet.seq,
             pending: None,
-            counted_in: 0,
-            asked: None,
+            counted_in_stall: 0,
+            request: None,
         }
     }
 
     /// When the flow started to wait for its upstream.
-    pub(crate) fn waits_since(&self) -> Time {
+    pub(crate) fn waiting_since(&self) -> Time {
         self.pending.map_or(self.first_seen, |pending| pending.since)
     }
 
     /// Processes a packet that does not open a flow.
-    pub(crate) fn see(&mut self, packet: &Packet, now: Time) -> Observation {
+    pub(crate) fn observe(&mut self, packet: &Packet, now: Time) -> Observation {
         self.last_seen = now;
         let stage = std::mem::replace(&mut self.stage, Stage::Open);
-        let mut sign = Observation {
-            reached: (stage == Stage::Opening).then_some(self.first_seen),
-            opened_after: (stage == Stage::Opening).then(|| now.since(self.first_seen)),
+        let mut observation = Observation {
+            answered_sent_at: (stage == Stage::Opening).then_some(self.first_seen),
+            handshake_time: (stage == Stage::Opening).then(|| now.since(self.first_seen)),
             ..Observation::default()
         };
-        if stage == Stage::Opening || is_ahead(packet.ack, self.client_ack) {
+        if stage == Stage::Opening || is_after(packet.ack, self.client_ack) {
             self.client_ack = packet.ack;
-            if let Some(asked) = &mut self.asked {
-                asked.progress_at = Some(now);
+            if let Some(request) = &mut self.request {
+                request.progress_at = Some(now);
             }
             let pending = self.pending.take();
-            sign.is_progress = true;
-            sign.reached = sign.reached.or(pending.map(|pending| pending.since));
-            sign.waited = pending
-                .filter(|pending| packet.len == 0 && pending.copies == 0)
+            observation.is_progress = true;
+            observation.answered_sent_at = observation.answered_sent_at.or(pending.map(|pending| pending.since));
+            observation.response_time = pending
+                .filter(|pending| packet.len == 0 && pending.retransmissions == 0)
                 .map(|pending| now.since(pending.since));
         }
         if packet.len == 0 {
-            return sign;
+            return observation;
         }
         let end = packet.seq.wrapping_add(u32::from(packet.len));
-        if stage != Stage::Open || is_ahead(end, self.next_seq) {
+        if stage != Stage::Open || is_after(end, self.next_seq) {
             self.next_seq = end;
-            sign.is_request = self.pending.is_none();
-            if sign.is_request {
-                sign.answered = self.ask(now);
+            observation.is_request = self.pending.is_none();
+            if observation.is_request {
+                observation.answer_len = self.begin_request(now);
             }
             self.pending.get_or_insert(Pending {
                 since: now,
                 seq: packet.seq,
-                copies: 0,
-                copied_at: now,
-                copied_before_at: now,
+                retransmissions: 0,
+                last_sent_at: now,
+                previously_sent_at: now,
             });
-            return sign;
+            return observation;
         }
         if let Some(pending) = &mut self.pending {
-            sign.is_copy = pending.note_copy(packet.seq, now);
+            observation.is_retransmission = pending.note_retransmission(packet.seq, now);
         }
-        sign
+        observation
     }
 }
 
 impl Flow {
     /// Starts a new request. Returns the length of the response to the previous one.
-    fn ask(&mut self, now: Time) -> Option<u32> {
-        let answered = self.answered();
-        self.asked = Some(OpenRequest {
+    fn begin_request(&mut self, now: Time) -> Option<u32> {
+        let answer_len = self.answer_len();
+        self.request = Some(OpenRequest {
             at: now,
             ack: self.client_ack,
             progress_at: None,
         });
-        answered
+        answer_len
     }
 
     /// The number of response bytes that the client has acknowledged for the latest request, if there are any and the
     /// outcome of the request is not known yet.
-    pub(crate) fn answered(&self) -> Option<u32> {
-        let asked = self.asked?;
-        asked.progress_at?;
-        Some(self.client_ack.wrapping_sub(asked.ack))
+    pub(crate) fn answer_len(&self) -> Option<u32> {
+        let request = self.request?;
+        request.progress_at?;
+        Some(self.client_ack.wrapping_sub(request.ack))
     }
 }
 
 impl Pending {
     /// Counts a retransmission. Retransmissions that arrive together were delayed on the way here, or this process was
     /// paused; they reveal nothing about the upstream.
-    fn note_copy(&mut self, seq: u32, now: Time) -> bool {
-        let is_spaced = now.since(self.copied_at) >= MIN_RETRANSMISSION_INTERVAL;
+    fn note_retransmission(&mut self, seq: u32, now: Time) -> bool {
+        let is_spaced = now.since(self.last_sent_at) >= MIN_RETRANSMISSION_INTERVAL;
         if seq != self.seq || !is_spaced {
             return false;
         }
-        self.copies = self.copies.saturating_add(1);
-        self.copied_before_at = self.copied_at;
-        self.copied_at = now;
+        self.retransmissions = self.retransmissions.saturating_add(1);
+        self.previously_sent_at = self.last_sent_at;
+        self.last_sent_at = now;
         true
     }
 }
 
 /// Whether a sequence number is ahead of another, allowing for wraparound.
-fn is_ahead(position: u32, other: u32) -> bool {
+fn is_after(position: u32, other: u32) -> bool {
     let distance = position.wrapping_sub(other);
     distance != 0 && distance < u32::MAX / 2
 }
@@ -249,7 +249,7 @@
     }
 
     /// Removes and returns the flows of one upstream, ordered by their keys.
-    pub(crate) fn take_of(&mut self, upstream: UpstreamId) -> Vec<(FlowKey, Flow)> {
+    pub(crate) fn take_by_upstream(&mut self, upstream: UpstreamId) -> Vec<(FlowKey, Flow)> {
         let flows = self.flows.extract_if(|_, flow| flow.upstream == upstream);
         let mut flows: Vec<_> = flows.collect();
         flows.sort_unstable_by_key(|(key, _)| *key);
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -148,19 +148,19 @@
     /// Nothing is counted if the upstream has answered another flow meanwhile: then only this flow's packet was lost, which
     /// this tells.
     pub(crate) fn note_copy(&mut self, flow: &mut Flow, now: Time) -> bool {
-        if self.last_progress > flow.waits_since() {
+        if self.last_progress > flow.waiting_since() {
             return true;
         }
         self.copies += 1;
         self.copied_at = now;
         if self.stalled == 0 {
             self.stall = self.stall.wrapping_add(1).max(1);
-            self.stalled_since = flow.waits_since();
-            self.last_stalled_since = flow.waits_since();
+            self.stalled_since = flow.waiting_since();
+            self.last_stalled_since = flow.waiting_since();
         }
-        self.last_stalled_since = self.last_stalled_since.max(flow.waits_since());
-        if flow.counted_in != self.stall {
-            flow.counted_in = self.stall;
+        self.last_stalled_since = self.last_stalled_since.max(flow.waiting_since());
+        if flow.counted_in_stall != self.stall {
+            flow.counted_in_stall = self.stall;
             self.stalled += 1;
         }
         self.is_reported = false;
@@ -208,7 +208,7 @@
     /// Whether it is to be taken for dead from now on by what is seen here alone: more flows wait in vain than chance explains
     /// while this much is lost.
     pub(crate) fn dies(&mut self, loss: Percent, now: Time) -> bool {
-        if self.stalled < loss::flows_beyond_chance(loss) || self.is_dead(now) {
+        if self.stalled < loss::significant_flow_count(loss) || self.is_dead(now) {
             return false;
         }
         self.find_dead(now);
@@ -266,7 +266,7 @@
         let is_known = self.is_told_silent && self.is_dead(now);
         let signs = self.reports(now).map(|heard| heard.signs);
         let signs = signs.fold(self.signs(), u32::saturating_add);
-        !is_known && signs >= loss::signs_beyond_chance(0.0)
+        !is_known && signs >= loss::significant_loss_count(0.0)
     }
 
     /// How often flows have sent something again since it last answered. A packet that is lost twice is as rare as two that
--- a/crates/flow/src/inquiry.rs
+++ b/crates/flow/src/inquiry.rs
@@ -133,7 +133,7 @@
         }
         // One that reports may see more loss than the rest of the zone.
         let lost = most_lost.max(together.share());
-        let is_beyond_chance = silence.signs >= loss::signs_beyond_chance(lost);
+        let is_beyond_chance = silence.signs >= loss::significant_loss_count(lost);
         if silence.instances < LEAST_INSTANCES || !is_beyond_chance {
             return Finding::Unclear;
         }
--- a/crates/flow/src/knowledge.rs
+++ b/crates/flow/src/knowledge.rs
@@ -160,7 +160,7 @@
     /// Each part only grows, so the instance with the lower sum lacks something. Equal sums of different parts are
     /// distinguished by [`Knowledge::positions`].
     pub fn level(&self) -> Revision {
-        let parts = self.parts().into_iter().map(as_number);
+        let parts = self.parts().into_iter().map(to_number);
         Revision(parts.fold(0, u64::saturating_add))
     }
 
@@ -176,8 +176,8 @@
     }
 
     /// Whether this instance has seen the store restored from an older copy.
-    pub(crate) fn has_come_back(&self) -> bool {
-        self.upstreams.has_come_back()
+    pub(crate) fn was_restored(&self) -> bool {
+        self.upstreams.was_restored()
     }
 
     /// The positions of all parts by name, and the document's revision.
@@ -206,11 +206,11 @@
     }
 
     /// Applies a change from a peer. Returns whether anything is new.
-    pub fn take(&mut self, change: Change, now: Time) -> bool {
-        let has_document = self.documents.update(change.document, change.document_at);
+    pub fn apply(&mut self, change: Change, now: Time) -> bool {
+        let has_document = self.documents.apply_update(change.document, change.document_at);
         let has_zones = change
             .evacuations
-            .is_some_and(|evacuations| self.evacuations.hear(evacuations, now));
+            .is_some_and(|evacuations| self.evacuations.apply_received(evacuations, now));
         let is_ahead = change.upstreams_at > self.upstreams_at();
         if change.is_whole {
             self.upstreams.replace(change.upstreams_at, change.upstreams, now);
@@ -222,33 +222,33 @@
 
     /// Applies the evacuated zones read from the platform. A zone whose entry can't be parsed keeps its state. Returns
     /// whether anything has changed.
-    pub fn take_evacuations(&mut self, read: Evacuations, unreadable: &BTreeSet<ZoneName>, now: Time) -> bool {
-        self.evacuations.read(read, unreadable, now)
+    pub fn apply_evacuations(&mut self, read: Evacuations, unreadable: &BTreeSet<ZoneName>, now: Time) -> bool {
+        self.evacuations.apply_read(read, unreadable, now)
     }
 
     /// Drops state that overrides a restored store, once the grace period for rewriting lost entries is over. Returns
     /// whether this changes anything.
-    pub fn settle(&mut self, now: Time) -> bool {
-        let upstreams = self.upstreams.settle(now);
-        self.evacuations.settle(now) || upstreams
+    pub fn end_grace(&mut self, now: Time) -> bool {
+        let upstreams = self.upstreams.end_grace(now);
+        self.evacuations.end_grace(now) || upstreams
     }
 
     /// Applies a document. Returns whether anything has changed: the document in force, or the position up to which it
     /// is the latest.
-    pub fn take_document(&mut self, at: impl Into<Position>, document: Document) -> bool {
-        self.documents.take(at.into(), document)
+    pub fn apply_document(&mut self, at: impl Into<Position>, document: Document) -> bool {
+        self.documents.accept(at.into(), document)
     }
 
     /// Applies a complete list of upstreams as of a position. Returns whether anything has changed.
-    pub fn take_list<S>(&mut self, at: impl Into<Position>, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
+    pub fn apply_list<S>(&mut self, at: impl Into<Position>, list: Vec<(UpstreamId, Revision, S)>, now: Time) -> bool
     where
         S: Into<ListingState>,
     {
-        self.upstreams.take_list(at.into(), list, now)
+        self.upstreams.apply_list(at.into(), list, now)
     }
 
     /// Applies changes from a watch, in order. A change without an upstream means that it is no longer listed.
-    pub fn take_watched<S>(
+    pub fn apply_watched<S>(
         &mut self,
         at: impl Into<Position>,
         changes: Vec<(UpstreamId, Revision, S)>,
@@ -257,7 +257,7 @@
     where
         S: Into<ListingState>,
     {
-        self.upstreams.take_watched(at.into(), changes, now)
+        self.upstreams.apply_watched(at.into(), changes, now)
     }
 
     /// When an upstream was removed, as far as this instance knows.
@@ -272,7 +272,7 @@
 }
 
 /// Expresses a position as one number that grows with it.
-fn as_number(at: Position) -> u64 {
+fn to_number(at: Position) -> u64 {
     let Position { epoch, revision } = at;
     epoch.0.saturating_mul(REVISIONS_PER_EPOCH).saturating_add(revision.0)
 }
--- a/crates/flow/src/loss.rs
+++ b/crates/flow/src/loss.rs
@@ -92,13 +92,13 @@
 }
 
 /// The number of consecutive waiting flows that chance no longer explains.
-pub(crate) fn flows_beyond_chance(loss: Percent) -> u32 {
+pub(crate) fn significant_flow_count(loss: Percent) -> u32 {
     let loss = (f64::from(loss) / 100.0).clamp(MIN_LOSS, MAX_LOSS);
     (FALSE_POSITIVE_EXPONENT / -loss.ln()).ceil() as u32
 }
 
 /// The number of consecutive packets lost over all instances that chance no longer explains.
-pub(crate) fn signs_beyond_chance(share: f64) -> u32 {
+pub(crate) fn significant_loss_count(share: f64) -> u32 {
     let share = share.clamp(SHARED_MIN_LOSS, MAX_LOSS);
     (SHARED_FALSE_POSITIVE_EXPONENT / -share.ln()).ceil() as u32
 }
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    fn is_bad(self) -> bool {
+    fn is_failure(self) -> bool {
         self != Self::Good
     }
 }
@@ -79,14 +79,14 @@
 impl Tally {
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
         self.tried.add(1, BASELINE_SPAN, now);
-        if outcome.is_bad() {
+        if outcome.is_failure() {
             self.failed.add(1, BASELINE_SPAN, now);
         }
     }
 
     /// The failure ratio of the upstreams other than the one whose tally is `own`. Where there are only a few
     /// upstreams, the failures of one would otherwise raise its own baseline.
-    pub(crate) fn usual_without(&self, own: &Self, now: Time) -> f64 {
+    pub(crate) fn baseline_without(&self, own: &Self, now: Time) -> f64 {
         let tried = self.tried.value(BASELINE_SPAN, now) - own.tried.value(BASELINE_SPAN, now);
         let failed = self.failed.value(BASELINE_SPAN, now) - own.failed.value(BASELINE_SPAN, now);
         let share = (failed + PRIOR_ATTEMPTS * MIN_BASELINE) / (tried + PRIOR_ATTEMPTS);
@@ -121,7 +121,7 @@
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
         self.since.get_or_insert(now);
         self.tries.add(1, RATE_SPAN, now);
-        if outcome.is_bad() {
+        if outcome.is_failure() {
             self.unreported = self.unreported.saturating_add(1);
         }
     }
@@ -148,16 +148,16 @@
     }
 
     /// Adds a report from one of `instances` instances that each see a similar share of the traffic to the upstream.
-    /// Returns whether the upstream fails more often than chance explains at the baseline failure ratio `usual`.
-    pub(crate) fn hear(&mut self, report: &FailureReport, instances: u32, usual: f64, now: Time) -> bool {
-        let told = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
-        let rate = f64::midpoint(self.rate(now), told) * f64::from(instances.max(1));
-        self.evidence.add(report.failed, rate, usual, now);
+    /// Returns whether the upstream fails more often than chance explains at the baseline failure ratio `baseline`.
+    pub(crate) fn add_report(&mut self, report: &FailureReport, instances: u32, baseline: f64, now: Time) -> bool {
+        let reported_rate = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
+        let rate = f64::midpoint(self.rate(now), reported_rate) * f64::from(instances.max(1));
+        self.evidence.add(report.failed, rate, baseline, now);
         self.evidence.score >= DETECTION_THRESHOLD
     }
 
     /// Discards the evidence after it has been acted on.
-    pub(crate) fn forget_evidence(&mut self) {
+    pub(crate) fn clear_evidence(&mut self) {
         self.evidence = Evidence::default();
     }
 }
@@ -171,13 +171,13 @@
 }
 
 impl Evidence {
-    fn add(&mut self, failed: u16, rate: f64, usual: f64, now: Time) {
-        let failing = (usual * FAILING_FACTOR).max(MIN_FAILING);
-        let for_bad = (failing / usual).ln();
-        let for_good = ((1.0 - failing) / (1.0 - usual)).ln();
+    fn add(&mut self, failed: u16, rate: f64, baseline: f64, now: Time) {
+        let failing = (baseline * FAILING_FACTOR).max(MIN_FAILING);
+        let failure_weight = (failing / baseline).ln();
+        let success_weight = ((1.0 - failing) / (1.0 - baseline)).ln();
         let tried = rate * now.since(self.at).as_secs_f64();
         let good = (tried - f64::from(failed)).max(0.0);
-        self.score = (self.score + good * for_good).max(0.0) + f64::from(failed) * for_bad;
+        self.score = (self.score + good * success_weight).max(0.0) + f64::from(failed) * failure_weight;
         self.at = now;
     }
 }
--- a/crates/flow/src/packet.rs
+++ b/crates/flow/src/packet.rs
@@ -38,7 +38,7 @@
     pub const RST: Self = Self(8);
 
     /// Whether all flags of `other` are set.
-    pub fn has(self, other: Self) -> bool {
+    pub fn contains(self, other: Self) -> bool {
         self.0 & other.0 == other.0
     }
 }
--- a/crates/flow/src/route.rs
+++ b/crates/flow/src/route.rs
@@ -45,7 +45,7 @@
         if self.shares.len() == 1 || total == 0 {
             return self.shares.first().map(|share| share.service.as_str());
         }
-        let mut point = spread(client, self.address) % total;
+        let mut point = flow_hash(client, self.address) % total;
         for share in &self.shares {
             let weight = u64::from(share.weight.0);
             if point < weight {
@@ -73,7 +73,7 @@
 }
 
 /// A uniformly distributed hash of the addresses of a flow.
-fn spread(client: SocketAddrV4, route: SocketAddrV4) -> u64 {
+fn flow_hash(client: SocketAddrV4, route: SocketAddrV4) -> u64 {
     let mut bytes = [0; 12];
     bytes[..4].copy_from_slice(&client.ip().octets());
     bytes[4..6].copy_from_slice(&client.port().to_be_bytes());
@@ -164,7 +164,7 @@
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Routes {
     /// The revision of the document that the routes come from, and its position in the store's history.
-    of: (Revision, Position),
+    source: (Revision, Position),
     by_address: HashMap<SocketAddrV4, Route>,
 }
 
@@ -173,14 +173,14 @@
     pub(crate) fn new(at: Position, document: &Document) -> Self {
         let routes = document.routes.values().map(|route| (route.address, route.clone()));
         Self {
-            of: (document.revision, at),
+            source: (document.revision, at),
             by_address: routes.collect(),
         }
     }
 
     /// Whether these are the routes of the given document at the given position.
-    pub(crate) fn are_of(&self, at: Position, document: &Document) -> bool {
-        self.of == (document.revision, at)
+    pub(crate) fn are_from(&self, at: Position, document: &Document) -> bool {
+        self.source == (document.revision, at)
     }
 
     pub(crate) fn to(&self, address: SocketAddrV4) -> Option<&Route> {
--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -50,7 +50,7 @@
 
 /// Why a packet is dropped whose echo does not lead to one upstream.
 pub(crate) fn unknown_echo(packet: &Packet) -> DropCause {
-    if packet.flags.has(Flags::RST) {
+    if packet.flags.contains(Flags::RST) {
         return DropCause::Reset;
     }
     if packet.echo == Echo::NONE {
--- a/crates/flow/tests/directory.rs
+++ b/crates/flow/tests/directory.rs
@@ -111,13 +111,13 @@
             0 => {
                 let at = self.next_place();
                 let list = self.sightings(0.7);
-                self.core.learn(now, |knowledge| knowledge.take_list(at, list, now));
+                self.core.learn(now, |knowledge| knowledge.apply_list(at, list, now));
             }
             1..=4 => {
                 let at = self.next_place();
                 let changes = self.sightings(0.2);
                 self.core
-                    .learn(now, |knowledge| knowledge.take_watched(at, changes, now));
+                    .learn(now, |knowledge| knowledge.apply_watched(at, changes, now));
             }
             5 => {
                 let at = self.next_place();
@@ -128,13 +128,13 @@
                 };
                 let unreadable = BTreeSet::new();
                 self.core
-                    .learn(now, |knowledge| knowledge.take_evacuations(read, &unreadable, now));
+                    .learn(now, |knowledge| knowledge.apply_evacuations(read, &unreadable, now));
             }
             6 => self.core.tick(now),
             _ => {
                 let then = now.before(Duration::from_secs(2));
                 self.core
-                    .learn(now, |knowledge| knowledge.settle(now) | knowledge.forget(then));
+                    .learn(now, |knowledge| knowledge.end_grace(now) | knowledge.forget(then));
             }
         }
         self.now = now + Duration::from_millis(self.rng.random_range(0..1_500));
--- a/crates/flow/tests/draft.rs
+++ b/crates/flow/tests/draft.rs
@@ -205,7 +205,7 @@
         let list = vec![(UpstreamId(1), Revision(1), upstream)];
         world
             .core
-            .learn(now, |knowledge| knowledge.take_list(Revision(1), list, now));
+            .learn(now, |knowledge| knowledge.apply_list(Revision(1), list, now));
         world
     }
 
@@ -213,7 +213,7 @@
         let document = Document::try_from(draft).unwrap();
         let at = Position::from(Revision(at));
         self.core
-            .learn(self.now, |knowledge| knowledge.take_document(at, document));
+            .learn(self.now, |knowledge| knowledge.apply_document(at, document));
     }
 
     fn open(&mut self, port: u16) -> Verdict {
--- a/crates/flow/tests/earlier.rs
+++ b/crates/flow/tests/earlier.rs
@@ -38,15 +38,15 @@
 /// Started in a later epoch, where an upstream has been listed.
 fn started_at(epoch: u64, revision: u64) -> Knowledge {
     let mut knowledge = Knowledge::default();
-    knowledge.take_list(at(epoch, revision), vec![listed(1, 3)], NOW);
+    knowledge.apply_list(at(epoch, revision), vec![listed(1, 3)], NOW);
     knowledge
 }
 
 /// What an instance of the earlier release tells that has heard of one more upstream.
 fn told(revision: u64) -> Change {
     let mut other = Knowledge::default();
-    other.take_list(at(0, 10), vec![listed(1, 3)], NOW);
-    other.take_watched(at(0, revision), vec![listed(2, revision)], NOW);
+    other.apply_list(at(0, 10), vec![listed(1, 3)], NOW);
+    other.apply_watched(at(0, revision), vec![listed(2, revision)], NOW);
     let held = Positions {
         upstreams_at: at(0, 10),
         ..Positions::default()
@@ -62,7 +62,7 @@
     let mut knowledge = started_at(2, 10);
     assert!(knowledge.level_without_epochs(Revision(12)) > knowledge.level());
     let change = knowledge.read_without_epochs(told(12)).unwrap();
-    assert!(knowledge.take(change, NOW));
+    assert!(knowledge.apply(change, NOW));
     assert_eq!(knowledge.upstreams_at(), at(2, 12));
     assert_eq!(knowledge.upstreams().count(), 2);
     assert_eq!(knowledge.level_without_epochs(Revision(12)), knowledge.level());
@@ -71,7 +71,7 @@
 #[test]
 fn whoever_has_seen_the_store_come_back_takes_none() {
     let mut knowledge = started_at(1, 20);
-    knowledge.take_list(at(2, 10), vec![listed(1, 3)], NOW);
+    knowledge.apply_list(at(2, 10), vec![listed(1, 3)], NOW);
     assert!(knowledge.read_without_epochs(told(12)).is_none());
 }
 
@@ -80,14 +80,14 @@
     let mut knowledge = started_at(0, 10);
     let change = knowledge.read_without_epochs(told(12)).unwrap();
     assert_eq!(change, told(12));
-    assert!(knowledge.take(change, NOW));
+    assert!(knowledge.apply(change, NOW));
     assert_eq!(knowledge.level_without_epochs(Revision(12)), knowledge.level());
 }
 
 #[test]
 fn it_is_told_revisions_alone() {
     let mut knowledge = started_at(2, 10);
-    knowledge.take_watched(at(2, 12), vec![listed(2, 12)], NOW);
+    knowledge.apply_watched(at(2, 12), vec![listed(2, 12)], NOW);
     let held = Positions {
         upstreams_at: at(0, 10),
         ..Positions::default()
--- a/crates/flow/tests/failing.rs
+++ b/crates/flow/tests/failing.rs
@@ -259,6 +259,6 @@
         .map(|(id, entry)| (id, entry.revision, entry.upstream.clone()))
         .collect();
     let again = list.clone();
-    assert!(core.learn(START, |knowledge| knowledge.take_list(Revision(9), list, START)));
-    assert!(!core.learn(START, |knowledge| knowledge.take_list(Revision(9), again, START)));
+    assert!(core.learn(START, |knowledge| knowledge.apply_list(Revision(9), list, START)));
+    assert!(!core.learn(START, |knowledge| knowledge.apply_list(Revision(9), again, START)));
 }
--- a/crates/flow/tests/knowledge.rs
+++ b/crates/flow/tests/knowledge.rs
@@ -283,10 +283,10 @@
                 platform.change(|state| state.evacuate(&zone, is_asked));
             }
             Step::Zones(holder) => {
-                holders[holder].take_evacuations(state.evacuations(), &BTreeSet::new(), now);
+                holders[holder].apply_evacuations(state.evacuations(), &BTreeSet::new(), now);
             }
             Step::List(holder) => {
-                holders[holder].take_list(state.at(), state.list(), now);
+                holders[holder].apply_list(state.at(), state.list(), now);
                 cursors[holder] = Some(state.at());
             }
             Step::Watch(holder) => {
@@ -294,19 +294,19 @@
                 let since = cursors[holder].filter(|since| since.epoch == state.at().epoch);
                 cursors[holder] = since.and(Some(state.at()));
                 if let Some(since) = since {
-                    holders[holder].take_watched(state.at(), state.since(since.revision), now);
+                    holders[holder].apply_watched(state.at(), state.since(since.revision), now);
                 }
             }
             Step::Read(holder) => {
                 if let Some((at, document)) = state.document() {
-                    holders[holder].take_document(at, document);
+                    holders[holder].apply_document(at, document);
                 }
             }
             Step::Pull(to, from) => {
                 let held = holders[to].positions();
                 let change = holders[from].since(&held);
                 changes.push((held.upstreams_at, change.clone()));
-                holders[to].take(change, now);
+                holders[to].apply(change, now);
             }
             Step::Repeat(to, index) => {
                 let Some((since, change)) = changes.get(index % changes.len().max(1)).cloned() else {
@@ -314,7 +314,7 @@
                 };
                 // Only whoever asked gets the answer, so it has what came before.
                 if since <= holders[to].upstreams_at() {
-                    holders[to].take(change, now);
+                    holders[to].apply(change, now);
                 }
             }
             Step::Late(holder, age) => {
@@ -322,10 +322,10 @@
                     continue;
                 };
                 let state = &platform.past[index];
-                holders[holder].take_list(state.at(), state.list(), now);
-                holders[holder].take_evacuations(state.evacuations(), &BTreeSet::new(), now);
+                holders[holder].apply_list(state.at(), state.list(), now);
+                holders[holder].apply_evacuations(state.evacuations(), &BTreeSet::new(), now);
                 if let Some((at, document)) = state.document() {
-                    holders[holder].take_document(at, document);
+                    holders[holder].apply_document(at, document);
                 }
             }
             Step::Return(age) => platform.come_back(age),
@@ -347,11 +347,11 @@
 fn settle(platform: &State, holders: &mut [Knowledge]) {
     let now = Time(10_000_000);
     let (first, others) = holders.split_first_mut().unwrap();
-    first.take_list(platform.at(), platform.list(), now);
+    first.apply_list(platform.at(), platform.list(), now);
     if let Some((at, document)) = platform.document() {
-        first.take_document(at, document);
+        first.apply_document(at, document);
     }
-    first.take_evacuations(platform.evacuations(), &BTreeSet::new(), now);
+    first.apply_evacuations(platform.evacuations(), &BTreeSet::new(), now);
     for other in others.iter_mut() {
         ask(other, first, now);
         // Whoever knows more of one part tells so, and is asked in turn.
@@ -361,7 +361,7 @@
         assert_eq!(other.positions(), first.positions());
     }
     for held in holders {
-        held.settle(now + Duration::from_secs(2));
+        held.end_grace(now + Duration::from_secs(2));
         let document = held.document().map(|(_, document)| document);
         assert_eq!(document, platform.document.as_ref().map(|(_, document)| document));
         assert_eq!(held.evacuated(), platform.evacuated);
@@ -379,7 +379,7 @@
 /// A holder that knows less in any part asks another one.
 fn ask(holder: &mut Knowledge, other: &Knowledge, now: Time) {
     if holder.positions() != other.positions() {
-        holder.take(other.since(&holder.positions()), now);
+        holder.apply(other.since(&holder.positions()), now);
     }
 }
 
@@ -441,14 +441,14 @@
         zones: zones.iter().cloned().collect(),
     };
     let mut knowledge = Knowledge::awaiting_evacuations();
-    assert!(knowledge.take_evacuations(read(5, &zones[..1]), &BTreeSet::new(), Time(0)));
-    assert!(!knowledge.take_evacuations(read(6, &[]), &zones.iter().cloned().collect(), Time(0)));
+    assert!(knowledge.apply_evacuations(read(5, &zones[..1]), &BTreeSet::new(), Time(0)));
+    assert!(!knowledge.apply_evacuations(read(6, &[]), &zones.iter().cloned().collect(), Time(0)));
     assert!(knowledge.is_evacuated(&zones[0]) && !knowledge.is_evacuated(&zones[1]));
     assert!(
-        !knowledge.take_evacuations(read(4, &[]), &BTreeSet::new(), Time(0)),
+        !knowledge.apply_evacuations(read(4, &[]), &BTreeSet::new(), Time(0)),
         "it is older"
     );
-    assert!(knowledge.take_evacuations(read(7, &[]), &BTreeSet::new(), Time(0)));
+    assert!(knowledge.apply_evacuations(read(7, &[]), &BTreeSet::new(), Time(0)));
     assert!(!knowledge.is_evacuated(&zones[0]));
 }
 
@@ -464,18 +464,18 @@
         at: place(0, 9),
         zones: BTreeSet::from([emptied.clone()]),
     };
-    knowledge.take_evacuations(asked, &BTreeSet::new(), Time(0));
+    knowledge.apply_evacuations(asked, &BTreeSet::new(), Time(0));
     let returned = |revision| Evacuations {
         at: place(1, revision),
         zones: BTreeSet::new(),
     };
-    knowledge.take_evacuations(returned(3), &zones, Time(0));
+    knowledge.apply_evacuations(returned(3), &zones, Time(0));
     let evacuated = |knowledge: &Knowledge| knowledge.evacuated();
     assert_eq!(evacuated(&knowledge), BTreeSet::from([emptied.clone()]));
     let later = Time(0) + Duration::from_secs(5);
-    knowledge.settle(later);
+    knowledge.end_grace(later);
     assert_eq!(evacuated(&knowledge), BTreeSet::from([emptied]));
-    knowledge.take_evacuations(returned(4), &BTreeSet::new(), later);
+    knowledge.apply_evacuations(returned(4), &BTreeSet::new(), later);
     assert_eq!(
         evacuated(&knowledge),
         BTreeSet::new(),
@@ -497,14 +497,14 @@
     let none = BTreeSet::new();
     let second = Time(1_000_000);
     let mut before = Knowledge::default();
-    before.take_list(
+    before.apply_list(
         place(0, 10),
         vec![listed(1, false), listed(2, true), listed(4, false)],
         Time(0),
     );
-    before.take_watched(place(0, 11), vec![listed(3, false)], Time(0));
-    before.take_watched(place(0, 12), vec![(UpstreamId(3), Revision(12), None)], Time(0));
-    before.take_evacuations(evacuations(place(0, 12), &["zone-a"]), &none, Time(0));
+    before.apply_watched(place(0, 11), vec![listed(3, false)], Time(0));
+    before.apply_watched(place(0, 12), vec![(UpstreamId(3), Revision(12), None)], Time(0));
+    before.apply_evacuations(evacuations(place(0, 12), &["zone-a"]), &none, Time(0));
     let copy = vec![listed(2, false), listed(3, false), listed(4, true)];
     let shown = |knowledge: &Knowledge| {
         let upstreams = knowledge.upstreams();
@@ -513,13 +513,13 @@
         (upstreams.collect::<Vec<_>>(), zones)
     };
     let mut read = before.clone();
-    assert!(read.take_list(place(1, 9), copy, second));
-    assert!(read.take_evacuations(evacuations(place(1, 9), &["zone-b"]), &none, second));
+    assert!(read.apply_list(place(1, 9), copy, second));
+    assert!(read.apply_evacuations(evacuations(place(1, 9), &["zone-b"]), &none, second));
     // Whoever knew nothing before takes the copy's word, whoever did hears of the copy by others.
     let mut newcomer = Knowledge::default();
-    newcomer.take(read.since(&newcomer.positions()), second);
+    newcomer.apply(read.since(&newcomer.positions()), second);
     let mut told = before.clone();
-    assert!(told.take(read.since(&told.positions()), second));
+    assert!(told.apply(read.since(&told.positions()), second));
     let as_copied = (
         vec![(1, true, false), (2, false, false), (3, false, false), (4, false, true)],
         vec!["zone-b".to_owned()],
@@ -532,30 +532,30 @@
         );
         assert_eq!(shown(&held), as_before);
         assert!(held.gone_since(UpstreamId(3)).is_some());
-        assert!(!held.settle(Time(2_999_999)));
+        assert!(!held.end_grace(Time(2_999_999)));
         // Another one has read a later list of the same copy.
         let mut other = before.clone();
         let copy = vec![listed(2, false), listed(3, false), listed(4, true)];
-        other.take_list(place(1, 11), copy, second);
-        held.take(other.since(&held.positions()), second);
+        other.apply_list(place(1, 11), copy, second);
+        held.apply(other.since(&held.positions()), second);
         assert_eq!(shown(&held), as_before);
         // What is written in the new epoch counts at once.
         let leaving = (UpstreamId(2), Revision(13), Some(upstream(true, 1)));
         let gone = (UpstreamId(3), Revision(13), None);
-        held.take_watched(place(1, 13), vec![leaving, gone], second);
-        held.take_evacuations(evacuations(place(1, 14), &[]), &none, second);
+        held.apply_watched(place(1, 13), vec![leaving, gone], second);
+        held.apply_evacuations(evacuations(place(1, 14), &[]), &none, second);
         let written = (
             vec![(1, false, false), (2, false, true), (3, true, false), (4, false, true)],
             vec!["zone-a".to_owned()],
         );
         assert_eq!(shown(&held), written);
-        assert!(held.settle(Time(3_000_000)));
+        assert!(held.end_grace(Time(3_000_000)));
         let settled = (
             vec![(1, true, false), (2, false, true), (3, true, false), (4, false, true)],
             Vec::new(),
         );
         assert_eq!(shown(&held), settled);
-        assert!(!held.settle(Time(9_000_000)));
+        assert!(!held.end_grace(Time(9_000_000)));
     }
 }
 
@@ -573,12 +573,12 @@
     };
     for has_read_the_copy_too in [false, true] {
         let mut newcomer = Knowledge::default();
-        newcomer.take_document(place(1, 40), document(73));
+        newcomer.apply_document(place(1, 40), document(73));
         let mut other = Knowledge::default();
-        other.take_document(place(0, 46), document(73));
-        other.take_document(place(0, 47), document(76));
+        other.apply_document(place(0, 46), document(73));
+        other.apply_document(place(0, 47), document(76));
         if has_read_the_copy_too {
-            other.take_document(place(1, 40), document(73));
+            other.apply_document(place(1, 40), document(73));
         }
         ask(&mut other, &newcomer, Time(1));
         assert_eq!(other.document(), Some(&(place(1, 40), document(76))));
@@ -601,8 +601,8 @@
 fn what_went_long_ago_is_forgotten() {
     let mut knowledge = Knowledge::default();
     let id = UpstreamId(1);
-    knowledge.take_watched(Revision(2), vec![(id, Revision(2), Some(upstream(false, 1)))], Time(0));
-    knowledge.take_watched(Revision(3), vec![(id, Revision(3), None)], Time(10));
+    knowledge.apply_watched(Revision(2), vec![(id, Revision(2), Some(upstream(false, 1)))], Time(0));
+    knowledge.apply_watched(Revision(3), vec![(id, Revision(3), None)], Time(10));
     assert_eq!(knowledge.gone_since(id), Some(Time(10)));
     assert!(!knowledge.forget(Time(10)));
     assert!(knowledge.forget(Time(11)));
--- a/crates/flow/tests/returned.rs
+++ b/crates/flow/tests/returned.rs
@@ -56,15 +56,15 @@
     };
     let warm = vec![(id, Revision(5), upstream(Duration::ZERO))];
     core.learn(now, |knowledge| {
-        knowledge.take_document(at(0, 4), document) | knowledge.take_list(at(0, 10), warm, now)
+        knowledge.apply_document(at(0, 4), document) | knowledge.apply_list(at(0, 10), warm, now)
     });
     assert_eq!(core.rationed(now), []);
     let started = vec![(id, Revision(5), upstream(COLD))];
-    core.learn(now, |knowledge| knowledge.take_list(at(1, 5), started, now));
+    core.learn(now, |knowledge| knowledge.apply_list(at(1, 5), started, now));
     assert_eq!(core.rationed(now), [id]);
     let kept = vec![(id, Revision(5), upstream(COLD))];
     let later = now + COLD;
-    core.learn(later, |knowledge| knowledge.take_list(at(2, 5), kept, later));
+    core.learn(later, |knowledge| knowledge.apply_list(at(2, 5), kept, later));
     assert_eq!(
         core.rationed(later),
         [],
--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -210,7 +210,7 @@
         let given = document.clone();
         let before = self.core.knowledge().document().cloned();
         self.core
-            .learn(self.now, |knowledge| knowledge.take_document(at, document));
+            .learn(self.now, |knowledge| knowledge.apply_document(at, document));
         let held = self.core.knowledge().document().cloned();
         let is_new = held != before && held.is_some_and(|(_, held)| held == given);
         if is_new {
@@ -241,7 +241,7 @@
         let none = BTreeSet::new();
         let now = self.now;
         self.core
-            .learn(now, |knowledge| knowledge.take_evacuations(read, &none, now));
+            .learn(now, |knowledge| knowledge.apply_evacuations(read, &none, now));
         let mut out = String::new();
         self.show(&mut out);
         for (zone, flows) in self.core.evacuated() {
@@ -283,7 +283,7 @@
         let at = Revision(self.revision);
         let now = self.now;
         self.core
-            .learn(now, |knowledge| knowledge.take_watched(at, changes, now));
+            .learn(now, |knowledge| knowledge.apply_watched(at, changes, now));
         let mut out = String::new();
         self.show(&mut out);
         out
--- a/crates/flow/tests/size.rs
+++ b/crates/flow/tests/size.rs
@@ -23,7 +23,7 @@
     });
     let leaving = leaving.collect();
     let before = core.stats().indexed;
-    let take = |knowledge: &mut Knowledge| knowledge.take_watched(Revision(at), leaving, START);
+    let take = |knowledge: &mut Knowledge| knowledge.apply_watched(Revision(at), leaving, START);
     assert!(core.learn(START, take));
     core.stats().indexed - before
 }
@@ -42,7 +42,7 @@
     let mut core = core(1_300);
     let before = core.stats().indexed;
     core.learn(START, |knowledge| {
-        knowledge.take_watched(Revision(9), Vec::<(_, _, Option<_>)>::new(), START)
+        knowledge.apply_watched(Revision(9), Vec::<(_, _, Option<_>)>::new(), START)
     });
     assert_eq!(core.knowledge().upstreams_at(), Revision(9).into());
     assert_eq!(core.stats().indexed, before);
--- a/crates/jayquayd/src/forward/check.rs
+++ b/crates/jayquayd/src/forward/check.rs
@@ -393,6 +393,6 @@
         result => result?,
     };
     let at = documents.at;
-    store::take_document(shared, documents);
+    store::apply_document(shared, documents);
     Ok(at)
 }
--- a/crates/jayquayd/src/forward/pull.rs
+++ b/crates/jayquayd/src/forward/pull.rs
@@ -84,10 +84,10 @@
     let now = shared.now();
     let take = |knowledge: &mut Knowledge| {
         if change.tells_epochs {
-            return knowledge.take(change, now);
+            return knowledge.apply(change, now);
         }
         let change = knowledge.read_without_epochs(change);
-        change.is_some_and(|change| knowledge.take(change, now))
+        change.is_some_and(|change| knowledge.apply(change, now))
     };
     if shared.learn(take) {
         let Positions {
--- a/crates/jayquayd/src/forward/store.rs
+++ b/crates/jayquayd/src/forward/store.rs
@@ -115,14 +115,14 @@
         };
         link.answered();
         cursor = Some(documents.at);
-        if take_document(shared, documents) {
+        if apply_document(shared, documents) {
             tokio::time::sleep(role.gather()).await;
         }
     }
 }
 
 /// Takes in what a read or a watch of the document brought. Tells whether there was one.
-pub(super) fn take_document(shared: &Shared, documents: Documents) -> bool {
+pub(super) fn apply_document(shared: &Shared, documents: Documents) -> bool {
     let is_unreadable = documents.is_unreadable;
     if is_unreadable || documents.newest.is_some() {
         let at = documents.at;
@@ -134,7 +134,7 @@
     };
     let revision = document.revision;
     let before = held_document(shared);
-    shared.learn(|knowledge| knowledge.take_document(at, document));
+    shared.learn(|knowledge| knowledge.apply_document(at, document));
     let held = held_document(shared);
     if held != before && held == Some(revision) {
         log::info!("store: document in force revision={revision} at={at}");
@@ -252,16 +252,16 @@
             return Ok((shared.core().knowledge().upstreams_at(), false));
         }
     };
-    Ok((list.at, take_list(shared, list)))
+    Ok((list.at, apply_list(shared, list)))
 }
 
 /// Takes in a whole list. Tells whether anything has changed.
-fn take_list(shared: &Shared, list: List) -> bool {
+fn apply_list(shared: &Shared, list: List) -> bool {
     let count = list.upstreams.len();
     let at = list.at;
     let now = shared.now();
     let held_at = shared.core().knowledge().upstreams_at();
-    let has_changed = shared.learn(|knowledge| knowledge.take_list(at, list.sightings(), now));
+    let has_changed = shared.learn(|knowledge| knowledge.apply_list(at, list.sightings(), now));
     if at < held_at {
         log::warn!("store: upstreams passed over at={at}, held at={held_at}");
     }
@@ -290,7 +290,7 @@
             return Ok(());
         }
     };
-    take_list(shared, list);
+    apply_list(shared, list);
     Ok(())
 }
 
@@ -319,6 +319,6 @@
     }
     let at = watched.at;
     let now = shared.now();
-    shared.learn(|knowledge| knowledge.take_watched(at, watched.changes, now));
+    shared.learn(|knowledge| knowledge.apply_watched(at, watched.changes, now));
     Ok((at, true))
 }
--- a/crates/jayquayd/src/forward/store/evacuations.rs
+++ b/crates/jayquayd/src/forward/store/evacuations.rs
@@ -78,6 +78,6 @@
     let Zones { at, named, unreadable } = store.list_evacuations().await?;
     let read = Evacuations { at, zones: named };
     let now = shared.now();
-    shared.learn(|knowledge| knowledge.take_evacuations(read, &unreadable, now));
+    shared.learn(|knowledge| knowledge.apply_evacuations(read, &unreadable, now));
     Ok(at)
 }
