--- a/crates/flow/src/documents.rs
+++ b/crates/flow/src/documents.rs
@@ -20,8 +20,8 @@
 use crate::route::Route;
 use crate::warning::Warning;
 
-/// The number of steps that are kept. Over long periods, changes arrive every few seconds at most, and each reaches
-/// all instances within seconds.
+/// The number of steps that are kept. A sustained rate of changes is at most one every few seconds, and each change
+/// reaches all instances within seconds.
 const MAX_STEPS: usize = 16;
 
 /// The difference between two consecutive documents.
--- a/crates/flow/src/ejection.rs
+++ b/crates/flow/src/ejection.rs
@@ -43,7 +43,7 @@
 /// The state transition that an outcome caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Transition {
-    /// Nothing.
+    /// The state is unchanged.
     None,
     /// A probe has failed, so the upstream is ejected again.
     EjectedAgain,
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -148,7 +148,7 @@
     }
 
     /// Adds a report from one of `instances` instances that each see a similar share of the traffic to the upstream.
-    /// Returns whether the upstream fails more often than chance explains at the baseline failure ratio `baseline`.
+    /// Returns whether the upstream fails more often than chance explains, given the failure ratio `baseline`.
     pub(crate) fn add_report(&mut self, report: &FailureReport, instances: u32, baseline: f64, now: Time) -> bool {
         let reported_rate = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
         let rate = f64::midpoint(self.rate(now), reported_rate) * f64::from(instances.max(1));
