--- a/crates/flow/src/core/opening.rs
+++ b/crates/flow/src/core/opening.rs
@@ -6,10 +6,10 @@
 
 use super::Core;
 use crate::decision::Decision;
-use crate::directory::Listed;
-use crate::flows::COPY_SPACE;
+use crate::directory::DirectoryEntry;
 use crate::flows::Flow;
 use crate::flows::FlowKey;
+use crate::flows::MIN_RETRANSMISSION_INTERVAL;
 use crate::flows::Stage;
 use crate::health::Health;
 use crate::packet::DropCause;
@@ -73,9 +73,9 @@
     /// neither.
     fn delayed_duplicate(&mut self, key: &FlowKey, now: Time) -> Option<UpstreamId> {
         let flow = self.flows.get_mut(key)?;
-        let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < COPY_SPACE;
+        let is_held_up = flow.stage == Stage::Opening && now.since(flow.first_seen) < MIN_RETRANSMISSION_INTERVAL;
         let id = flow.upstream;
-        let takes_flows = self.directory.get(id).is_some_and(Listed::takes_flows);
+        let takes_flows = self.directory.get(id).is_some_and(DirectoryEntry::accepts_flows);
         (is_held_up && takes_flows).then_some(id)
     }
 
@@ -85,7 +85,7 @@
             let listed = self.directory.of_service(service).map(|(_, listed)| listed);
             listed.filter(|listed| listed.gone_since.is_none())
         };
-        if listed().any(|listed| listed.takes_flows() && listed.cold_rate(now).is_some()) {
+        if listed().any(|listed| listed.accepts_flows() && listed.cold_rate(now).is_some()) {
             return ResetCause::Cold;
         }
         if listed().any(|listed| listed.is_evacuated) {
@@ -113,13 +113,16 @@
     /// For a service with very many upstreams, only a rotating subset is examined; all are examined only if none of the
     /// subset is [`Tier::Ready`].
     fn place(&mut self, service: &str, earlier: Option<UpstreamId>, now: Time) -> Option<Candidate> {
-        if let Some(next) = self.directory.next(service, &self.options.zone, self.start_offset) {
+        if let Some(next) = self
+            .directory
+            .next_candidates(service, &self.options.zone, self.start_offset)
+        {
             let best = self.best_of(&next, service, earlier, now);
             if let Some(best) = best.filter(|best| best.tier == Tier::Ready && Some(best.id) != earlier) {
                 return Some(best);
             }
         }
-        let all = self.directory.all_of(service).to_vec();
+        let all = self.directory.service_ids(service).to_vec();
         self.best_of(&all, service, earlier, now)
     }
 
@@ -167,8 +170,8 @@
 }
 
 /// The tier of an upstream, or `None` if it gets no new flows.
-fn tier(listed: &Listed, health: Option<&Health>, now: Time) -> Option<Tier> {
-    if !listed.takes_flows() {
+fn tier(listed: &DirectoryEntry, health: Option<&Health>, now: Time) -> Option<Tier> {
+    if !listed.accepts_flows() {
         return None;
     }
     if let Some(since) = listed.gone_since {
--- a/crates/flow/src/core/silence.rs
+++ b/crates/flow/src/core/silence.rs
@@ -112,7 +112,7 @@
             return;
         }
         let remote = self.zone_health(&zone);
-        let is_silent = remote.stalled >= loss::flows_beyond_chance(loss) && remote.silent >= SILENT_IN_ZONE;
+        let is_silent = remote.stalled >= loss::significant_flow_count(loss) && remote.silent >= SILENT_IN_ZONE;
         if !is_silent || remote.last_progress >= remote.since {
             return;
         }
@@ -242,7 +242,7 @@
     /// Resets all flows of an upstream that is considered dead, including idle ones: a client whose flow is reset
     /// before its next request opens another one in time, and loses nothing.
     pub(super) fn reset_flows_of(&mut self, id: UpstreamId, was_dead: bool, evidence: SilenceEvidence) {
-        let flows = self.flows.take_of(id);
+        let flows = self.flows.take_by_upstream(id);
         let Some(health) = self.health.get_mut(&id) else {
             return;
         };
@@ -280,13 +280,13 @@
         let Some(health) = self.health.get(&flow.upstream) else {
             return false;
         };
-        let copies = u32::from(pending.copies);
+        let copies = u32::from(pending.retransmissions);
         let signs = copies + health.other_stalled_flows();
         let loss = self.loss.percent(now);
-        let is_beyond_chance = copies >= STALLED_RETRANSMISSIONS && signs >= loss::flows_beyond_chance(loss);
+        let is_beyond_chance = copies >= STALLED_RETRANSMISSIONS && signs >= loss::significant_flow_count(loss);
         let missed = health.expected_answers(now.since(pending.since), now);
         let is_silent = health.last_progress <= pending.since && missed >= MISSED_ANSWERS;
-        is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.copied_before_at))
+        is_beyond_chance && is_silent && self.others_answer(&(pending.since..=pending.previously_sent_at))
     }
 
     /// Whether data for an upstream is answered with a reset because the upstream was recently marked dead. Such data
--- a/crates/flow/src/core/status_updates.rs
+++ b/crates/flow/src/core/status_updates.rs
@@ -40,7 +40,7 @@
     /// Handles an answer of an upstream that was considered dead, and announces it if its silence was announced. The
     /// upstream may have restarted, which its entry shows only later, so it is treated as cold.
     pub(super) fn handle_revival(&mut self, id: UpstreamId, answered_at: Time, now: Time) {
-        self.directory.chill(id, now);
+        self.directory.start_cold_period(id, now);
         self.decisions.push(Decision::Revived(id));
         let was_announced = self.health.get_mut(&id).is_some_and(Health::take_silence_announced);
         if was_announced {
@@ -97,7 +97,7 @@
         let id = update.upstream;
         let health = self.health.entry(id).or_default();
         let was_ejected = health.ejection.is_ejected();
-        if !health.ejection.follow(update.round, is_out, now) {
+        if !health.ejection.apply_report(update.round, is_out, now) {
             return;
         }
         self.received_updates.push((now, *update));
--- a/crates/flow/src/directory/echoes.rs
+++ b/crates/flow/src/directory/echoes.rs
@@ -1,4 +1,4 @@
-//! Upstreams by their echoes. Two ids may have one echo, which then stands for neither.
+//! An index of upstreams by echo. Two ids may have the same echo, which then identifies neither.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,22 +7,22 @@
 use crate::packet::Echo;
 use crate::upstream::UpstreamId;
 
-/// Upstreams by their echoes.
+/// An index of upstreams by echo.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Echoes {
-    single: HashMap<Echo, UpstreamId>,
-    /// The ids that share an echo, two or more.
+    unique: HashMap<Echo, UpstreamId>,
+    /// Echoes with two or more ids.
     shared: BTreeMap<Echo, BTreeSet<UpstreamId>>,
 }
 
 impl Echoes {
-    /// The one upstream that an echo stands for.
+    /// The only upstream with this echo.
     pub(super) fn get(&self, echo: Echo) -> Option<UpstreamId> {
-        self.single.get(&echo).copied()
+        self.unique.get(&echo).copied()
     }
 
-    /// Whether an id is held with this echo, alone or not.
-    pub(super) fn holds(&self, echo: Echo, id: UpstreamId) -> bool {
+    /// Whether an id is indexed under this echo, alone or with others.
+    pub(super) fn contains(&self, echo: Echo, id: UpstreamId) -> bool {
         let is_shared = || self.shared.get(&echo).is_some_and(|ids| ids.contains(&id));
         self.get(echo) == Some(id) || is_shared()
     }
@@ -32,9 +32,9 @@
             ids.insert(id);
             return;
         }
-        match self.single.insert(echo, id) {
+        match self.unique.insert(echo, id) {
             Some(held) if held != id => {
-                self.single.remove(&echo);
+                self.unique.remove(&echo);
                 self.shared.insert(echo, BTreeSet::from([held, id]));
             }
             Some(_) | None => {}
@@ -43,7 +43,7 @@
 
     pub(super) fn remove(&mut self, echo: Echo, id: UpstreamId) {
         let Some(ids) = self.shared.get_mut(&echo) else {
-            self.single.remove(&echo);
+            self.unique.remove(&echo);
             return;
         };
         ids.remove(&id);
@@ -53,7 +53,7 @@
         let last = ids.pop_first();
         self.shared.remove(&echo);
         if let Some(last) = last {
-            self.single.insert(echo, last);
+            self.unique.insert(echo, last);
         }
     }
 }
--- a/crates/flow/src/flows.rs
+++ b/crates/flow/src/flows.rs
@@ -1,4 +1,5 @@
-//! What this instance has seen of each flow. It is a cache for decisions: any of it may be lost at any time.
+//! The flow table: what this instance has observed of each flow. It is a cache that informs decisions; any of it may
+//! be lost at any time.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,16 +11,16 @@
 use crate::packet::Packet;
 use crate::upstream::UpstreamId;
 
-/// The least time between two copies that count. An end waits 200 milliseconds before the first copy and longer
-/// before each further one.
-pub(crate) const COPY_SPACE: Duration = Duration::from_millis(120);
+/// The minimum interval between two retransmissions that both count. A sender waits 200 milliseconds before the first
+/// retransmission, and longer before each further one.
+pub(crate) const MIN_RETRANSMISSION_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Names a flow: its two ends, as client, upstream and every instance see them.
+/// Identifies a flow by its two addresses, which are the same for the client, the upstream and every instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
-    /// The client's end.
+    /// The address of the client.
     pub client: SocketAddrV4,
-    /// The route's end.
+    /// The address of the route.
     pub route: SocketAddrV4,
 }
 
@@ -38,82 +39,81 @@
     }
 }
 
-/// How far a flow has come.
+/// The stage of a flow's life cycle, as seen by this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It was placed here, and its upstream has not answered yet.
+    /// This instance placed the flow, and the upstream has not responded yet.
     Opening,
-    /// Its packets came from another instance, or from before this one started.
+    /// The flow was first handled by another instance, or by this one before a restart.
     Adopted,
-    /// It is open.
+    /// The flow is established.
     Open,
 }
 
-/// What this instance has seen of one flow.
+/// What this instance has observed of one flow.
 #[derive(Debug, Clone)]
 pub(crate) struct Flow {
-    /// Where its packets go.
+    /// The upstream that its packets are forwarded to.
     pub(crate) upstream: UpstreamId,
-    /// How far it has come.
     pub(crate) stage: Stage,
-    /// When its first packet came here.
+    /// When this instance saw the first packet of the flow.
     pub(crate) first_seen: Time,
     pub(crate) last_seen: Time,
-    /// How far the client has everything from the upstream.
+    /// The latest acknowledgement number from the client.
     pub(crate) client_ack: u32,
-    /// The position after the last byte that the client has sent.
+    /// The sequence number after the last byte that the client has sent.
     pub(crate) next_seq: u32,
-    /// Data that the upstream has not reacted to.
+    /// Client data that the upstream has not responded to yet.
     pub(crate) pending: Option<Pending>,
-    /// The upstream's stall that this flow was last counted in.
-    pub(crate) counted_in: u32,
-    /// The last request, until it is known how it ended.
-    pub(crate) asked: Option<Asked>,
+    /// The number of the upstream's stall that this flow was last counted in.
+    pub(crate) counted_in_stall: u32,
+    /// The latest request, while its outcome is unknown.
+    pub(crate) request: Option<OpenRequest>,
 }
 
-/// A request whose end is not known yet.
+/// A request whose outcome is not known yet.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asked {
+pub(crate) struct OpenRequest {
     /// When it came.
     pub(crate) at: Time,
-    /// How far the client had everything before.
+    /// The client's acknowledgement number when the request arrived.
     ack: u32,
-    /// When the client last had more of the answer.
+    /// When the client last acknowledged more of the response.
     pub(crate) progress_at: Option<Time>,
 }
 
-/// Data from the client that the upstream has not reacted to yet.
+/// Client data that the upstream has not responded to yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Pending {
-    /// When it came first.
+    /// When the data was first seen.
     pub(crate) since: Time,
-    /// Its position.
+    /// The sequence number of the data.
     pub(crate) seq: u32,
-    /// How many copies came after the first.
-    pub(crate) copies: u8,
-    /// When it came last, and when the time before.
-    copied_at: Time,
-    pub(crate) copied_before_at: Time,
+    /// The number of retransmissions after the first transmission.
+    pub(crate) retransmissions: u8,
+    /// When the latest transmission was seen, and the one before it.
+    last_sent_at: Time,
+    pub(crate) previously_sent_at: Time,
 }
 
-/// What a packet tells about its flow's upstream.
+/// What a packet reveals about the upstream of its flow.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Sign {
-    /// The upstream has answered something.
+pub(crate) struct Observation {
+    /// Whether the upstream has sent new data or accepted the connection.
     pub(crate) is_progress: bool,
-    /// When what the upstream has answered was sent to it, if this packet tells of an answer to something.
-    pub(crate) reached: Option<Time>,
-    /// How long the handshake took that this packet ends.
-    pub(crate) opened_after: Option<Duration>,
-    /// How long it took to answer, if that can be told. An answer that shows only in the client's next request says
-    /// more about the client's pause.
-    pub(crate) waited: Option<Duration>,
-    /// A new request is on its way to it.
+    /// If the packet shows that the upstream responded to something, when that was sent to the upstream.
+    pub(crate) answered_sent_at: Option<Time>,
+    /// The duration of the handshake, if this packet completes it.
+    pub(crate) handshake_time: Option<Duration>,
+    /// The response time of the upstream, if it can be measured. A response that only becomes visible in the client's
+    /// next request is not measured, as the interval would mostly reflect the client's pause.
+    pub(crate) response_time: Option<Duration>,
+    /// Whether the packet starts a new request.
     pub(crate) is_request: bool,
-    /// How many bytes the answer to the request before had, if that was not known yet.
-    pub(crate) answered: Option<u32>,
-    /// Data came once more, as it has not reacted.
-    pub(crate) is_copy: bool,
+    /// The length in bytes of the response to the previous request, if it was not known yet.
+    pub(crate) answer_len: Option<u32>,
+    /// Whether the packet is a retransmission of data that the upstream has not responded to.
+    pub(crate) is_retransmission: bool,
 }
 
 impl Flow {
@@ -126,105 +126,106 @@
             client_ack: packet.ack,
             next_seq: packet.seq,
             pending: None,
-            counted_in: 0,
-            asked: None,
+            counted_in_stall: 0,
+            request: None,
         }
     }
 
-    /// Since when it waits for its upstream.
-    pub(crate) fn waits_since(&self) -> Time {
+    /// When the flow started to wait for its upstream.
+    pub(crate) fn waiting_since(&self) -> Time {
         self.pending.map_or(self.first_seen, |pending| pending.since)
     }
 
-    /// Takes in a packet that is not an opening one.
-    pub(crate) fn see(&mut self, packet: &Packet, now: Time) -> Sign {
+    /// Processes a packet that does not open a flow.
+    pub(crate) fn observe(&mut self, packet: &Packet, now: Time) -> Observation {
         self.last_seen = now;
         let stage = std::mem::replace(&mut self.stage, Stage::Open);
-        let mut sign = Sign {
-            reached: (stage == Stage::Opening).then_some(self.first_seen),
-            opened_after: (stage == Stage::Opening).then(|| now.since(self.first_seen)),
-            ..Sign::default()
+        let mut observation = Observation {
+            answered_sent_at: (stage == Stage::Opening).then_some(self.first_seen),
+            handshake_time: (stage == Stage::Opening).then(|| now.since(self.first_seen)),
+            ..Observation::default()
         };
-        if stage == Stage::Opening || is_ahead(packet.ack, self.client_ack) {
+        if stage == Stage::Opening || is_after(packet.ack, self.client_ack) {
             self.client_ack = packet.ack;
-            if let Some(asked) = &mut self.asked {
-                asked.progress_at = Some(now);
+            if let Some(request) = &mut self.request {
+                request.progress_at = Some(now);
             }
             let pending = self.pending.take();
-            sign.is_progress = true;
-            sign.reached = sign.reached.or(pending.map(|pending| pending.since));
-            sign.waited = pending
-                .filter(|pending| packet.len == 0 && pending.copies == 0)
+            observation.is_progress = true;
+            observation.answered_sent_at = observation.answered_sent_at.or(pending.map(|pending| pending.since));
+            observation.response_time = pending
+                .filter(|pending| packet.len == 0 && pending.retransmissions == 0)
                 .map(|pending| now.since(pending.since));
         }
         if packet.len == 0 {
-            return sign;
+            return observation;
         }
         let end = packet.seq.wrapping_add(u32::from(packet.len));
-        if stage != Stage::Open || is_ahead(end, self.next_seq) {
+        if stage != Stage::Open || is_after(end, self.next_seq) {
             self.next_seq = end;
-            sign.is_request = self.pending.is_none();
-            if sign.is_request {
-                sign.answered = self.ask(now);
+            observation.is_request = self.pending.is_none();
+            if observation.is_request {
+                observation.answer_len = self.begin_request(now);
             }
             self.pending.get_or_insert(Pending {
                 since: now,
                 seq: packet.seq,
-                copies: 0,
-                copied_at: now,
-                copied_before_at: now,
+                retransmissions: 0,
+                last_sent_at: now,
+                previously_sent_at: now,
             });
-            return sign;
+            return observation;
         }
         if let Some(pending) = &mut self.pending {
-            sign.is_copy = pending.note_copy(packet.seq, now);
+            observation.is_retransmission = pending.note_retransmission(packet.seq, now);
         }
-        sign
+        observation
     }
 }
 
 impl Flow {
-    /// A request begins. Gives the length of the answer to the one before.
-    fn ask(&mut self, now: Time) -> Option<u32> {
-        let answered = self.answered();
-        self.asked = Some(Asked {
+    /// Starts a new request. Returns the length of the response to the previous one.
+    fn begin_request(&mut self, now: Time) -> Option<u32> {
+        let answer_len = self.answer_len();
+        self.request = Some(OpenRequest {
             at: now,
             ack: self.client_ack,
             progress_at: None,
         });
-        answered
+        answer_len
     }
 
-    /// How many bytes of the answer to the last request the client has, if there are any and its end is not known yet.
-    pub(crate) fn answered(&self) -> Option<u32> {
-        let asked = self.asked?;
-        asked.progress_at?;
-        Some(self.client_ack.wrapping_sub(asked.ack))
+    /// The number of response bytes that the client has acknowledged for the latest request, if there are any and the
+    /// outcome of the request is not known yet.
+    pub(crate) fn answer_len(&self) -> Option<u32> {
+        let request = self.request?;
+        request.progress_at?;
+        Some(self.client_ack.wrapping_sub(request.ack))
     }
 }
 
 impl Pending {
-    /// Counts a copy. Copies that come together were held up on their way here, or this process was, and tell nothing
-    /// about the upstream.
-    fn note_copy(&mut self, seq: u32, now: Time) -> bool {
-        let is_spaced = now.since(self.copied_at) >= COPY_SPACE;
+    /// Counts a retransmission. Retransmissions that arrive together were delayed on the way here, or this process was
+    /// paused; they reveal nothing about the upstream.
+    fn note_retransmission(&mut self, seq: u32, now: Time) -> bool {
+        let is_spaced = now.since(self.last_sent_at) >= MIN_RETRANSMISSION_INTERVAL;
         if seq != self.seq || !is_spaced {
             return false;
         }
-        self.copies = self.copies.saturating_add(1);
-        self.copied_before_at = self.copied_at;
-        self.copied_at = now;
+        self.retransmissions = self.retransmissions.saturating_add(1);
+        self.previously_sent_at = self.last_sent_at;
+        self.last_sent_at = now;
         true
     }
 }
 
-/// Whether a position lies ahead of another, also after the count has wrapped.
-fn is_ahead(position: u32, other: u32) -> bool {
+/// Whether a sequence number is ahead of another, allowing for wraparound.
+fn is_after(position: u32, other: u32) -> bool {
     let distance = position.wrapping_sub(other);
     distance != 0 && distance < u32::MAX / 2
 }
 
-/// The flows seen by this instance.
+/// The flow table of this instance.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Flows {
     flows: HashMap<FlowKey, Flow>,
@@ -247,15 +248,15 @@
         self.flows.remove(key)
     }
 
-    /// Takes out the flows of one upstream, in the order of their ends.
-    pub(crate) fn take_of(&mut self, upstream: UpstreamId) -> Vec<(FlowKey, Flow)> {
+    /// Removes and returns the flows of one upstream, ordered by their keys.
+    pub(crate) fn take_by_upstream(&mut self, upstream: UpstreamId) -> Vec<(FlowKey, Flow)> {
         let flows = self.flows.extract_if(|_, flow| flow.upstream == upstream);
         let mut flows: Vec<_> = flows.collect();
         flows.sort_unstable_by_key(|(key, _)| *key);
         flows
     }
 
-    /// Takes out the flows that have been silent for longer than they may be remembered.
+    /// Removes and returns the flows that have been idle for longer than `idle`.
     pub(crate) fn take_idle(&mut self, idle: Duration, now: Time) -> Vec<Flow> {
         let idle = self.flows.extract_if(|_, flow| now.since(flow.last_seen) > idle);
         idle.map(|(_, flow)| flow).collect()
--- a/crates/flow/src/place.rs
+++ b/crates/flow/src/place.rs
@@ -7,7 +7,7 @@
 use units::Time;
 use units::ZoneName;
 
-use crate::directory::Listed;
+use crate::directory::DirectoryEntry;
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
@@ -74,7 +74,7 @@
 }
 
 impl UpstreamLoad {
-    pub(crate) fn new(listed: &Listed, health: &Health, now: Time) -> Self {
+    pub(crate) fn new(listed: &DirectoryEntry, health: &Health, now: Time) -> Self {
         let flows = f64::from(health.flows);
         let load = flows * FLOW_WEIGHT + health.activity(now);
         Self {
@@ -174,7 +174,7 @@
 /// zone. The relative response time is squared, so an upstream that answers twice as slowly gets a quarter of the
 /// flows.
 pub(crate) fn cost(
-    listed: &Listed,
+    listed: &DirectoryEntry,
     load: UpstreamLoad,
     peers: &PeerTotals,
     zone: &ZoneName,
--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -27,6 +27,7 @@
 use flow::Evacuations;
 use flow::FailureReport;
 use flow::Flags;
+use flow::ListingState;
 use flow::Options;
 use flow::Packet;
 use flow::Report;
@@ -34,8 +35,7 @@
 use flow::Route;
 use flow::Sample;
 use flow::Share;
-use flow::Sighting;
-use flow::Start;
+use flow::StartTime;
 use flow::Status;
 use flow::StatusUpdate;
 use flow::Upstream;
@@ -210,7 +210,7 @@
         let given = document.clone();
         let before = self.core.knowledge().document().cloned();
         self.core
-            .learn(self.now, |knowledge| knowledge.take_document(at, document));
+            .learn(self.now, |knowledge| knowledge.apply_document(at, document));
         let held = self.core.knowledge().document().cloned();
         let is_new = held != before && held.is_some_and(|(_, held)| held == given);
         if is_new {
@@ -241,7 +241,7 @@
         let none = BTreeSet::new();
         let now = self.now;
         self.core
-            .learn(now, |knowledge| knowledge.take_evacuations(read, &none, now));
+            .learn(now, |knowledge| knowledge.apply_evacuations(read, &none, now));
         let mut out = String::new();
         self.show(&mut out);
         for (zone, flows) in self.core.evacuated() {
@@ -258,11 +258,11 @@
             let id: UpstreamId = words[0].parse().unwrap();
             let revision = Revision(self.revision);
             if words[1] == "gone" {
-                changes.push((id, revision, Sighting::Gone));
+                changes.push((id, revision, ListingState::Gone));
                 continue;
             }
             if words[1] == "unreadable" {
-                changes.push((id, revision, Sighting::Unreadable));
+                changes.push((id, revision, ListingState::Unreadable));
                 continue;
             }
             let value = |name: &str| words.iter().find_map(|word| word.strip_prefix(name));
@@ -275,15 +275,15 @@
                 slots: Slots(value("slots=").map_or(2, |slots| slots.parse().unwrap())),
                 leaving: words.contains(&"leaving"),
                 cold_for: Duration::from_millis(value("cold=").map_or(0, millis)),
-                started: value("started=").map(|started| Start(millis(started))),
+                started: value("started=").map(|started| StartTime(millis(started))),
             };
             self.upstreams.insert(id, upstream.clone());
-            changes.push((id, revision, Sighting::Listed(upstream)));
+            changes.push((id, revision, ListingState::Listed(upstream)));
         }
         let at = Revision(self.revision);
         let now = self.now;
         self.core
-            .learn(now, |knowledge| knowledge.take_watched(at, changes, now));
+            .learn(now, |knowledge| knowledge.apply_watched(at, changes, now));
         let mut out = String::new();
         self.show(&mut out);
         out
