--- a/crates/node/src/documents.rs
+++ b/crates/node/src/documents.rs
@@ -24,15 +24,15 @@
 use crate::Node;
 use crate::Peer;
 use crate::Record;
-use crate::home::leaving_of;
+use crate::home::leaving_upstreams;
 use crate::ingress::RETRY_SOON;
-use crate::node::Cx;
+use crate::node::Context;
 use crate::ticket::Ticket;
 
 /// How many earlier documents are kept, so that others can be told of a change alone.
-const KEPT: usize = 4;
+const MAX_EARLIER_DOCUMENTS: usize = 4;
 /// How long to wait for a document that was asked for before it is asked for again.
-const WANT_AGAIN: Duration = Duration::from_millis(250);
+const DOCUMENT_REQUEST_RETRY: Duration = Duration::from_millis(250);
 
 /// The document in force and some before it.
 #[derive(Debug, Default, Clone)]
@@ -77,7 +77,7 @@
     }
 
     /// Whether the flows of a service keep their upstream.
-    pub fn pins(&self, service: &ServiceName) -> bool {
+    pub fn has_flow_affinity(&self, service: &ServiceName) -> bool {
         let service = self.service(service);
         service.is_some_and(|service| service.sharing.affinity == Affinity::Flow)
     }
@@ -94,12 +94,12 @@
         missing.map(|service| service.name.clone()).collect()
     }
 
-    fn is_news(&self, revision: Revision) -> bool {
+    fn is_newer(&self, revision: Revision) -> bool {
         self.revision().is_none_or(|held| revision > held)
     }
 
     fn install(&mut self, document: Document) -> bool {
-        if !self.is_news(document.revision) {
+        if !self.is_newer(document.revision) {
             return false;
         }
         self.by_name.clear();
@@ -115,7 +115,7 @@
         }
         let before = self.current.replace(Arc::new(document));
         self.earlier.extend(before);
-        if self.earlier.len() > KEPT {
+        if self.earlier.len() > MAX_EARLIER_DOCUMENTS {
             self.earlier.pop_front();
         }
         true
@@ -124,14 +124,14 @@
     fn delta_from(&self, revision: Revision) -> Option<Delta> {
         let base = self.earlier.iter().find(|document| document.revision == revision)?;
         let current = self.current.as_ref()?;
-        Some(difference(base, current))
+        Some(diff(base, current))
     }
 }
 
 impl Node {
     /// Takes a document from the platform or from another instance.
-    pub(crate) fn load_document(&mut self, cx: &mut Cx<'_>, revision: Revision, text: &str) {
-        if !self.documents.is_news(revision) {
+    pub(crate) fn load_document(&mut self, cx: &mut Context<'_>, revision: Revision, text: &str) {
+        if !self.documents.is_newer(revision) {
             return;
         }
         let document = match config::parse(text) {
@@ -145,16 +145,16 @@
         cx.record(Record::InForce(revision));
         let mut outputs = Vec::new();
         self.membership.set_document(revision, digest, cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
         self.upstreams
             .retain(|name, _| self.documents.service_of(name).is_some());
         self.configure_homes(cx);
-        self.drop_unknown_services(cx);
-        self.rehome(cx);
+        self.refuse_unknown_services(cx);
+        self.recompute_homes(cx);
     }
 
     /// Keeps the document in force, and says once for each revision that a newer one can't be used.
-    fn reject_document(&mut self, cx: &mut Cx<'_>, revision: Revision) {
+    fn reject_document(&mut self, cx: &mut Context<'_>, revision: Revision) {
         self.documents.rejected += 1;
         if self.documents.last_rejected != Some(revision) {
             self.documents.last_rejected = Some(revision);
@@ -162,21 +162,21 @@
         }
     }
 
-    fn configure_homes(&mut self, cx: &mut Cx<'_>) {
+    fn configure_homes(&mut self, cx: &mut Context<'_>) {
         self.homes.retain(|name, _| self.documents.service(name).is_some());
         for (name, home) in &mut self.homes {
             let Some(service) = self.documents.service(name) else {
                 continue;
             };
-            let leaving = leaving_of(service, &self.upstreams, &self.membership);
+            let leaving = leaving_upstreams(service, &self.upstreams, &self.membership);
             let mut decisions = Vec::new();
             home.pool.configure(service, &leaving, cx.now, &mut decisions);
-            self.decisions.extend(decisions);
+            self.pending_decisions.extend(decisions);
         }
     }
 
     /// Refuses what waits for a service that the document no longer has. What is being called may finish.
-    fn drop_unknown_services(&mut self, cx: &mut Cx<'_>) {
+    fn refuse_unknown_services(&mut self, cx: &mut Context<'_>) {
         let unserved =
             |ticket: &Ticket| ticket.is_waiting() && self.documents.service(&ticket.claims.service).is_none();
         let ids: Vec<TicketId> = self
@@ -186,25 +186,25 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
-            self.refuse(cx, id, wire::Reason::Unknown, RETRY_SOON);
+            self.refuse_request(cx, id, wire::Reason::Unknown, RETRY_SOON);
         }
     }
 
     /// Another instance holds a document of this revision.
-    pub(crate) fn see_document(
+    pub(crate) fn request_newer_document(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         from: InstanceName,
         address: SocketAddr,
         revision: Revision,
     ) {
-        if !self.documents.is_news(revision) {
+        if !self.documents.is_newer(revision) {
             return;
         }
         let waiting = self
             .documents
             .wanted
-            .is_some_and(|(wanted, since)| wanted >= revision && cx.now.since(since) < WANT_AGAIN);
+            .is_some_and(|(wanted, since)| wanted >= revision && cx.now.since(since) < DOCUMENT_REQUEST_RETRY);
         if waiting {
             return;
         }
@@ -218,7 +218,7 @@
     }
 
     /// Another instance asks for the document.
-    pub(crate) fn take_want(&mut self, cx: &mut Cx<'_>, peer: &Peer, have: Option<Revision>) {
+    pub(crate) fn handle_document_request(&mut self, cx: &mut Context<'_>, peer: &Peer, have: Option<Revision>) {
         let Some(current) = self.documents.current() else {
             return;
         };
@@ -228,12 +228,12 @@
         let delta = have.and_then(|have| self.documents.delta_from(have));
         let frame = match delta {
             Some(delta) => Frame::Delta(delta),
-            None => Frame::Document(whole(current)),
+            None => Frame::Document(full_document(current)),
         };
         self.send(cx, peer, frame);
     }
 
-    pub(crate) fn take_document(&mut self, cx: &mut Cx<'_>, document: &wire::Document) {
+    pub(crate) fn handle_document(&mut self, cx: &mut Context<'_>, document: &wire::Document) {
         let Ok(text) = std::str::from_utf8(&document.text) else {
             return self.reject_document(cx, document.revision);
         };
@@ -241,11 +241,14 @@
     }
 
     /// Applies a change to the document in force, or asks for the whole if it does not fit.
-    pub(crate) fn take_delta(&mut self, cx: &mut Cx<'_>, peer: &Peer, delta: &Delta) {
-        if !self.documents.is_news(delta.revision) {
+    pub(crate) fn handle_delta(&mut self, cx: &mut Context<'_>, peer: &Peer, delta: &Delta) {
+        if !self.documents.is_newer(delta.revision) {
             return;
         }
-        let text = self.documents.current().and_then(|document| apply(document, delta));
+        let text = self
+            .documents
+            .current()
+            .and_then(|document| apply_delta(document, delta));
         match text {
             Some(text) => self.load_document(cx, delta.revision, &text),
             None => self.send(cx, peer, Frame::Want(None)),
@@ -253,7 +256,7 @@
     }
 }
 
-fn whole(document: &Document) -> wire::Document {
+fn full_document(document: &Document) -> wire::Document {
     wire::Document {
         revision: document.revision,
         text: ByteBuf::from(document.text.as_bytes()),
@@ -261,7 +264,7 @@
 }
 
 /// The bytes between the common start and the common end of two documents.
-fn difference(base: &Document, current: &Document) -> Delta {
+fn diff(base: &Document, current: &Document) -> Delta {
     let old = base.text.as_bytes();
     let new = current.text.as_bytes();
     let start = old.iter().zip(new).take_while(|(a, b)| a == b).count();
@@ -278,7 +281,7 @@
 }
 
 /// The text after a change, if the change fits the document and gives what it promises.
-fn apply(document: &Document, delta: &Delta) -> Option<String> {
+fn apply_delta(document: &Document, delta: &Delta) -> Option<String> {
     if document.digest != delta.base {
         return None;
     }
--- a/crates/node/src/flows.rs
+++ b/crates/node/src/flow_table.rs
@@ -1,6 +1,6 @@
 //! Ledgers by flow, when each is due to be looked at, and how many each group of callers has made.
 //!
-//! This part knows nothing of what ledgers say, nor of how long they are to be kept.
+//! This part knows nothing of what ledgers say, nor of how long they are to be tracked.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -15,53 +15,53 @@
 use crate::Ledger;
 
 /// How many groups of callers are told apart. Memory must not grow with the number of callers.
-const GROUPS: u64 = 4_096;
+const CALLER_GROUPS: u64 = 4_096;
 
 /// The callers whose addresses have the same hash. Few share a group with a given other one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Group(u16);
+pub(crate) struct CallerGroup(u16);
 
-impl Group {
+impl CallerGroup {
     /// The group of an address. Nobody who doesn't know the seed can choose whose group to be in.
     pub fn of(address: IpAddr, seed: u64) -> Self {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
         address.hash(&mut hasher);
-        Self((hasher.finish() % GROUPS) as u16)
+        Self((hasher.finish() % CALLER_GROUPS) as u16)
     }
 }
 
 /// A flow's ledger, when it is due, and whose it is if that is known.
 #[derive(Debug, Clone)]
-struct Kept {
+struct TrackedFlow {
     ledger: Ledger,
     due: Time,
-    group: Option<Group>,
+    group: Option<CallerGroup>,
 }
 
 /// Ledgers by flow.
 #[derive(Debug, Clone)]
-pub(crate) struct Flows {
-    kept: HashMap<FlowKey, Kept>,
+pub(crate) struct FlowTable {
+    tracked: HashMap<FlowKey, TrackedFlow>,
     /// Each flow once, so that what is queued is bounded by the number of flows.
     due: BTreeSet<(Time, FlowKey)>,
     /// How many flows each group has.
-    held: Vec<u32>,
+    group_sizes: Vec<u32>,
 }
 
-impl Default for Flows {
+impl Default for FlowTable {
     fn default() -> Self {
         Self {
-            kept: HashMap::new(),
+            tracked: HashMap::new(),
             due: BTreeSet::new(),
-            held: vec![0; GROUPS as usize],
+            group_sizes: vec![0; CALLER_GROUPS as usize],
         }
     }
 }
 
-impl Flows {
+impl FlowTable {
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.tracked.len()
     }
 
     pub fn expiries(&self) -> usize {
@@ -69,36 +69,36 @@
     }
 
     pub fn contains(&self, key: FlowKey) -> bool {
-        self.kept.contains_key(&key)
+        self.tracked.contains_key(&key)
     }
 
     pub fn get(&self, key: FlowKey) -> Option<&Ledger> {
-        Some(&self.kept.get(&key)?.ledger)
+        Some(&self.tracked.get(&key)?.ledger)
     }
 
     pub fn get_mut(&mut self, key: FlowKey) -> Option<&mut Ledger> {
-        Some(&mut self.kept.get_mut(&key)?.ledger)
+        Some(&mut self.tracked.get_mut(&key)?.ledger)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (FlowKey, &Ledger)> {
-        self.kept.iter().map(|(key, kept)| (*key, &kept.ledger))
+        self.tracked.iter().map(|(key, tracked)| (*key, &tracked.ledger))
     }
 
     /// Adds the ledger of a flow that has none.
     pub fn insert(&mut self, key: FlowKey, ledger: Ledger, due: Time) -> &mut Ledger {
         self.due.insert((due, key));
         let group = None;
-        let kept = self.kept.entry(key).insert_entry(Kept { ledger, due, group });
-        &mut kept.into_mut().ledger
+        let tracked = self.tracked.entry(key).insert_entry(TrackedFlow { ledger, due, group });
+        &mut tracked.into_mut().ledger
     }
 
     pub fn remove(&mut self, key: FlowKey) -> Option<Ledger> {
-        let kept = self.kept.remove(&key)?;
-        self.due.remove(&(kept.due, key));
-        if let Some(group) = kept.group {
-            self.held[usize::from(group.0)] -= 1;
+        let tracked = self.tracked.remove(&key)?;
+        self.due.remove(&(tracked.due, key));
+        if let Some(group) = tracked.group {
+            self.group_sizes[usize::from(group.0)] -= 1;
         }
-        Some(kept.ledger)
+        Some(tracked.ledger)
     }
 
     /// A flow that is due, if there is one. It stays due until it is removed or set to a later time.
@@ -108,32 +108,32 @@
     }
 
     pub fn set_due(&mut self, key: FlowKey, due: Time) {
-        let Some(kept) = self.kept.get_mut(&key) else {
+        let Some(tracked) = self.tracked.get_mut(&key) else {
             return;
         };
-        self.due.remove(&(kept.due, key));
+        self.due.remove(&(tracked.due, key));
         self.due.insert((due, key));
-        kept.due = due;
+        tracked.due = due;
     }
 
     /// How many flows a group has.
-    pub fn held(&self, group: Group) -> usize {
-        self.held[usize::from(group.0)] as usize
+    pub fn group_size(&self, group: CallerGroup) -> usize {
+        self.group_sizes[usize::from(group.0)] as usize
     }
 
     /// Notes whose a flow is, unless that is known.
-    pub fn charge(&mut self, key: FlowKey, group: Group) {
-        let kept = self.kept.get_mut(&key).filter(|kept| kept.group.is_none());
-        if let Some(kept) = kept {
-            kept.group = Some(group);
-            self.held[usize::from(group.0)] += 1;
+    pub fn assign_group(&mut self, key: FlowKey, group: CallerGroup) {
+        let tracked = self.tracked.get_mut(&key).filter(|tracked| tracked.group.is_none());
+        if let Some(tracked) = tracked {
+            tracked.group = Some(group);
+            self.group_sizes[usize::from(group.0)] += 1;
         }
     }
 
     /// Takes all ledgers out, in a fixed order.
-    pub fn take(&mut self) -> Vec<(FlowKey, Ledger)> {
-        let kept = std::mem::take(self).kept.into_iter();
-        let mut flows: Vec<_> = kept.map(|(key, kept)| (key, kept.ledger)).collect();
+    pub fn drain(&mut self) -> Vec<(FlowKey, Ledger)> {
+        let tracked = std::mem::take(self).tracked.into_iter();
+        let mut flows: Vec<_> = tracked.map(|(key, tracked)| (key, tracked.ledger)).collect();
         flows.sort_unstable_by_key(|(key, _)| *key);
         flows
     }
--- a/crates/node/src/pack.rs
+++ b/crates/node/src/handover.rs
@@ -27,7 +27,7 @@
 const LINE_BYTES: usize = 32;
 
 /// A waiting request, as it is handed over.
-pub(crate) fn body_of(ticket: Ticket, now: Time) -> Body {
+pub(crate) fn handover_body(ticket: Ticket, now: Time) -> Body {
     let remaining = Millis::from(now.until(ticket.deadline));
     Body {
         caller: ticket.caller,
@@ -41,11 +41,11 @@
 
 /// Writes a ledger for the hand-over, in several pieces if it holds long answers. `bodies` are the requests that
 /// wait, `me` is where the others run.
-pub(crate) fn pack(
+pub(crate) fn pack_ledger(
     key: FlowKey,
     ledger: Ledger,
     bodies: &mut BTreeMap<TicketId, Body>,
-    me: Incarnation,
+    local: Incarnation,
 ) -> Vec<HandoverFlow> {
     let empty = HandoverFlow {
         owner: key.owner,
@@ -58,7 +58,7 @@
     let mut size = 0;
     for line in ledger.lines {
         let entry = match line.state {
-            State::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(me), Entry::Queued),
+            State::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(local), Entry::Queued),
             State::Elsewhere(incarnation) => Entry::Running(incarnation),
             State::Answered(answer) => Entry::Answered(*answer),
             State::Forgotten => Entry::Forgotten,
@@ -79,7 +79,7 @@
 /// Cuts ledgers into parts of at most [`PART_BYTES`] or one piece. There is always at least one part.
 ///
 /// A piece of one entry fits a frame, since the daemon takes no longer answer than that from an upstream.
-pub(crate) fn split(flows: &[HandoverFlow]) -> Vec<&[HandoverFlow]> {
+pub(crate) fn split_into_parts(flows: &[HandoverFlow]) -> Vec<&[HandoverFlow]> {
     let mut parts = Vec::new();
     let mut start = 0;
     let mut size = 0;
--- a/crates/node/src/home.rs
+++ b/crates/node/src/home.rs
@@ -31,12 +31,12 @@
 use crate::Node;
 use crate::Peer;
 use crate::ingress::RETRY_SOON;
-use crate::node::Cx;
+use crate::node::Context;
 
 /// How often a home asks its upstreams for health and load.
-const POLL_EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How far polls are apart at least, over all upstreams, so that they stay within what control may cost.
-const POLL_SPACING: Duration = Duration::from_millis(250);
+const MIN_POLL_SPACING: Duration = Duration::from_millis(250);
 
 /// Names a request for a slot at a home.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -58,19 +58,19 @@
 
 impl Node {
     /// The pool of a service, made if there is none yet.
-    fn home(&mut self, service: &ServiceName, now: Time) -> Option<&mut Home> {
+    fn home_or_create(&mut self, service: &ServiceName, now: Time) -> Option<&mut Home> {
         if !self.homes.contains_key(service) {
-            let home = self.make_home(service, now)?;
+            let home = self.create_home(service, now)?;
             self.homes.insert(service.clone(), home);
         }
         self.homes.get_mut(service)
     }
 
-    fn make_home(&mut self, name: &ServiceName, now: Time) -> Option<Home> {
+    fn create_home(&mut self, name: &ServiceName, now: Time) -> Option<Home> {
         let seed = self.rng.random();
         let service = self.documents.service(name)?;
         let mut pool = Pool::new(service, seed, now);
-        for upstream in leaving_of(service, &self.upstreams, &self.membership) {
+        for upstream in leaving_upstreams(service, &self.upstreams, &self.membership) {
             pool.leave(&upstream);
         }
         Some(Home { pool, next_poll: now })
@@ -84,20 +84,20 @@
         change: impl FnOnce(&mut Pool<SlotKey>, &mut Vec<Decision<SlotKey>>),
     ) -> bool {
         let mut decisions = Vec::new();
-        let Some(home) = self.home(service, now) else {
+        let Some(home) = self.home_or_create(service, now) else {
             return false;
         };
         change(&mut home.pool, &mut decisions);
-        self.decisions.extend(decisions);
+        self.pending_decisions.extend(decisions);
         true
     }
 
-    pub(crate) fn take_acquire(&mut self, cx: &mut Cx<'_>, peer: &Peer, acquire: Acquire) {
+    pub(crate) fn handle_acquire(&mut self, cx: &mut Context<'_>, peer: &Peer, acquire: Acquire) {
         let key = SlotKey {
             peer: peer.clone(),
             ticket: acquire.ticket,
         };
-        let weight = self.weight(&acquire);
+        let weight = self.weight_of(&acquire);
         let ask = Ask {
             key: key.clone(),
             weight,
@@ -117,7 +117,7 @@
         });
         if !asked {
             let reason = Reason::NoUpstream;
-            self.decisions.push_back(Decision::Deny {
+            self.pending_decisions.push_back(Decision::Deny {
                 key,
                 reason,
                 retry_after: RETRY_SOON,
@@ -125,14 +125,14 @@
         }
     }
 
-    fn weight(&self, acquire: &Acquire) -> Weight {
+    fn weight_of(&self, acquire: &Acquire) -> Weight {
         let service = self.documents.service(&acquire.service);
         service
             .and_then(|service| service.kind(&acquire.kind))
             .map_or(Weight(1), |kind| kind.weight)
     }
 
-    pub(crate) fn take_withdraw(&mut self, cx: &mut Cx<'_>, peer: &Peer, ticket: TicketId) {
+    pub(crate) fn handle_withdraw(&mut self, cx: &mut Context<'_>, peer: &Peer, ticket: TicketId) {
         let key = SlotKey {
             peer: peer.clone(),
             ticket,
@@ -140,11 +140,11 @@
         for home in self.homes.values_mut() {
             let mut decisions = Vec::new();
             home.pool.withdraw(&key, cx.now, &mut decisions);
-            self.decisions.extend(decisions);
+            self.pending_decisions.extend(decisions);
         }
     }
 
-    pub(crate) fn take_settle(&mut self, cx: &mut Cx<'_>, peer: &Peer, settle: &Settle) {
+    pub(crate) fn handle_settle(&mut self, cx: &mut Context<'_>, peer: &Peer, settle: &Settle) {
         let key = SlotKey {
             peer: peer.clone(),
             ticket: settle.ticket,
@@ -155,7 +155,7 @@
         });
     }
 
-    pub(crate) fn take_hold(&mut self, cx: &mut Cx<'_>, peer: &Peer, hold: Hold) {
+    pub(crate) fn handle_hold(&mut self, cx: &mut Context<'_>, peer: &Peer, hold: Hold) {
         let key = SlotKey {
             peer: peer.clone(),
             ticket: hold.ticket,
@@ -168,60 +168,60 @@
     }
 
     /// Carries out what the pools have decided, and what follows from that.
-    pub(crate) fn carry_out_decisions(&mut self, cx: &mut Cx<'_>) {
-        while let Some(decision) = self.decisions.pop_front() {
+    pub(crate) fn apply_decisions(&mut self, cx: &mut Context<'_>) {
+        while let Some(decision) = self.pending_decisions.pop_front() {
             match decision {
-                Decision::Grant { key, upstream } => self.lend(cx, &key, upstream),
+                Decision::Grant { key, upstream } => self.grant_slot(cx, &key, upstream),
                 Decision::Deny {
                     key,
                     reason,
                     retry_after,
-                } => self.deny(cx, &key, reason, retry_after),
+                } => self.deny_slot(cx, &key, reason, retry_after),
             }
         }
     }
 
-    fn lend(&mut self, cx: &mut Cx<'_>, key: &SlotKey, upstream: UpstreamName) {
+    fn grant_slot(&mut self, cx: &mut Context<'_>, key: &SlotKey, upstream: UpstreamName) {
         let grant = Grant {
             ticket: key.ticket,
             upstream,
         };
-        if key.peer == self.me {
-            return self.take_grant(cx, &key.peer, &grant);
+        if key.peer == self.local {
+            return self.handle_grant(cx, &key.peer, &grant);
         }
         self.send(cx, &key.peer, Frame::Grant(grant));
     }
 
-    fn deny(&mut self, cx: &mut Cx<'_>, key: &SlotKey, reason: Reason, retry_after: Millis) {
+    fn deny_slot(&mut self, cx: &mut Context<'_>, key: &SlotKey, reason: Reason, retry_after: Millis) {
         let deny = Deny {
             ticket: key.ticket,
             reason,
             retry_after,
         };
-        if key.peer == self.me {
-            return self.take_deny(cx, &key.peer, &deny);
+        if key.peer == self.local {
+            return self.handle_deny(cx, &key.peer, &deny);
         }
         self.send(cx, &key.peer, Frame::Deny(deny));
     }
 
     /// Lets pools expire, asks upstreams for health and load, and drops pools that have moved away.
-    pub(crate) fn tick_homes(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn tick_homes(&mut self, cx: &mut Context<'_>) {
         if std::mem::take(&mut self.view_changed) {
-            self.adopt_homes(cx.now);
+            self.create_local_homes(cx.now);
         }
-        let poll_every = self.poll_every();
+        let poll_interval = self.poll_interval();
         let mut idle = Vec::new();
         let mut due = Vec::new();
         for (service, home) in &mut self.homes {
             let mut decisions = Vec::new();
             home.pool.tick(cx.now, &mut decisions);
-            self.decisions.extend(decisions);
-            let here = matches!(self.home_cache.get(service), Some(Some((peer, _))) if peer == &self.me);
+            self.pending_decisions.extend(decisions);
+            let here = matches!(self.home_cache.get(service), Some(Some((peer, _))) if peer == &self.local);
             if !here && home.pool.is_idle() {
                 idle.push(service.clone());
             }
             if here && home.next_poll <= cx.now {
-                home.next_poll = cx.now + poll_every;
+                home.next_poll = cx.now + poll_interval;
                 due.push(service.clone());
             }
         }
@@ -229,29 +229,29 @@
             self.homes.remove(&service);
         }
         for service in due {
-            self.poll(cx, &service);
+            self.poll_upstreams(cx, &service);
         }
     }
 
     /// Makes the pools of services whose home is here, so that their upstreams are known before the first request.
-    fn adopt_homes(&mut self, now: Time) {
+    fn create_local_homes(&mut self, now: Time) {
         let names: Vec<ServiceName> = self.documents.missing_from(&self.home_cache);
         for name in names {
             let home = self.find_home(&name);
-            if home.is_some_and(|(peer, _)| peer == self.me) {
-                self.home(&name, now);
+            if home.is_some_and(|(peer, _)| peer == self.local) {
+                self.home_or_create(&name, now);
             }
         }
     }
 
     /// How often each upstream is asked. What it says of calls comes at once and does not wait for this.
-    fn poll_every(&self) -> Duration {
+    fn poll_interval(&self) -> Duration {
         let upstreams = self.homes.values().map(|home| home.pool.upstreams());
         let upstreams = u32::try_from(upstreams.sum::<usize>()).unwrap_or(u32::MAX);
-        POLL_EVERY.max(POLL_SPACING.saturating_mul(upstreams))
+        POLL_INTERVAL.max(MIN_POLL_SPACING.saturating_mul(upstreams))
     }
 
-    fn poll(&self, cx: &mut Cx<'_>, service: &ServiceName) {
+    fn poll_upstreams(&self, cx: &mut Context<'_>, service: &ServiceName) {
         let Some(service) = self.documents.service(service) else {
             return;
         };
@@ -262,7 +262,7 @@
 }
 
 /// The upstreams of a service that get no new work.
-pub(crate) fn leaving_of(
+pub(crate) fn leaving_upstreams(
     service: &Service,
     known: &BTreeMap<UpstreamName, Incarnation>,
     membership: &Membership,
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -28,13 +28,13 @@
 use crate::Action;
 use crate::Node;
 use crate::Record;
-use crate::fleet::Place;
-use crate::node::Cx;
+use crate::node::Context;
+use crate::peers::OwnerLocation;
 
 /// How many instances may pass a packet on before it is dropped.
 const MAX_HOPS: u8 = 4;
 /// How long an instance named by a new token may still be unheard of elsewhere.
-const SPREAD: Duration = Duration::from_secs(5);
+const GOSSIP_PROPAGATION: Duration = Duration::from_secs(5);
 /// When to come back after a refusal that time alone may mend.
 pub(crate) const RETRY_SOON: Millis = Millis(200);
 /// When to come back after a refusal that only a change of configuration mends.
@@ -42,7 +42,7 @@
 
 /// A caller's packet on its way through the instances.
 #[derive(Debug, Clone)]
-pub(crate) struct Arrival {
+pub(crate) struct RoutedPacket {
     /// Where the reply goes.
     pub caller: SocketAddr,
     /// The availability zone in which it arrived.
@@ -53,7 +53,7 @@
     pub hops: u8,
 }
 
-impl From<Forward> for Arrival {
+impl From<Forward> for RoutedPacket {
     fn from(forward: Forward) -> Self {
         Self {
             caller: forward.caller,
@@ -64,20 +64,20 @@
     }
 }
 
-impl From<Arrival> for Forward {
-    fn from(arrival: Arrival) -> Self {
-        let hops = arrival.hops.saturating_add(1);
+impl From<RoutedPacket> for Forward {
+    fn from(routed: RoutedPacket) -> Self {
+        let hops = routed.hops.saturating_add(1);
         Self {
-            caller: arrival.caller,
-            zone: arrival.zone,
-            packet: arrival.packet,
+            caller: routed.caller,
+            zone: routed.zone,
+            packet: routed.packet,
             hops,
         }
     }
 }
 
 impl Node {
-    pub(crate) fn take_datagram(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, bytes: &[u8]) {
+    pub(crate) fn handle_datagram(&mut self, cx: &mut Context<'_>, caller: SocketAddr, bytes: &[u8]) {
         let Ok(packet) = decode_packet(bytes) else {
             self.counters.malformed += 1;
             return;
@@ -86,7 +86,7 @@
         let zone = self.zone.clone();
         self.route(
             cx,
-            Arrival {
+            RoutedPacket {
                 caller,
                 zone,
                 packet,
@@ -96,53 +96,53 @@
     }
 
     /// Takes a packet to the part of the system that answers it.
-    pub(crate) fn route(&mut self, cx: &mut Cx<'_>, arrival: Arrival) {
-        let Some(sealed) = arrival.packet.token() else {
-            if let Packet::Open(open) = &arrival.packet {
-                self.open(cx, arrival.caller, open);
+    pub(crate) fn route(&mut self, cx: &mut Context<'_>, routed: RoutedPacket) {
+        let Some(sealed) = routed.packet.token() else {
+            if let Packet::Open(open) = &routed.packet {
+                self.open_flow(cx, routed.caller, open);
             }
             return;
         };
         let Ok(claims) = self.keyring.open(sealed, cx.now) else {
-            return self.refuse_unread(cx, &arrival, Reason::Token);
+            return self.refuse_invalid_token(cx, &routed, Reason::Token);
         };
-        if &claims.service != arrival.packet.service() {
-            return self.refuse_unread(cx, &arrival, Reason::WrongService);
+        if &claims.service != routed.packet.service() {
+            return self.refuse_invalid_token(cx, &routed, Reason::WrongService);
         }
         match self.locate(&claims) {
-            Place::Here => self.own(cx, claims, &arrival),
-            Place::There(peer, address) => self.forward(cx, peer.name, address, arrival),
-            Place::Unknown => self.ask_around(cx, &claims, arrival),
-            Place::Gone => self.refuse_orphan(cx, &claims, &arrival),
+            OwnerLocation::Local => self.handle_owned_packet(cx, claims, &routed),
+            OwnerLocation::Remote(peer, address) => self.forward(cx, peer.name, address, routed),
+            OwnerLocation::Unknown => self.route_to_unknown_owner(cx, &claims, routed),
+            OwnerLocation::Gone => self.refuse_owner_gone(cx, &claims, &routed),
         }
     }
 
-    fn forward(&mut self, cx: &mut Cx<'_>, to: units::InstanceName, address: SocketAddr, arrival: Arrival) {
-        if arrival.hops >= MAX_HOPS {
+    fn forward(&mut self, cx: &mut Context<'_>, to: units::InstanceName, address: SocketAddr, routed: RoutedPacket) {
+        if routed.hops >= MAX_HOPS {
             self.counters.hops_exceeded += 1;
             return;
         }
         self.counters.forwarded += 1;
-        let frame = Frame::Forward(arrival.into());
+        let frame = Frame::Forward(routed.into());
         cx.push(Action::Send { to, address, frame });
     }
 
     /// A newcomer may not have heard of an owner that lives. Another instance may know better.
-    fn ask_around(&mut self, cx: &mut Cx<'_>, claims: &Claims, arrival: Arrival) {
-        if arrival.hops == 0
-            && let Some((name, address)) = self.pick_peer()
+    fn route_to_unknown_owner(&mut self, cx: &mut Context<'_>, claims: &Claims, routed: RoutedPacket) {
+        if routed.hops == 0
+            && let Some((name, address)) = self.random_peer()
         {
-            return self.forward(cx, name, address, arrival);
+            return self.forward(cx, name, address, routed);
         }
-        let young = cx.now.since(claims.issued) < SPREAD;
-        if young || !self.is_settled(cx.now) {
+        let young = cx.now.since(claims.issued) < GOSSIP_PROPAGATION;
+        if young || !self.is_discovery_complete(cx.now) {
             // The caller sends its packet again, and by then more is known.
             return;
         }
-        self.refuse_orphan(cx, claims, &arrival);
+        self.refuse_owner_gone(cx, claims, &routed);
     }
 
-    fn open(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, open: &Open) {
+    fn open_flow(&mut self, cx: &mut Context<'_>, caller: SocketAddr, open: &Open) {
         if self.documents.current().is_none() {
             return self.refuse_open(cx, caller, open, Reason::NoDocument, RETRY_SOON);
         }
@@ -182,10 +182,17 @@
     }
 
     /// Refuses to open a flow. Nothing can have run, as there is no flow yet.
-    fn refuse_open(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, open: &Open, reason: Reason, retry_after: Millis) {
+    fn refuse_open(
+        &mut self,
+        cx: &mut Context<'_>,
+        caller: SocketAddr,
+        open: &Open,
+        reason: Reason,
+        retry_after: Millis,
+    ) {
         let subject = Subject::Open(open.nonce);
         let verdict = Verdict::NotRun;
-        self.counters.refuse(verdict, reason);
+        self.counters.count_refusal(verdict, reason);
         let refused = Refused {
             subject,
             verdict,
@@ -197,10 +204,10 @@
     }
 
     /// Refuses a packet whose token does not name a flow of its service.
-    fn refuse_unread(&mut self, cx: &mut Cx<'_>, arrival: &Arrival, reason: Reason) {
+    fn refuse_invalid_token(&mut self, cx: &mut Context<'_>, routed: &RoutedPacket, reason: Reason) {
         let verdict = Verdict::MayHaveRun;
-        self.counters.refuse(verdict, reason);
-        let Packet::Request(request) = &arrival.packet else {
+        self.counters.count_refusal(verdict, reason);
+        let Packet::Request(request) = &routed.packet else {
             return;
         };
         let subject = Subject::Unread(request.seq);
@@ -211,16 +218,16 @@
             retry_after: RETRY_LATE,
             granted: None,
         };
-        cx.push(Action::Reply(arrival.caller, Reply::Refused(refused)));
+        cx.push(Action::Reply(routed.caller, Reply::Refused(refused)));
     }
 
     /// Refuses a packet whose owner is gone, and offers a token of a living one.
-    fn refuse_orphan(&mut self, cx: &mut Cx<'_>, claims: &Claims, arrival: &Arrival) {
-        let (subject, reason, granted) = match &arrival.packet {
+    fn refuse_owner_gone(&mut self, cx: &mut Context<'_>, claims: &Claims, routed: &RoutedPacket) {
+        let (subject, reason, granted) = match &routed.packet {
             Packet::Request(request) => {
                 let floor = request.sent.max(request.seq).max(claims.floor);
                 let subject = Subject::Request(claims.flow, request.seq);
-                (subject, Reason::OwnerGone, self.reissue(cx, claims, floor))
+                (subject, Reason::OwnerGone, self.reissue_token(cx, claims, floor))
             }
             Packet::Pull(pull) => {
                 let subject = Subject::Pull(claims.flow, pull.seq, pull.digest);
@@ -229,7 +236,7 @@
             Packet::Open(_) | Packet::Done(_) | Packet::Close(_) => return,
         };
         let verdict = Verdict::MayHaveRun;
-        self.counters.refuse(verdict, reason);
+        self.counters.count_refusal(verdict, reason);
         let refused = Refused {
             subject,
             verdict,
@@ -237,10 +244,10 @@
             retry_after: Millis(0),
             granted,
         };
-        cx.push(Action::Reply(arrival.caller, Reply::Refused(refused)));
+        cx.push(Action::Reply(routed.caller, Reply::Refused(refused)));
     }
 
-    fn reissue(&mut self, cx: &Cx<'_>, claims: &Claims, floor: RequestSeq) -> Option<Granted> {
+    fn reissue_token(&mut self, cx: &Context<'_>, claims: &Claims, floor: RequestSeq) -> Option<Granted> {
         let (home, _) = self.find_home(&claims.service)?;
         let claims = Claims {
             owner: home.name,
@@ -257,7 +264,13 @@
 
     /// A token that should replace `sealed`: its owner is not the home any more, its upstream has changed, or it
     /// ages.
-    pub(crate) fn renew(&mut self, cx: &Cx<'_>, claims: &Claims, sealed: &Sealed, sent: RequestSeq) -> Option<Granted> {
+    pub(crate) fn renew_token(
+        &mut self,
+        cx: &Context<'_>,
+        claims: &Claims,
+        sealed: &Sealed,
+        sent: RequestSeq,
+    ) -> Option<Granted> {
         let (home, _) = self.find_home(&claims.service)?;
         let moved = home.name != claims.owner || home.incarnation != claims.incarnation;
         let aged = cx.now.since(claims.issued) > self.keyring.lifetime() / 2;
@@ -268,6 +281,6 @@
         if !moved && !aged && !repinned && self.keyring.is_current(sealed) {
             return None;
         }
-        self.reissue(cx, claims, sent)
+        self.reissue_token(cx, claims, sent)
     }
 }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -83,11 +83,11 @@
         let Some((index, _)) = ended.min_by_key(|(_, line)| line.seq) else {
             return false;
         };
-        self.sink(index);
+        self.evict(index);
         true
     }
 
-    pub(crate) fn sink(&mut self, index: usize) {
+    pub(crate) fn evict(&mut self, index: usize) {
         let line = self.lines.remove(index);
         self.floor = self.floor.max(line.seq);
     }
--- a/crates/node/src/ledgers.rs
+++ b/crates/node/src/ledgers.rs
@@ -16,18 +16,18 @@
 use crate::Ledger;
 use crate::Line;
 use crate::State;
-use crate::flows::Flows;
-use crate::flows::Group;
+use crate::flow_table::CallerGroup;
+use crate::flow_table::FlowTable;
 
 /// How long a copy of a datagram may be under way. A closed flow's ledger outlives its last packet by this.
-const PACKET_LIFE: Duration = Duration::from_mins(2);
+const MAX_PACKET_LIFETIME: Duration = Duration::from_mins(2);
 /// How many free places a queue may keep, however short it is.
-const SPARE: usize = 256;
+const MIN_QUEUE_CAPACITY: usize = 256;
 /// How soon a flow whose ledger is due but still in use is looked at again.
-const RECHECK: Duration = Duration::from_secs(1);
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a request that is looked up, begins or is refused has a ledger.
-const LOOKED_UP: &str = "looking a request up makes its flow's ledger";
+const LEDGER_EXISTS: &str = "looking a request up makes its flow's ledger";
 
 /// What a ledger says of a request that has just come.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,25 +53,25 @@
 /// The ledgers of all flows that an instance owns.
 #[derive(Debug, Clone)]
 pub struct Ledgers {
-    flows: Flows,
+    flows: FlowTable,
     ended: VecDeque<LineExpiry>,
     /// Answers that may be held, oldest first.
     answers: VecDeque<(FlowKey, RequestSeq)>,
     answer_bytes: u64,
-    keep_flows: Duration,
+    ledger_retention: Duration,
     keep_answers: Duration,
 }
 
 impl Ledgers {
     /// Ledgers that outlive their flow's last request by `keep_flows`, which must be longer than any token lives,
     /// and that hold an answer for `keep_answers`.
-    pub fn new(keep_flows: Duration, keep_answers: Duration) -> Self {
+    pub fn new(ledger_retention: Duration, keep_answers: Duration) -> Self {
         Self {
-            flows: Flows::default(),
+            flows: FlowTable::default(),
             ended: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
-            keep_flows,
+            ledger_retention,
             keep_answers,
         }
     }
@@ -105,13 +105,13 @@
     ///
     /// It may have as many as are free, so one caller gets half, two get a third each, and some are always left for
     /// others. A fixed share would be too small for the only caller, or too large for the tenth.
-    pub(crate) fn has_room(&self, group: Group, limit: usize) -> bool {
-        self.flows.held(group) < limit.saturating_sub(self.len())
+    pub(crate) fn has_room(&self, group: CallerGroup, limit: usize) -> bool {
+        self.flows.group_size(group) < limit.saturating_sub(self.len())
     }
 
     /// Counts a flow as one of this group's, unless it counts already. Flows that were handed over count for nobody.
-    pub(crate) fn charge(&mut self, key: FlowKey, group: Group) {
-        self.flows.charge(key, group);
+    pub(crate) fn assign_group(&mut self, key: FlowKey, group: CallerGroup) {
+        self.flows.assign_group(key, group);
     }
 
     /// The ledger of a flow.
@@ -128,7 +128,7 @@
         sent: RequestSeq,
         now: Time,
     ) -> Lookup<'_> {
-        let keep_until = now + self.keep_flows;
+        let keep_until = now + self.ledger_retention;
         if !self.flows.contains(key) {
             let ledger = Ledger {
                 floor,
@@ -136,7 +136,7 @@
             };
             self.flows.insert(key, ledger, keep_until);
         }
-        let ledger = self.flows.get_mut(key).expect(LOOKED_UP);
+        let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
         ledger.keep_until = keep_until;
         ledger.sent = ledger.sent.max(sent).max(seq);
         if let Some(index) = ledger.lines.iter().position(|line| line.seq == seq) {
@@ -158,11 +158,11 @@
 
     /// Writes the line of a request that begins. Only a [`Lookup::New`] may lead here.
     pub fn begin(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) {
-        self.write_new(key, seq, State::Running(ticket));
+        self.insert_new(key, seq, State::Running(ticket));
     }
 
-    fn write_new(&mut self, key: FlowKey, seq: RequestSeq, state: State) {
-        let ledger = self.flows.get_mut(key).expect(LOOKED_UP);
+    fn insert_new(&mut self, key: FlowKey, seq: RequestSeq, state: State) {
+        let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
         assert!(ledger.line(seq).is_none(), "a request begins or is refused once");
         assert!(seq > ledger.floor, "a request at or below the floor may have run");
         ledger.lines.push(Line { seq, state });
@@ -183,18 +183,18 @@
         let ended = state.is_final();
         line.state = state;
         if ended {
-            self.sink_later(key, seq, now);
+            self.schedule_eviction(key, seq, now);
         }
     }
 
     /// Writes the final refusal of a request that never began. Only a [`Lookup::New`] may lead here.
     pub fn refuse(&mut self, key: FlowKey, seq: RequestSeq, reason: Reason, now: Time) {
-        self.write_new(key, seq, State::Refused(Verdict::NotRun, reason));
-        self.sink_later(key, seq, now);
+        self.insert_new(key, seq, State::Refused(Verdict::NotRun, reason));
+        self.schedule_eviction(key, seq, now);
     }
 
     /// Lets the line of a request that has ended sink when its answer needs to be kept no longer.
-    fn sink_later(&mut self, key: FlowKey, seq: RequestSeq, now: Time) {
+    fn schedule_eviction(&mut self, key: FlowKey, seq: RequestSeq, now: Time) {
         let at = now + self.keep_answers;
         self.ended.push_back(LineExpiry { at, key, seq });
     }
@@ -233,8 +233,8 @@
             };
             self.expire_line(&expiry);
         }
-        shrink(&mut self.ended);
-        shrink(&mut self.answers);
+        shrink_queue(&mut self.ended);
+        shrink_queue(&mut self.answers);
         while let Some(key) = self.flows.first_due(now) {
             self.expire_flow(key, now);
         }
@@ -258,7 +258,7 @@
         };
         // What is still missing below this number is turned away from now on. It has been under way for so long
         // that nobody waits for it.
-        ledger.sink(index);
+        ledger.evict(index);
         if ledger.lines.is_empty() {
             ledger.lines = ThinVec::new();
         }
@@ -271,7 +271,7 @@
         // What was in progress elsewhere has ended by now, and the word of that was lost.
         let running = |line: &Line| matches!(line.state, State::Running(_));
         if ledger.keep_until > now || ledger.lines.iter().any(running) {
-            let due = ledger.keep_until.max(now + RECHECK);
+            let due = ledger.keep_until.max(now + RECHECK_INTERVAL);
             return self.flows.set_due(key, due);
         }
         self.remove(key);
@@ -282,7 +282,7 @@
         let Some(ledger) = self.flows.get_mut(key) else {
             return;
         };
-        let keep_until = now + PACKET_LIFE;
+        let keep_until = now + MAX_PACKET_LIFETIME;
         if ledger.keep_until <= keep_until {
             return;
         }
@@ -306,14 +306,14 @@
         if self.flows.contains(key) {
             return;
         }
-        ledger.keep_until = now + self.keep_flows;
+        ledger.keep_until = now + self.ledger_retention;
         for line in &ledger.lines {
             if let State::Answered(answer) = &line.state {
                 self.answer_bytes += answer.body.len() as u64;
                 self.answers.push_back((key, line.seq));
             }
             if line.state.is_final() {
-                self.sink_later(key, line.seq, now);
+                self.schedule_eviction(key, line.seq, now);
             }
         }
         let due = ledger.keep_until;
@@ -356,22 +356,22 @@
     }
 
     /// Takes all ledgers out, in a fixed order.
-    pub fn take(&mut self) -> Vec<(FlowKey, Ledger)> {
+    pub fn drain(&mut self) -> Vec<(FlowKey, Ledger)> {
         self.ended.clear();
         self.answers.clear();
         self.answer_bytes = 0;
-        self.flows.take()
+        self.flows.drain()
     }
 }
 
-fn line_mut(flows: &mut Flows, key: FlowKey, seq: RequestSeq) -> Option<&mut Line> {
+fn line_mut(flows: &mut FlowTable, key: FlowKey, seq: RequestSeq) -> Option<&mut Line> {
     let ledger = flows.get_mut(key)?;
     ledger.lines.iter_mut().find(|line| line.seq == seq)
 }
 
 /// Gives memory back after a peak.
-fn shrink<T>(queue: &mut VecDeque<T>) {
-    if queue.capacity() > 4 * queue.len() + SPARE {
-        queue.shrink_to(2 * queue.len() + SPARE);
+fn shrink_queue<T>(queue: &mut VecDeque<T>) {
+    if queue.capacity() > 4 * queue.len() + MIN_QUEUE_CAPACITY {
+        queue.shrink_to(2 * queue.len() + MIN_QUEUE_CAPACITY);
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,11 +4,10 @@
 //! randomised tests and the scenarios drive the same code.
 
 mod action;
-mod answers;
 mod documents;
 mod event;
-mod fleet;
-mod flows;
+mod flow_table;
+mod handover;
 mod home;
 mod ingress;
 mod ledger;
@@ -16,8 +15,9 @@
 mod limits;
 mod node;
 mod owner;
-mod pack;
+mod peers;
 mod record;
+mod replies;
 mod reports;
 mod slots;
 mod status;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -35,16 +35,16 @@
 use crate::documents::Documents;
 use crate::home::Home;
 use crate::home::SlotKey;
-use crate::ingress::Arrival;
+use crate::ingress::RoutedPacket;
 use crate::status::Counters;
-use crate::stop::Stop;
+use crate::stop::StopState;
 use crate::ticket::Ticket;
 
 /// How much longer a ledger is kept than a token lives, for clocks that differ.
 const CLOCK_MARGIN: Duration = Duration::from_mins(2);
 
 /// How long ledgers are kept after their last request, and incarnations after they were inherited.
-pub(crate) fn keep_flows(keyring: &Keyring) -> Duration {
+pub(crate) fn ledger_retention(keyring: &Keyring) -> Duration {
     keyring.lifetime() + CLOCK_MARGIN
 }
 
@@ -70,14 +70,14 @@
 }
 
 /// Where a handler writes what it wants done, and the time it works at.
-pub(crate) struct Cx<'a> {
+pub(crate) struct Context<'a> {
     /// The time.
     pub now: Time,
     /// What is to be done.
     pub out: &'a mut Vec<Action>,
 }
 
-impl Cx<'_> {
+impl Context<'_> {
     /// Wants an action done.
     pub fn push(&mut self, action: Action) {
         self.out.push(action);
@@ -92,7 +92,7 @@
 /// An entry instance.
 #[derive(Debug, Clone)]
 pub struct Node {
-    pub(crate) me: Peer,
+    pub(crate) local: Peer,
     pub(crate) started: Time,
     pub(crate) zone: ZoneName,
     pub(crate) keyring: Keyring,
@@ -112,24 +112,24 @@
     pub(crate) last_call: u64,
     pub(crate) homes: BTreeMap<ServiceName, Home>,
     /// Decisions of the pools that have not been carried out yet.
-    pub(crate) decisions: VecDeque<Decision<SlotKey>>,
+    pub(crate) pending_decisions: VecDeque<Decision<SlotKey>>,
     /// Where homes are, as last worked out for the present view.
     pub(crate) home_cache: BTreeMap<ServiceName, Option<(Peer, SocketAddr)>>,
     /// Whether the view or the document has changed since the homes were last worked out.
     pub(crate) view_changed: bool,
     /// The incarnations of upstreams, as they last told.
     pub(crate) upstreams: BTreeMap<UpstreamName, Incarnation>,
-    pub(crate) incoming: BTreeMap<Incarnation, crate::takeover::Incoming>,
-    pub(crate) stop: Stop,
+    pub(crate) partial_handovers: BTreeMap<Incarnation, crate::takeover::PartialHandover>,
+    pub(crate) stop: StopState,
     pub(crate) counters: Counters,
     pub(crate) watching: bool,
-    pub(crate) platform: bool,
+    pub(crate) platform_reachable: bool,
 }
 
 impl Node {
     /// A node at its start. It holds no document and knows no other instance.
     pub fn new(setup: Setup, now: Time) -> Self {
-        let me = Member {
+        let local = Member {
             name: setup.name.clone(),
             incarnation: setup.incarnation,
             zone: setup.zone.clone(),
@@ -138,19 +138,19 @@
             refutation: 0,
         };
         Self {
-            me: Peer {
+            local: Peer {
                 name: setup.name,
                 incarnation: setup.incarnation,
             },
             started: now,
             zone: setup.zone,
-            ledgers: Ledgers::new(keep_flows(&setup.keyring), setup.limits.keep_answers),
+            ledgers: Ledgers::new(ledger_retention(&setup.keyring), setup.limits.keep_answers),
             keyring: setup.keyring,
             stop_within: setup.stop_within,
             seed: setup.seed,
             rng: SmallRng::seed_from_u64(setup.seed),
             documents: Documents::default(),
-            membership: Membership::new(me, Timing::default(), setup.seed, now),
+            membership: Membership::new(local, Timing::default(), setup.seed, now),
             inherited: BTreeMap::new(),
             limits: setup.limits,
             tickets: BTreeMap::new(),
@@ -159,60 +159,60 @@
             last_ticket: 0,
             last_call: 0,
             homes: BTreeMap::new(),
-            decisions: VecDeque::new(),
+            pending_decisions: VecDeque::new(),
             home_cache: BTreeMap::new(),
             view_changed: true,
             upstreams: BTreeMap::new(),
-            incoming: BTreeMap::new(),
-            stop: Stop::Serving,
+            partial_handovers: BTreeMap::new(),
+            stop: StopState::Serving,
             counters: Counters::default(),
             watching: false,
-            platform: false,
+            platform_reachable: false,
         }
     }
 
     /// Takes an event and writes what is to be done about it.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        let cx = &mut Cx { now, out };
+        let cx = &mut Context { now, out };
         match event {
-            Event::Datagram(caller, bytes) => self.take_datagram(cx, caller, &bytes),
-            Event::Frame(peer, frame) => self.take_frame(cx, &peer, frame),
-            Event::Lost(name) => self.lose_session(cx, &name),
-            Event::Called(call, result) => self.end_call(cx, call, result),
-            Event::Polled(upstream, report) => self.take_report(cx, &upstream, report.ok()),
-            Event::List(list) => self.take_list(cx, list),
+            Event::Datagram(caller, bytes) => self.handle_datagram(cx, caller, &bytes),
+            Event::Frame(peer, frame) => self.handle_frame(cx, &peer, frame),
+            Event::Lost(name) => self.handle_session_lost(cx, &name),
+            Event::Called(call, result) => self.handle_call_result(cx, call, result),
+            Event::Polled(upstream, report) => self.handle_poll_result(cx, &upstream, report.ok()),
+            Event::List(list) => self.handle_list(cx, list),
             Event::Loaded(revision, text) => self.load_document(cx, revision, &text),
-            Event::Platform(reachable) => self.platform = reachable,
+            Event::Platform(reachable) => self.platform_reachable = reachable,
             Event::Tick => self.tick(cx),
             Event::Stop => self.begin_stop(cx),
         }
-        self.carry_out_decisions(cx);
+        self.apply_decisions(cx);
     }
 
-    fn take_frame(&mut self, cx: &mut Cx<'_>, peer: &Peer, frame: Frame) {
+    fn handle_frame(&mut self, cx: &mut Context<'_>, peer: &Peer, frame: Frame) {
         match frame {
-            Frame::Forward(forward) => self.route(cx, Arrival::from(forward)),
-            Frame::Acquire(acquire) => self.take_acquire(cx, peer, acquire),
-            Frame::Withdraw(ticket) => self.take_withdraw(cx, peer, ticket),
-            Frame::Grant(grant) => self.take_grant(cx, peer, &grant),
-            Frame::Deny(deny) => self.take_deny(cx, peer, &deny),
-            Frame::Settle(settle) => self.take_settle(cx, peer, &settle),
-            Frame::Hold(hold) => self.take_hold(cx, peer, hold),
-            Frame::Handover(handover) => self.take_handover(cx, peer, handover),
-            Frame::HandoverDone(incarnation) => self.end_handover(cx, peer, incarnation),
-            Frame::HandoverRefused(incarnation) => self.refuse_handover(cx, peer, incarnation),
-            Frame::Resolved(resolved) => self.take_resolved(cx, resolved),
-            Frame::Want(have) => self.take_want(cx, peer, have),
-            Frame::Document(document) => self.take_document(cx, &document),
-            Frame::Delta(delta) => self.take_delta(cx, peer, &delta),
+            Frame::Forward(forward) => self.route(cx, RoutedPacket::from(forward)),
+            Frame::Acquire(acquire) => self.handle_acquire(cx, peer, acquire),
+            Frame::Withdraw(ticket) => self.handle_withdraw(cx, peer, ticket),
+            Frame::Grant(grant) => self.handle_grant(cx, peer, &grant),
+            Frame::Deny(deny) => self.handle_deny(cx, peer, &deny),
+            Frame::Settle(settle) => self.handle_settle(cx, peer, &settle),
+            Frame::Hold(hold) => self.handle_hold(cx, peer, hold),
+            Frame::Handover(handover) => self.handle_handover(cx, peer, handover),
+            Frame::HandoverDone(incarnation) => self.handle_handover_done(cx, peer, incarnation),
+            Frame::HandoverRefused(incarnation) => self.handle_handover_refused(cx, peer, incarnation),
+            Frame::Resolved(resolved) => self.handle_resolved(cx, resolved),
+            Frame::Want(have) => self.handle_document_request(cx, peer, have),
+            Frame::Document(document) => self.handle_document(cx, &document),
+            Frame::Delta(delta) => self.handle_delta(cx, peer, &delta),
             Frame::Probe(..) | Frame::ProbeAck(..) | Frame::ProbeFor(..) | Frame::News(_) => {
-                self.take_gossip(cx, peer, &frame);
+                self.handle_gossip(cx, peer, &frame);
             }
         }
     }
 
-    fn tick(&mut self, cx: &mut Cx<'_>) {
-        self.tick_fleet(cx);
+    fn tick(&mut self, cx: &mut Context<'_>) {
+        self.tick_membership(cx);
         self.tick_owner(cx);
         self.tick_homes(cx);
         self.tick_stop(cx);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -10,14 +10,11 @@
 use units::UpstreamName;
 use wire::Accepted;
 use wire::Answer;
-use wire::Granted;
 use wire::Outcome;
 use wire::Packet;
 use wire::Reason;
-use wire::Refused;
 use wire::Reply;
 use wire::Request;
-use wire::Subject;
 use wire::TicketId;
 use wire::Verdict;
 
@@ -30,50 +27,50 @@
 use crate::Node;
 use crate::Record;
 use crate::State;
-use crate::answers::push_chunk;
-use crate::flows::Group;
-use crate::ingress::Arrival;
+use crate::flow_table::CallerGroup;
 use crate::ingress::RETRY_SOON;
-use crate::node::Cx;
+use crate::ingress::RoutedPacket;
+use crate::node::Context;
+use crate::replies::push_chunk;
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
 /// How long a home may leave a request for a slot unanswered before it is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
+const SLOT_REQUEST_RETRY: Duration = Duration::from_millis(400);
 
 /// Why a request may not begin.
-struct Bar {
+struct Rejection {
     reason: Reason,
     retry_after: Millis,
 }
 
 impl Node {
     /// Takes a packet of a flow that this node owns.
-    pub(crate) fn own(&mut self, cx: &mut Cx<'_>, claims: Claims, arrival: &Arrival) {
+    pub(crate) fn handle_owned_packet(&mut self, cx: &mut Context<'_>, claims: Claims, routed: &RoutedPacket) {
         let key = FlowKey {
             owner: claims.incarnation,
             flow: claims.flow,
         };
-        match arrival.packet.clone() {
-            Packet::Request(request) => self.take_request(cx, claims, request, arrival),
-            Packet::Pull(pull) => self.take_pull(cx, key, arrival.caller, &pull),
+        match routed.packet.clone() {
+            Packet::Request(request) => self.handle_request(cx, claims, request, routed),
+            Packet::Pull(pull) => self.handle_pull(cx, key, routed.caller, &pull),
             Packet::Done(done) => self.ledgers.forget_answer(key, done.seq),
             Packet::Close(_) => self.ledgers.close(key, cx.now),
             Packet::Open(_) => {}
         }
     }
 
-    fn take_request(&mut self, cx: &mut Cx<'_>, claims: Claims, request: Request, arrival: &Arrival) {
+    fn handle_request(&mut self, cx: &mut Context<'_>, claims: Claims, request: Request, routed: &RoutedPacket) {
         let key = FlowKey {
             owner: claims.incarnation,
             flow: claims.flow,
         };
         let seq = request.seq;
         let fresh = !self.ledgers.contains(key);
-        let group = Group::of(arrival.caller.ip(), self.seed);
+        let group = CallerGroup::of(routed.caller.ip(), self.seed);
         if fresh && !self.ledgers.has_room(group, self.limits.flows) {
             let refusal = (Verdict::MayHaveRun, Reason::Limit);
-            return self.reply_refused(cx, arrival.caller, key, seq, refusal, RETRY_SOON, None);
+            return self.reply_refused(cx, routed.caller, key, seq, refusal, RETRY_SOON, None);
         }
         let known = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
             Lookup::New => None,
@@ -82,23 +79,30 @@
             Lookup::Known(state) => Some(state.clone()),
         };
         if fresh {
-            self.ledgers.charge(key, group);
+            self.ledgers.assign_group(key, group);
         }
         if let Some(state) = known {
-            return self.repeat(cx, key, seq, &state, arrival.caller);
+            return self.answer_duplicate(cx, key, seq, &state, routed.caller);
         }
         match self.check_kind(&request) {
-            Ok(idempotent) => self.begin(cx, claims, request, idempotent, arrival),
-            Err(bar) => {
-                self.ledgers.refuse(key, seq, bar.reason, cx.now);
-                let refusal = (Verdict::NotRun, bar.reason);
-                self.reply_refused(cx, arrival.caller, key, seq, refusal, bar.retry_after, None);
+            Ok(idempotent) => self.accept_request(cx, claims, request, idempotent, routed),
+            Err(rejection) => {
+                self.ledgers.refuse(key, seq, rejection.reason, cx.now);
+                let refusal = (Verdict::NotRun, rejection.reason);
+                self.reply_refused(cx, routed.caller, key, seq, refusal, rejection.retry_after, None);
             }
         }
     }
 
     /// Answers a request that has come before.
-    fn repeat(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, state: &State, caller: SocketAddr) {
+    fn answer_duplicate(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: FlowKey,
+        seq: RequestSeq,
+        state: &State,
+        caller: SocketAddr,
+    ) {
         match state {
             State::Running(ticket) => {
                 if let Some(ticket) = self.tickets.get_mut(ticket) {
@@ -118,23 +122,33 @@
         }
     }
 
-    fn check_kind(&self, request: &Request) -> Result<bool, Bar> {
-        let bar = |reason| Bar {
+    fn check_kind(&self, request: &Request) -> Result<bool, Rejection> {
+        let rejection = |reason| Rejection {
             reason,
             retry_after: RETRY_SOON,
         };
         if self.documents.current().is_none() {
-            return Err(bar(Reason::NoDocument));
+            return Err(rejection(Reason::NoDocument));
         }
-        let service = self.documents.service(&request.service).ok_or(bar(Reason::Unknown))?;
-        let kind = service.kind(&request.kind).ok_or(bar(Reason::Unknown))?;
+        let service = self
+            .documents
+            .service(&request.service)
+            .ok_or(rejection(Reason::Unknown))?;
+        let kind = service.kind(&request.kind).ok_or(rejection(Reason::Unknown))?;
         if self.tickets.len() >= self.limits.requests {
-            return Err(bar(Reason::Limit));
+            return Err(rejection(Reason::Limit));
         }
         Ok(kind.idempotent)
     }
 
-    fn begin(&mut self, cx: &mut Cx<'_>, claims: Claims, request: Request, idempotent: bool, arrival: &Arrival) {
+    fn accept_request(
+        &mut self,
+        cx: &mut Context<'_>,
+        claims: Claims,
+        request: Request,
+        idempotent: bool,
+        routed: &RoutedPacket,
+    ) {
         let key = FlowKey {
             owner: claims.incarnation,
             flow: claims.flow,
@@ -146,13 +160,13 @@
         let ticket = Ticket {
             request,
             claims,
-            caller: arrival.caller,
-            zone: arrival.zone.clone(),
+            caller: routed.caller,
+            zone: routed.zone.clone(),
             idempotent,
             deadline,
             avoid: Vec::new(),
             in_doubt: false,
-            home: self.me.clone(),
+            home: self.local.clone(),
             phase: Phase::Waiting(cx.now),
         };
         self.start_ticket(cx, id, ticket);
@@ -164,17 +178,17 @@
     }
 
     /// Puts a request whose ledger line names this ticket in the queue of its service's home.
-    pub(crate) fn start_ticket(&mut self, cx: &mut Cx<'_>, id: TicketId, ticket: Ticket) {
+    pub(crate) fn start_ticket(&mut self, cx: &mut Context<'_>, id: TicketId, ticket: Ticket) {
         self.deadlines.insert((ticket.deadline, id));
         self.tickets.insert(id, ticket);
-        self.ask(cx, id);
+        self.request_slot(cx, id);
     }
 
     /// Calls the upstream whose slot was lent.
-    pub(crate) fn use_slot(&mut self, cx: &mut Cx<'_>, id: TicketId, upstream: &UpstreamName) {
-        let Some(address) = self.callable(id, upstream) else {
+    pub(crate) fn call_upstream(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: &UpstreamName) {
+        let Some(address) = self.upstream_address(id, upstream) else {
             // This instance's document may lag the home's. The home is asked again after a while.
-            return self.settle(cx, id, Outcome::Unused, Duration::ZERO);
+            return self.release_slot(cx, id, Outcome::Unused, Duration::ZERO);
         };
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
@@ -186,7 +200,7 @@
             upstream: upstream.clone(),
             since: cx.now,
         };
-        if ticket.claims.pinned.is_some() || self.documents.pins(&ticket.claims.service) {
+        if ticket.claims.pinned.is_some() || self.documents.has_flow_affinity(&ticket.claims.service) {
             ticket.claims.pinned = Some(upstream.clone());
         }
         self.calls.insert(call, id);
@@ -206,7 +220,7 @@
     }
 
     /// Where to call an upstream for a request that still waits.
-    fn callable(&self, id: TicketId, upstream: &UpstreamName) -> Option<SocketAddr> {
+    fn upstream_address(&self, id: TicketId, upstream: &UpstreamName) -> Option<SocketAddr> {
         let ticket = self.tickets.get(&id)?;
         if !matches!(ticket.phase, Phase::Waiting(_)) {
             return None;
@@ -216,7 +230,7 @@
     }
 
     /// Takes the end of a call.
-    pub(crate) fn end_call(&mut self, cx: &mut Cx<'_>, call: CallId, result: CallResult) {
+    pub(crate) fn handle_call_result(&mut self, cx: &mut Context<'_>, call: CallId, result: CallResult) {
         let Some(id) = self.calls.remove(&call) else {
             return;
         };
@@ -232,15 +246,15 @@
         ticket.phase = Phase::Waiting(cx.now);
         ticket.in_doubt |= outcome.verdict() == Verdict::MayHaveRun;
         cx.record(Record::Ended(upstream.clone(), flow, seq, outcome));
-        self.settle(cx, id, outcome, cx.now.since(since));
+        self.release_slot(cx, id, outcome, cx.now.since(since));
         match result {
-            CallResult::Answered(body) => self.answer(cx, id, Answer::new(body)),
-            _ => self.retry(cx, id, upstream, outcome),
+            CallResult::Answered(body) => self.complete_request(cx, id, Answer::new(body)),
+            _ => self.retry_or_refuse(cx, id, upstream, outcome),
         }
     }
 
     /// Asks for another slot if the request may still run, else refuses it.
-    fn retry(&mut self, cx: &mut Cx<'_>, id: TicketId, upstream: UpstreamName, outcome: Outcome) {
+    fn retry_or_refuse(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: UpstreamName, outcome: Outcome) {
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
         };
@@ -251,49 +265,49 @@
             } else {
                 Reason::Upstream
             };
-            return self.refuse(cx, id, reason, RETRY_SOON);
+            return self.refuse_request(cx, id, reason, RETRY_SOON);
         }
         if !ticket.avoid.contains(&upstream) {
             ticket.avoid.push(upstream);
         }
         if self.stop.has_handed_over() {
-            return self.pass_on(cx, id);
+            return self.hand_over_request(cx, id);
         }
-        self.ask(cx, id);
+        self.request_slot(cx, id);
     }
 
-    fn answer(&mut self, cx: &mut Cx<'_>, id: TicketId, answer: Answer) {
+    fn complete_request(&mut self, cx: &mut Context<'_>, id: TicketId, answer: Answer) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
         let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
-        let granted = self.renew(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
+        let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
         push_chunk(cx, ticket.caller, key, seq, &answer, 0, granted);
         cx.record(Record::Answered(key.flow, seq));
         self.counters.answered += 1;
-        self.write_end(cx, key, seq, State::Answered(Box::new(answer)));
+        self.record_end(cx, key, seq, State::Answered(Box::new(answer)));
     }
 
     /// Refuses a request for good. No call of it is in progress any more.
-    pub(crate) fn refuse(&mut self, cx: &mut Cx<'_>, id: TicketId, reason: Reason, retry_after: Millis) {
+    pub(crate) fn refuse_request(&mut self, cx: &mut Context<'_>, id: TicketId, reason: Reason, retry_after: Millis) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
         let verdict = ticket.verdict();
-        self.write_end(cx, key, seq, State::Refused(verdict, reason));
+        self.record_end(cx, key, seq, State::Refused(verdict, reason));
         let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
-        let granted = self.renew(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
+        let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
         self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, granted);
     }
 
     /// Writes an end to the ledger, or tells whoever holds the ledger now.
-    fn write_end(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, state: State) {
+    fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: State) {
         if self.stop.has_handed_over() {
-            return self.resolve(cx, key, seq, &state);
+            return self.send_final_state(cx, key, seq, &state);
         }
         self.ledgers.end(key, seq, state, cx.now);
     }
@@ -307,74 +321,47 @@
         Some(ticket)
     }
 
-    #[expect(
-        clippy::too_many_arguments,
-        reason = "each is a field of the reply, and a struct would only copy it"
-    )]
-    pub(crate) fn reply_refused(
-        &mut self,
-        cx: &mut Cx<'_>,
-        caller: SocketAddr,
-        key: FlowKey,
-        seq: RequestSeq,
-        (verdict, reason): (Verdict, Reason),
-        retry_after: Millis,
-        granted: Option<Granted>,
-    ) {
-        self.counters.refuse(verdict, reason);
-        cx.record(Record::Refused(key.flow, seq, verdict, reason));
-        let subject = Subject::Request(key.flow, seq);
-        let refused = Refused {
-            subject,
-            verdict,
-            reason,
-            retry_after,
-            granted,
-        };
-        cx.push(Action::Reply(caller, Reply::Refused(refused)));
-    }
-
     /// Gives up what is past its deadline, and asks again for slots whose home stays silent.
-    pub(crate) fn tick_owner(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn tick_owner(&mut self, cx: &mut Context<'_>) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > cx.now {
                 break;
             }
             self.deadlines.remove(&(deadline, id));
-            self.give_up(cx, id, Reason::Deadline);
+            self.abort_request(cx, id, Reason::Deadline);
         }
         let silent: Vec<TicketId> = self
             .tickets
             .iter()
-            .filter(|(_, ticket)| self.is_silent(ticket, cx.now))
+            .filter(|(_, ticket)| self.slot_request_timed_out(ticket, cx.now))
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
-            self.ask(cx, id);
+            self.request_slot(cx, id);
         }
     }
 
-    fn is_silent(&self, ticket: &Ticket, now: Time) -> bool {
+    fn slot_request_timed_out(&self, ticket: &Ticket, now: Time) -> bool {
         let Phase::Waiting(asked) = ticket.phase else {
             return false;
         };
-        ticket.home != self.me && now.since(asked) > ASK_AGAIN
+        ticket.home != self.local && now.since(asked) > SLOT_REQUEST_RETRY
     }
 
     /// Ends a request whatever it is doing.
-    pub(crate) fn give_up(&mut self, cx: &mut Cx<'_>, id: TicketId, reason: Reason) {
+    pub(crate) fn abort_request(&mut self, cx: &mut Context<'_>, id: TicketId, reason: Reason) {
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
         };
         match ticket.phase.clone() {
-            Phase::Waiting(_) => self.withdraw(cx, id),
+            Phase::Waiting(_) => self.withdraw_slot_request(cx, id),
             Phase::Calling { call, since, .. } => {
                 ticket.in_doubt = true;
                 cx.push(Action::Cancel(call));
-                self.settle(cx, id, Outcome::TimedOut, cx.now.since(since));
+                self.release_slot(cx, id, Outcome::TimedOut, cx.now.since(since));
             }
         }
-        self.refuse(cx, id, reason, RETRY_SOON);
+        self.refuse_request(cx, id, reason, RETRY_SOON);
     }
 }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/peers.rs
@@ -23,21 +23,21 @@
 use crate::Peer;
 use crate::Record;
 use crate::State;
-use crate::node::Cx;
+use crate::node::Context;
 use crate::ticket::Phase;
 
 /// How long a node that has met others takes to learn the fleet.
-const SETTLE: Duration = Duration::from_millis(500);
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(500);
 /// How long a node waits for others before it serves alone.
-const SETTLE_ALONE: Duration = Duration::from_secs(2);
+const DISCOVERY_PERIOD_ALONE: Duration = Duration::from_secs(2);
 
 /// Where the owner of a flow is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum OwnerLocation {
     /// This node owns the flow.
-    Here,
+    Local,
     /// This instance owns it.
-    There(Peer, SocketAddr),
+    Remote(Peer, SocketAddr),
     /// Nothing is known of the owner.
     Unknown,
     /// The owner is gone, and nobody has its ledgers.
@@ -47,7 +47,7 @@
 impl Node {
     /// Whether this node owns the flows of this life of an instance: it is its own, or it has taken over its ledgers.
     pub(crate) fn owns(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
-        if incarnation == self.me.incarnation && *name == self.me.name {
+        if incarnation == self.local.incarnation && *name == self.local.name {
             return true;
         }
         // Most nodes have inherited nothing, and the name is copied for each packet otherwise.
@@ -59,28 +59,28 @@
     }
 
     /// Finds the owner of a flow.
-    pub(crate) fn locate(&self, claims: &Claims) -> Place {
+    pub(crate) fn locate(&self, claims: &Claims) -> OwnerLocation {
         if self.owns(&claims.owner, claims.incarnation) {
             return match self.stop.successor() {
                 Some(successor) => self.locate_successor(successor),
                 // The ledgers end with this process, which may take a moment.
-                None if self.stop.has_ended() => Place::Gone,
-                None => Place::Here,
+                None if self.stop.has_ended() => OwnerLocation::Gone,
+                None => OwnerLocation::Local,
             };
         }
-        self.place(&claims.owner, claims.incarnation)
+        self.locate_incarnation(&claims.owner, claims.incarnation)
     }
 
     /// Finds whoever holds the ledgers that went to this successor.
-    pub(crate) fn locate_successor(&self, successor: &Peer) -> Place {
-        match self.place(&successor.name, successor.incarnation) {
-            Place::Unknown => Place::Gone,
+    pub(crate) fn locate_successor(&self, successor: &Peer) -> OwnerLocation {
+        match self.locate_incarnation(&successor.name, successor.incarnation) {
+            OwnerLocation::Unknown => OwnerLocation::Gone,
             place => place,
         }
     }
 
     /// Where another incarnation, or who has its ledgers now, is in the present view.
-    fn place(&self, name: &InstanceName, incarnation: Incarnation) -> Place {
+    fn locate_incarnation(&self, name: &InstanceName, incarnation: Incarnation) -> OwnerLocation {
         match self.membership.standing(name, incarnation) {
             Standing::Alive(member)
             | Standing::Suspect(member)
@@ -90,11 +90,11 @@
                     name: member.name.clone(),
                     incarnation: member.incarnation,
                 };
-                Place::There(peer, member.address)
+                OwnerLocation::Remote(peer, member.address)
             }
             // A record that names this node counts only once the ledgers are here.
-            Standing::Me | Standing::SucceededByMe | Standing::Unknown => Place::Unknown,
-            Standing::Gone => Place::Gone,
+            Standing::Me | Standing::SucceededByMe | Standing::Unknown => OwnerLocation::Unknown,
+            Standing::Gone => OwnerLocation::Gone,
         }
     }
 
@@ -119,16 +119,20 @@
     }
 
     /// Whether this node has had time to hear of the others.
-    pub(crate) fn is_settled(&self, now: Time) -> bool {
+    pub(crate) fn is_discovery_complete(&self, now: Time) -> bool {
         let age = now.since(self.started);
         let alone = self.membership.members().count() == 1;
-        age >= SETTLE_ALONE || (age >= SETTLE && !alone)
+        age >= DISCOVERY_PERIOD_ALONE || (age >= DISCOVERY_PERIOD && !alone)
     }
 
     /// Any living instance, to ask what is not known here.
-    pub(crate) fn pick_peer(&mut self) -> Option<(InstanceName, SocketAddr)> {
-        let me = &self.me.name;
-        let others: Vec<_> = self.membership.members().filter(|member| &member.name != me).collect();
+    pub(crate) fn random_peer(&mut self) -> Option<(InstanceName, SocketAddr)> {
+        let local = &self.local.name;
+        let others: Vec<_> = self
+            .membership
+            .members()
+            .filter(|member| &member.name != local)
+            .collect();
         if others.is_empty() {
             return None;
         }
@@ -137,7 +141,7 @@
     }
 
     /// Sends a frame to an instance, if it is known.
-    pub(crate) fn send(&self, cx: &mut Cx<'_>, peer: &Peer, frame: Frame) {
+    pub(crate) fn send(&self, cx: &mut Context<'_>, peer: &Peer, frame: Frame) {
         let member = self.membership.member(&peer.name);
         let Some(member) = member.filter(|member| member.incarnation == peer.incarnation) else {
             return;
@@ -149,21 +153,21 @@
         });
     }
 
-    pub(crate) fn take_gossip(&mut self, cx: &mut Cx<'_>, peer: &Peer, frame: &Frame) {
+    pub(crate) fn handle_gossip(&mut self, cx: &mut Context<'_>, peer: &Peer, frame: &Frame) {
         let mut outputs = Vec::new();
         self.membership
             .handle(cx.now, &peer.name, peer.incarnation, frame, &mut outputs);
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
     }
 
-    pub(crate) fn lose_session(&mut self, cx: &mut Cx<'_>, name: &InstanceName) {
+    pub(crate) fn handle_session_lost(&mut self, cx: &mut Context<'_>, name: &InstanceName) {
         let mut outputs = Vec::new();
         self.membership.session_lost(cx.now, name, &mut outputs);
-        self.take_outputs(cx, outputs);
-        self.repeat_handover(cx, name);
+        self.apply_membership_outputs(cx, outputs);
+        self.resend_handover(cx, name);
     }
 
-    pub(crate) fn take_list(&mut self, cx: &mut Cx<'_>, list: Vec<Listed>) {
+    pub(crate) fn handle_list(&mut self, cx: &mut Context<'_>, list: Vec<Listed>) {
         let mut outputs = Vec::new();
         for listed in list {
             match listed {
@@ -186,18 +190,18 @@
                     name,
                     incarnation,
                     leaving: true,
-                } => self.mark_leaving(cx, name, incarnation),
+                } => self.mark_upstream_leaving(cx, name, incarnation),
                 // Absence and a plain entry say nothing, since the list lags.
                 Listed::Upstream { leaving: false, .. } => {}
             }
         }
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
     }
 
-    pub(crate) fn tick_fleet(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn tick_membership(&mut self, cx: &mut Context<'_>) {
         let mut outputs = Vec::new();
         self.membership.tick(cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
         if !self.view_changed {
             return;
         }
@@ -209,7 +213,7 @@
     }
 
     /// Carries out what membership wants and has learned.
-    pub(crate) fn take_outputs(&mut self, cx: &mut Cx<'_>, outputs: Vec<Output>) {
+    pub(crate) fn apply_membership_outputs(&mut self, cx: &mut Context<'_>, outputs: Vec<Output>) {
         let mut moved = false;
         for output in outputs {
             match output {
@@ -231,38 +235,38 @@
                     moved = true;
                 }
                 Output::Succeeded(record) => cx.record(Record::HandedOver(record.from, record.to)),
-                Output::UpstreamLeaving(mark) => self.upstream_leaves(cx, &mark),
+                Output::UpstreamLeaving(mark) => self.handle_upstream_leaving(cx, &mark),
                 Output::DocumentSeen {
                     from,
                     address,
                     revision,
                     ..
                 } => {
-                    self.see_document(cx, from, address, revision);
+                    self.request_newer_document(cx, from, address, revision);
                 }
             }
         }
         if moved {
-            self.rehome(cx);
+            self.recompute_homes(cx);
         }
     }
 
-    fn peer_down(&mut self, cx: &mut Cx<'_>, peer: Peer) {
+    fn peer_down(&mut self, cx: &mut Context<'_>, peer: Peer) {
         let now = cx.now;
         for home in self.homes.values_mut() {
             let mut decisions = Vec::new();
             home.pool.retain(|key| key.peer != peer, now, &mut decisions);
-            self.decisions.extend(decisions);
+            self.pending_decisions.extend(decisions);
         }
         for (key, seq) in self.ledgers.elsewhere(peer.incarnation) {
-            self.doubt(cx, key, seq);
+            self.refuse_interrupted(cx, key, seq);
         }
-        self.incoming.remove(&peer.incarnation);
+        self.partial_handovers.remove(&peer.incarnation);
         cx.record(Record::Down(peer.name, peer.incarnation));
     }
 
     /// A request was in progress at an instance that is gone.
-    fn doubt(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: units::RequestSeq) {
+    fn refuse_interrupted(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: units::RequestSeq) {
         let verdict = wire::Verdict::MayHaveRun;
         self.ledgers
             .end(key, seq, State::Refused(verdict, Reason::OwnerGone), cx.now);
@@ -270,16 +274,16 @@
     }
 
     /// Works homes out anew and moves requests to them.
-    pub(crate) fn rehome(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn recompute_homes(&mut self, cx: &mut Context<'_>) {
         self.home_cache.clear();
         self.view_changed = true;
         let ids: Vec<TicketId> = self.tickets.keys().copied().collect();
         for id in ids {
-            self.rehome_ticket(cx, id);
+            self.move_ticket_to_home(cx, id);
         }
     }
 
-    fn rehome_ticket(&mut self, cx: &mut Cx<'_>, id: TicketId) {
+    fn move_ticket_to_home(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(service) = self.tickets.get(&id).map(|ticket| ticket.claims.service.clone()) else {
             return;
         };
@@ -289,14 +293,14 @@
         if self.tickets.get(&id).is_some_and(|ticket| ticket.home == home) {
             return;
         }
-        self.withdraw(cx, id);
+        self.withdraw_slot_request(cx, id);
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
         };
         ticket.home = home;
         match ticket.phase {
-            Phase::Waiting(_) => self.ask(cx, id),
-            Phase::Calling { .. } => self.tell_hold(cx, id),
+            Phase::Waiting(_) => self.request_slot(cx, id),
+            Phase::Calling { .. } => self.report_held_slot(cx, id),
         }
     }
 }
--- a/crates/node/src/answers.rs
+++ b/crates/node/src/replies.rs
@@ -18,11 +18,12 @@
 use crate::Action;
 use crate::FlowKey;
 use crate::Node;
-use crate::node::Cx;
+use crate::Record;
+use crate::node::Context;
 
 impl Node {
     /// Sends the chunks that a caller asks for.
-    pub(crate) fn take_pull(&mut self, cx: &mut Cx<'_>, key: FlowKey, caller: SocketAddr, pull: &Pull) {
+    pub(crate) fn handle_pull(&mut self, cx: &mut Context<'_>, key: FlowKey, caller: SocketAddr, pull: &Pull) {
         let held = self
             .ledgers
             .answer(key, pull.seq)
@@ -30,7 +31,7 @@
         let Some(answer) = held else {
             let verdict = Verdict::MayHaveRun;
             let reason = Reason::AnswerGone;
-            self.counters.refuse(verdict, reason);
+            self.counters.count_refusal(verdict, reason);
             let subject = Subject::Pull(key.flow, pull.seq, pull.digest);
             let refused = Refused {
                 subject,
@@ -46,11 +47,38 @@
             push_chunk(cx, caller, key, pull.seq, answer, index, None);
         }
     }
+
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "each is a field of the reply, and a struct would only copy it"
+    )]
+    pub(crate) fn reply_refused(
+        &mut self,
+        cx: &mut Context<'_>,
+        caller: SocketAddr,
+        key: FlowKey,
+        seq: RequestSeq,
+        (verdict, reason): (Verdict, Reason),
+        retry_after: Millis,
+        granted: Option<Granted>,
+    ) {
+        self.counters.count_refusal(verdict, reason);
+        cx.record(Record::Refused(key.flow, seq, verdict, reason));
+        let subject = Subject::Request(key.flow, seq);
+        let refused = Refused {
+            subject,
+            verdict,
+            reason,
+            retry_after,
+            granted,
+        };
+        cx.push(Action::Reply(caller, Reply::Refused(refused)));
+    }
 }
 
 /// Sends one chunk of an answer, if the answer has it.
 pub(crate) fn push_chunk(
-    cx: &mut Cx<'_>,
+    cx: &mut Context<'_>,
     caller: SocketAddr,
     key: FlowKey,
     seq: RequestSeq,
--- a/crates/node/src/reports.rs
+++ b/crates/node/src/reports.rs
@@ -7,11 +7,11 @@
 use crate::Node;
 use crate::Record;
 use crate::Report;
-use crate::node::Cx;
+use crate::node::Context;
 
 impl Node {
     /// Takes what an upstream says of itself.
-    pub(crate) fn take_report(&mut self, cx: &mut Cx<'_>, name: &UpstreamName, report: Option<Report>) {
+    pub(crate) fn handle_poll_result(&mut self, cx: &mut Context<'_>, name: &UpstreamName, report: Option<Report>) {
         let Some(service) = self.documents.service_of(name) else {
             return;
         };
@@ -24,7 +24,7 @@
             }
             self.upstreams.insert(name.clone(), report.incarnation);
             if report.draining {
-                self.mark_leaving(cx, name.clone(), report.incarnation);
+                self.mark_upstream_leaving(cx, name.clone(), report.incarnation);
             }
             let fresh = known != Some(report.incarnation);
             if fresh && !self.membership.is_leaving(name, report.incarnation) {
@@ -41,19 +41,19 @@
     }
 
     /// Spreads that an incarnation of an upstream gets no new work.
-    pub(crate) fn mark_leaving(&mut self, cx: &mut Cx<'_>, name: UpstreamName, incarnation: Incarnation) {
+    pub(crate) fn mark_upstream_leaving(&mut self, cx: &mut Context<'_>, name: UpstreamName, incarnation: Incarnation) {
         if self.membership.is_leaving(&name, incarnation) {
             return;
         }
         let mark = LeavingUpstream { name, incarnation };
         let mut outputs = Vec::new();
         self.membership.add_leaving_upstream(mark.clone(), cx.now, &mut outputs);
-        self.upstream_leaves(cx, &mark);
-        self.take_outputs(cx, outputs);
+        self.handle_upstream_leaving(cx, &mark);
+        self.apply_membership_outputs(cx, outputs);
     }
 
     /// Stops new work for an upstream that is marked, unless a later incarnation is known.
-    pub(crate) fn upstream_leaves(&mut self, cx: &mut Cx<'_>, mark: &LeavingUpstream) {
+    pub(crate) fn handle_upstream_leaving(&mut self, cx: &mut Context<'_>, mark: &LeavingUpstream) {
         let later = self
             .upstreams
             .get(&mark.name)
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -17,17 +17,17 @@
 use crate::Node;
 use crate::Peer;
 use crate::ingress::RETRY_SOON;
-use crate::node::Cx;
+use crate::node::Context;
 use crate::ticket::Phase;
 
 impl Node {
     /// Asks the present home of a request's service for a slot.
-    pub(crate) fn ask(&mut self, cx: &mut Cx<'_>, id: TicketId) {
+    pub(crate) fn request_slot(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(service) = self.tickets.get(&id).map(|ticket| ticket.claims.service.clone()) else {
             return;
         };
         let Some((home, address)) = self.find_home(&service) else {
-            return self.refuse(cx, id, Reason::NoUpstream, RETRY_SOON);
+            return self.refuse_request(cx, id, Reason::NoUpstream, RETRY_SOON);
         };
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
@@ -43,9 +43,9 @@
             pinned: ticket.claims.pinned.clone(),
             avoid: ticket.avoid.clone(),
         };
-        if home == self.me {
-            let me = self.me.clone();
-            return self.take_acquire(cx, &me, acquire);
+        if home == self.local {
+            let local = self.local.clone();
+            return self.handle_acquire(cx, &local, acquire);
         }
         cx.push(Action::Send {
             to: home.name,
@@ -55,20 +55,20 @@
     }
 
     /// Takes back a request for a slot.
-    pub(crate) fn withdraw(&mut self, cx: &mut Cx<'_>, id: TicketId) {
+    pub(crate) fn withdraw_slot_request(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.tickets.get(&id) else {
             return;
         };
         let home = ticket.home.clone();
-        if home == self.me {
-            let me = self.me.clone();
-            return self.take_withdraw(cx, &me, id);
+        if home == self.local {
+            let local = self.local.clone();
+            return self.handle_withdraw(cx, &local, id);
         }
         self.send(cx, &home, Frame::Withdraw(id));
     }
 
     /// Gives a slot back.
-    pub(crate) fn settle(&mut self, cx: &mut Cx<'_>, id: TicketId, outcome: Outcome, took: Duration) {
+    pub(crate) fn release_slot(&mut self, cx: &mut Context<'_>, id: TicketId, outcome: Outcome, took: Duration) {
         let Some(ticket) = self.tickets.get(&id) else {
             return;
         };
@@ -79,15 +79,15 @@
             outcome,
             took,
         };
-        if home == self.me {
-            let me = self.me.clone();
-            return self.take_settle(cx, &me, &settle);
+        if home == self.local {
+            let local = self.local.clone();
+            return self.handle_settle(cx, &local, &settle);
         }
         self.send(cx, &home, Frame::Settle(settle));
     }
 
     /// Tells the present home of a slot that is in use already.
-    pub(crate) fn tell_hold(&mut self, cx: &mut Cx<'_>, id: TicketId) {
+    pub(crate) fn report_held_slot(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.tickets.get(&id) else {
             return;
         };
@@ -101,20 +101,20 @@
             upstream: upstream.clone(),
             remaining: Millis::from(cx.now.until(ticket.deadline)),
         };
-        if home == self.me {
-            let me = self.me.clone();
-            return self.take_hold(cx, &me, hold);
+        if home == self.local {
+            let local = self.local.clone();
+            return self.handle_hold(cx, &local, hold);
         }
         self.send(cx, &home, Frame::Hold(hold));
     }
 
-    pub(crate) fn take_grant(&mut self, cx: &mut Cx<'_>, peer: &Peer, grant: &Grant) {
+    pub(crate) fn handle_grant(&mut self, cx: &mut Context<'_>, peer: &Peer, grant: &Grant) {
         let wanted = self
             .tickets
             .get(&grant.ticket)
             .is_some_and(|ticket| &ticket.home == peer && ticket.is_waiting());
         if wanted {
-            return self.use_slot(cx, grant.ticket, &grant.upstream);
+            return self.call_upstream(cx, grant.ticket, &grant.upstream);
         }
         let in_use = self
             .tickets
@@ -125,19 +125,19 @@
         }
         // The request has ended or asks another home by now.
         let frame = Frame::Withdraw(grant.ticket);
-        if peer == &self.me {
-            return self.take_withdraw(cx, peer, grant.ticket);
+        if peer == &self.local {
+            return self.handle_withdraw(cx, peer, grant.ticket);
         }
         self.send(cx, peer, frame);
     }
 
-    pub(crate) fn take_deny(&mut self, cx: &mut Cx<'_>, peer: &Peer, deny: &Deny) {
+    pub(crate) fn handle_deny(&mut self, cx: &mut Context<'_>, peer: &Peer, deny: &Deny) {
         let wanted = self
             .tickets
             .get(&deny.ticket)
             .is_some_and(|ticket| &ticket.home == peer && ticket.is_waiting());
         if wanted {
-            self.refuse(cx, deny.ticket, deny.reason, deny.retry_after);
+            self.refuse_request(cx, deny.ticket, deny.reason, deny.retry_after);
         }
     }
 }
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -19,7 +19,7 @@
 use wire::Verdict;
 
 use crate::Node;
-use crate::stop::Stop;
+use crate::stop::StopState;
 
 /// What a node counts over its life.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 }
 
 impl Counters {
-    pub fn refuse(&mut self, verdict: Verdict, reason: Reason) {
+    pub fn count_refusal(&mut self, verdict: Verdict, reason: Reason) {
         *self.refused.entry((verdict, reason)).or_default() += 1;
     }
 }
@@ -171,10 +171,12 @@
     /// How far this node is in its life.
     pub fn stage(&self, now: Time) -> Stage {
         match self.stop {
-            Stop::Serving if self.documents.current().is_none() || !self.is_settled(now) => Stage::Starting,
-            Stop::Serving => Stage::Serving,
-            Stop::Announced(_) | Stop::HandedOver(_) => Stage::Draining,
-            Stop::Ended(_) => Stage::Stopped,
+            StopState::Serving if self.documents.current().is_none() || !self.is_discovery_complete(now) => {
+                Stage::Starting
+            }
+            StopState::Serving => Stage::Serving,
+            StopState::Announced(_) | StopState::HandedOver(_) => Stage::Draining,
+            StopState::Ended(_) => Stage::Stopped,
         }
     }
 
@@ -182,11 +184,11 @@
     pub fn status(&self, now: Time) -> Status {
         let document = self.documents.current();
         Status {
-            name: self.me.name.clone(),
-            incarnation: self.me.incarnation,
+            name: self.local.name.clone(),
+            incarnation: self.local.incarnation,
             zone: self.zone.clone(),
             stage: self.stage(now),
-            platform: self.platform,
+            platform: self.platform_reachable,
             watching: self.watching,
             revision: self.documents.revision(),
             digest: document.map(|document| document.digest.to_string()),
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -27,22 +27,22 @@
 use crate::Peer;
 use crate::Record;
 use crate::State;
-use crate::fleet::Place;
-use crate::node::Cx;
-use crate::pack::body_of;
-use crate::pack::pack;
-use crate::pack::split;
+use crate::handover::handover_body;
+use crate::handover::pack_ledger;
+use crate::handover::split_into_parts;
+use crate::node::Context;
+use crate::peers::OwnerLocation;
 
 /// How long the others get to hear of the stop before the ledgers move.
-const NOTICE: Duration = Duration::from_millis(300);
+const ANNOUNCEMENT_PERIOD: Duration = Duration::from_millis(300);
 /// How long packets are passed on after the ledgers have moved.
-const LINGER: Duration = Duration::from_millis(700);
+const FORWARDING_PERIOD: Duration = Duration::from_millis(700);
 /// How long to wait for the successor's word before the ledgers are sent again.
-const SEND_AGAIN: Duration = Duration::from_millis(500);
+const HANDOVER_RETRY: Duration = Duration::from_millis(500);
 
 /// How far a planned stop has come.
 #[derive(Debug, Clone)]
-pub(crate) enum Stop {
+pub(crate) enum StopState {
     /// None has begun.
     Serving,
     /// The others are told.
@@ -73,7 +73,7 @@
     resolved: Vec<Resolved>,
 }
 
-impl Stop {
+impl StopState {
     pub(crate) fn has_begun(&self) -> bool {
         !matches!(self, Self::Serving)
     }
@@ -98,40 +98,42 @@
 }
 
 impl Node {
-    pub(crate) fn begin_stop(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn begin_stop(&mut self, cx: &mut Context<'_>) {
         if self.stop.has_begun() {
             return;
         }
         cx.record(Record::Stopping);
-        let handover_at = cx.now + NOTICE.min(self.stop_within / 4);
+        let handover_at = cx.now + ANNOUNCEMENT_PERIOD.min(self.stop_within / 4);
         let end_by = cx.now + self.stop_within;
-        self.stop = Stop::Announced(Announced { handover_at, end_by });
+        self.stop = StopState::Announced(Announced { handover_at, end_by });
         let mut outputs = Vec::new();
         self.membership.leave(cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
-        self.rehome(cx);
+        self.apply_membership_outputs(cx, outputs);
+        self.recompute_homes(cx);
     }
 
-    pub(crate) fn tick_stop(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn tick_stop(&mut self, cx: &mut Context<'_>) {
         match &self.stop {
-            Stop::Serving | Stop::Ended(_) => {}
-            Stop::Announced(state) => {
+            StopState::Serving | StopState::Ended(_) => {}
+            StopState::Announced(state) => {
                 let end_by = state.end_by;
                 if cx.now >= end_by {
-                    return self.end_stop(cx);
+                    return self.finish_stop(cx);
                 }
                 if cx.now >= state.handover_at {
                     self.choose_successor(cx, end_by, BTreeSet::new());
                 }
             }
-            Stop::HandedOver(state) => {
-                let lingered = state.acknowledged.is_some_and(|at| cx.now.since(at) >= LINGER);
-                let lost = self.locate_successor_lost(&state.successor);
+            StopState::HandedOver(state) => {
+                let lingered = state
+                    .acknowledged
+                    .is_some_and(|at| cx.now.since(at) >= FORWARDING_PERIOD);
+                let lost = self.is_successor_gone(&state.successor);
                 let idle = self.tickets.is_empty();
                 if cx.now >= state.end_by || (idle && (lingered || lost)) {
-                    return self.end_stop(cx);
+                    return self.finish_stop(cx);
                 }
-                let silent = state.acknowledged.is_none() && cx.now.since(state.sent_at) >= SEND_AGAIN;
+                let silent = state.acknowledged.is_none() && cx.now.since(state.sent_at) >= HANDOVER_RETRY;
                 if silent {
                     self.send_ledgers(cx);
                 }
@@ -139,12 +141,12 @@
         }
     }
 
-    fn locate_successor_lost(&self, successor: &Peer) -> bool {
+    fn is_successor_gone(&self, successor: &Peer) -> bool {
         let standing = self.membership.standing(&successor.name, successor.incarnation);
         matches!(standing, membership::Standing::Gone)
     }
 
-    fn choose_successor(&mut self, cx: &mut Cx<'_>, end_by: Time, refused_by: BTreeSet<Peer>) {
+    fn choose_successor(&mut self, cx: &mut Context<'_>, end_by: Time, refused_by: BTreeSet<Peer>) {
         let candidate = self.membership.successor_candidate();
         let peer = candidate.map(|member| Peer {
             name: member.name.clone(),
@@ -154,16 +156,16 @@
         let Some(successor) = chosen else {
             // Nobody can take the ledgers. The node goes on as owner until it is idle.
             if self.tickets.is_empty() && refused_by.is_empty() {
-                self.end_stop(cx);
+                self.finish_stop(cx);
             }
             return;
         };
         // What has ended since the ledgers were packed is not in them, and goes along to the next successor.
-        let (flows, resolved) = match std::mem::replace(&mut self.stop, Stop::Serving) {
-            Stop::HandedOver(state) => (state.flows, state.resolved),
+        let (flows, resolved) = match std::mem::replace(&mut self.stop, StopState::Serving) {
+            StopState::HandedOver(state) => (state.flows, state.resolved),
             _ => (self.pack_ledgers(cx), Vec::new()),
         };
-        self.stop = Stop::HandedOver(HandedOver {
+        self.stop = StopState::HandedOver(HandedOver {
             successor,
             refused_by,
             flows,
@@ -176,7 +178,7 @@
     }
 
     /// Takes the ledgers out, with the requests that still wait.
-    fn pack_ledgers(&mut self, cx: &mut Cx<'_>) -> Vec<HandoverFlow> {
+    fn pack_ledgers(&mut self, cx: &mut Context<'_>) -> Vec<HandoverFlow> {
         let waiting: Vec<TicketId> = self
             .tickets
             .iter()
@@ -185,29 +187,29 @@
             .collect();
         let mut bodies = BTreeMap::new();
         for id in waiting {
-            self.withdraw(cx, id);
+            self.withdraw_slot_request(cx, id);
             if let Some(ticket) = self.remove_ticket(id) {
-                bodies.insert(id, body_of(ticket, cx.now));
+                bodies.insert(id, handover_body(ticket, cx.now));
             }
         }
-        let me = self.me.incarnation;
+        let local = self.local.incarnation;
         let mut flows = Vec::new();
-        for (key, ledger) in self.ledgers.take() {
-            flows.extend(pack(key, ledger, &mut bodies, me));
+        for (key, ledger) in self.ledgers.drain() {
+            flows.extend(pack_ledger(key, ledger, &mut bodies, local));
         }
         flows
     }
 
-    fn send_ledgers(&mut self, cx: &mut Cx<'_>) {
-        self.forget_inherited(cx.now);
-        let Stop::HandedOver(state) = &mut self.stop else {
+    fn send_ledgers(&mut self, cx: &mut Context<'_>) {
+        self.expire_inherited(cx.now);
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
         state.sent_at = cx.now;
         let peer = state.successor.clone();
-        let successor = record_of(&self.me, &peer);
+        let successor = successor_record(&self.local, &peer);
         let inherited: Vec<Life> = self.inherited.keys().cloned().collect();
-        let chunks = split(&state.flows);
+        let chunks = split_into_parts(&state.flows);
         let parts = chunks.len() as u32;
         let mut frames = Vec::new();
         for (part, flows) in chunks.into_iter().enumerate() {
@@ -225,23 +227,23 @@
     }
 
     /// The session with an instance broke. Parts of the ledgers may be lost.
-    pub(crate) fn repeat_handover(&mut self, cx: &mut Cx<'_>, name: &InstanceName) {
-        let Stop::HandedOver(state) = &self.stop else {
+    pub(crate) fn resend_handover(&mut self, cx: &mut Context<'_>, name: &InstanceName) {
+        let StopState::HandedOver(state) = &self.stop else {
             return;
         };
         // A session that can't be made at once must not be tried at once again and again.
-        let due = cx.now.since(state.sent_at) >= SEND_AGAIN / 2;
+        let due = cx.now.since(state.sent_at) >= HANDOVER_RETRY / 2;
         if &state.successor.name == name && state.acknowledged.is_none() && due {
             self.send_ledgers(cx);
         }
     }
 
     /// The successor has taken over.
-    pub(crate) fn end_handover(&mut self, cx: &mut Cx<'_>, peer: &Peer, incarnation: Incarnation) {
-        let Stop::HandedOver(state) = &mut self.stop else {
+    pub(crate) fn handle_handover_done(&mut self, cx: &mut Context<'_>, peer: &Peer, incarnation: Incarnation) {
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
-        if peer != &state.successor || incarnation != self.me.incarnation || state.acknowledged.is_some() {
+        if peer != &state.successor || incarnation != self.local.incarnation || state.acknowledged.is_some() {
             return;
         }
         state.acknowledged = Some(cx.now);
@@ -250,19 +252,19 @@
         for one in resolved {
             self.send(cx, peer, Frame::Resolved(one));
         }
-        let record = record_of(&self.me, peer);
+        let record = successor_record(&self.local, peer);
         cx.record(Record::HandedOver(record.from.clone(), record.to.clone()));
         let mut outputs = Vec::new();
         self.membership.add_successor(record, cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
     }
 
     /// The chosen successor stops too, and has taken over nothing.
-    pub(crate) fn refuse_handover(&mut self, cx: &mut Cx<'_>, peer: &Peer, incarnation: Incarnation) {
-        let Stop::HandedOver(state) = &mut self.stop else {
+    pub(crate) fn handle_handover_refused(&mut self, cx: &mut Context<'_>, peer: &Peer, incarnation: Incarnation) {
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
-        if peer != &state.successor || incarnation != self.me.incarnation || state.acknowledged.is_some() {
+        if peer != &state.successor || incarnation != self.local.incarnation || state.acknowledged.is_some() {
             return;
         }
         let mut refused_by = std::mem::take(&mut state.refused_by);
@@ -272,40 +274,40 @@
     }
 
     /// Tells the successor how a request ended that was in progress here.
-    pub(crate) fn resolve(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, state: &State) {
+    pub(crate) fn send_final_state(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: &State) {
         let entry = match state {
             State::Answered(answer) => Entry::Answered((**answer).clone()),
             State::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
             State::Forgotten | State::Running(_) | State::Elsewhere(_) => Entry::Forgotten,
         };
-        self.tell_end(cx, key, seq, entry);
+        self.send_request_end(cx, key, seq, entry);
     }
 
     /// Gives the successor a request that was in progress here but has not run to an end.
-    pub(crate) fn pass_on(&mut self, cx: &mut Cx<'_>, id: TicketId) {
+    pub(crate) fn hand_over_request(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
-        let entry = Entry::Queued(body_of(ticket, cx.now));
-        self.tell_end(cx, key, seq, entry);
+        let entry = Entry::Queued(handover_body(ticket, cx.now));
+        self.send_request_end(cx, key, seq, entry);
     }
 
-    fn tell_end(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, entry: Entry) {
+    fn send_request_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, entry: Entry) {
         let resolved = Resolved {
-            at: self.me.incarnation,
+            at: self.local.incarnation,
             owner: key.owner,
             flow: key.flow,
             seq,
             entry,
         };
-        self.tell_resolved(cx, resolved);
+        self.send_resolved(cx, resolved);
     }
 
     /// Sends the end of a request to whoever holds its ledger by now.
-    pub(crate) fn tell_resolved(&mut self, cx: &mut Cx<'_>, resolved: Resolved) {
-        let Stop::HandedOver(state) = &mut self.stop else {
+    pub(crate) fn send_resolved(&mut self, cx: &mut Context<'_>, resolved: Resolved) {
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
         if state.acknowledged.is_none() {
@@ -313,25 +315,25 @@
             return;
         }
         let successor = state.successor.clone();
-        if let Place::There(peer, _) = self.locate_successor(&successor) {
+        if let OwnerLocation::Remote(peer, _) = self.locate_successor(&successor) {
             self.send(cx, &peer, Frame::Resolved(resolved));
         }
     }
 
-    fn end_stop(&mut self, cx: &mut Cx<'_>) {
+    fn finish_stop(&mut self, cx: &mut Context<'_>) {
         let left: Vec<TicketId> = self.tickets.keys().copied().collect();
         let count = left.len() as u32;
         for id in left {
-            self.give_up(cx, id, Reason::Deadline);
+            self.abort_request(cx, id, Reason::Deadline);
         }
-        self.stop = Stop::Ended(self.stop.successor().cloned());
+        self.stop = StopState::Ended(self.stop.successor().cloned());
         cx.record(Record::Stopped(count));
         cx.push(Action::Stopped);
     }
 }
 
 /// The record that the ledgers of one incarnation are at another.
-fn record_of(from: &Peer, to: &Peer) -> Successor {
+fn successor_record(from: &Peer, to: &Peer) -> Successor {
     Successor {
         from: from.name.clone(),
         from_incarnation: from.incarnation,
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -23,19 +23,19 @@
 use crate::Node;
 use crate::Peer;
 use crate::State;
-use crate::node::Cx;
-use crate::node::keep_flows;
+use crate::node::Context;
+use crate::node::ledger_retention;
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
 /// The parts of a hand-over that have arrived so far.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Incoming {
+pub(crate) struct PartialHandover {
     parts: BTreeMap<u32, Vec<HandoverFlow>>,
 }
 
 /// A request that was handed over while it waited.
-struct Queued {
+struct QueuedRequest {
     key: FlowKey,
     seq: RequestSeq,
     body: Body,
@@ -43,9 +43,10 @@
 
 impl Node {
     /// Takes a part of another instance's ledgers.
-    pub(crate) fn take_handover(&mut self, cx: &mut Cx<'_>, peer: &Peer, handover: Handover) {
+    pub(crate) fn handle_handover(&mut self, cx: &mut Context<'_>, peer: &Peer, handover: Handover) {
         let from = handover.successor.from_incarnation;
-        let for_me = handover.successor.to == self.me.name && handover.successor.to_incarnation == self.me.incarnation;
+        let for_me =
+            handover.successor.to == self.local.name && handover.successor.to_incarnation == self.local.incarnation;
         if !for_me || from != peer.incarnation || handover.successor.from != peer.name {
             return;
         }
@@ -54,29 +55,29 @@
             return self.send(cx, peer, Frame::HandoverDone(from));
         }
         if self.stop.has_begun() {
-            self.incoming.remove(&from);
+            self.partial_handovers.remove(&from);
             return self.send(cx, peer, Frame::HandoverRefused(from));
         }
-        let incoming = self.incoming.entry(from).or_default();
-        incoming.parts.insert(handover.part, handover.flows);
-        if incoming.parts.len() < handover.parts as usize {
+        let partial_handovers = self.partial_handovers.entry(from).or_default();
+        partial_handovers.parts.insert(handover.part, handover.flows);
+        if partial_handovers.parts.len() < handover.parts as usize {
             return;
         }
-        let parts = std::mem::take(&mut incoming.parts);
-        self.incoming.remove(&from);
+        let parts = std::mem::take(&mut partial_handovers.parts);
+        self.partial_handovers.remove(&from);
         let flows = parts.into_values().flatten().collect();
-        self.take_over(cx, peer, handover.successor, &handover.inherited, flows);
+        self.install_handover(cx, peer, handover.successor, &handover.inherited, flows);
     }
 
-    fn take_over(
+    fn install_handover(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         peer: &Peer,
         record: Successor,
         inherited: &[Life],
         flows: Vec<HandoverFlow>,
     ) {
-        self.forget_inherited(cx.now);
+        self.expire_inherited(cx.now);
         let from = Life {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
@@ -92,7 +93,7 @@
                 owner: flow.owner,
                 flow: flow.flow,
             };
-            let piece = unpack(key, flow, record.from_incarnation, &mut queued);
+            let piece = unpack_ledger(key, flow, record.from_incarnation, &mut queued);
             match ledgers.get_mut(&key) {
                 Some(ledger) => ledger.lines.extend(piece.lines),
                 None => drop(ledgers.insert(key, piece)),
@@ -104,23 +105,23 @@
         self.send(cx, peer, Frame::HandoverDone(record.from_incarnation));
         let mut outputs = Vec::new();
         self.membership.add_successor(record, cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
         for one in queued {
-            self.resume(cx, one);
+            self.resume_request(cx, one);
         }
     }
 
     /// Drops incarnations that were inherited so long ago that every token which names them has expired.
     ///
     /// Otherwise each hand-over would pass on all that ever stopped before.
-    pub(crate) fn forget_inherited(&mut self, now: Time) {
-        let keep = keep_flows(&self.keyring);
+    pub(crate) fn expire_inherited(&mut self, now: Time) {
+        let keep = ledger_retention(&self.keyring);
         self.inherited.retain(|_, since| now.since(*since) < keep);
     }
 
     /// Lets a request begin here that another instance had let wait.
-    fn resume(&mut self, cx: &mut Cx<'_>, queued: Queued) {
-        let Queued { key, seq, body } = queued;
+    fn resume_request(&mut self, cx: &mut Context<'_>, queued: QueuedRequest) {
+        let QueuedRequest { key, seq, body } = queued;
         let id = self.next_ticket();
         if !self.ledgers.resume(key, seq, id) {
             return;
@@ -147,7 +148,7 @@
             deadline,
             avoid: body.avoid,
             in_doubt: body.in_doubt,
-            home: self.me.clone(),
+            home: self.local.clone(),
             phase: Phase::Waiting(cx.now),
             request: body.request,
         };
@@ -155,7 +156,7 @@
     }
 
     /// Takes the end of a request that was in progress at the instance that handed it over.
-    pub(crate) fn take_resolved(&mut self, cx: &mut Cx<'_>, resolved: Resolved) {
+    pub(crate) fn handle_resolved(&mut self, cx: &mut Context<'_>, resolved: Resolved) {
         let key = FlowKey {
             owner: resolved.owner,
             flow: resolved.flow,
@@ -163,14 +164,14 @@
         let seq = resolved.seq;
         if self.stop.has_handed_over() {
             // The ledger has moved on meanwhile, and whoever holds it waits for this word.
-            return self.tell_resolved(cx, resolved);
+            return self.send_resolved(cx, resolved);
         }
         let running_there = self.ledgers.elsewhere_at(key, seq) == Some(resolved.at);
         if !running_there {
             return;
         }
         let state = match resolved.entry {
-            Entry::Queued(body) => return self.resume(cx, Queued { key, seq, body }),
+            Entry::Queued(body) => return self.resume_request(cx, QueuedRequest { key, seq, body }),
             Entry::Answered(answer) => State::Answered(Box::new(answer)),
             Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
             Entry::Forgotten | Entry::Running(_) => State::Forgotten,
@@ -179,12 +180,12 @@
     }
 }
 
-fn unpack(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<Queued>) -> Ledger {
+fn unpack_ledger(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<QueuedRequest>) -> Ledger {
     let mut lines = ThinVec::new();
     for (seq, entry) in flow.entries {
         let state = match entry {
             Entry::Queued(body) => {
-                queued.push(Queued { key, seq, body });
+                queued.push(QueuedRequest { key, seq, body });
                 State::Elsewhere(from)
             }
             Entry::Running(incarnation) => State::Elsewhere(incarnation),
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -167,7 +167,7 @@
     let mut old = ledgers();
     check(&mut old, 1, START, "new");
     old.begin(KEY, RequestSeq(1), TicketId(1));
-    let (key, mut ledger) = old.take().remove(0);
+    let (key, mut ledger) = old.drain().remove(0);
     ledger.lines[0].state = State::Elsewhere(Incarnation(1));
     let mut ledgers = ledgers();
     ledgers.install(key, ledger, START);
