--- a/crates/jayquayd/src/daemon.rs
+++ b/crates/jayquayd/src/daemon.rs
@@ -10,7 +10,7 @@
 use node::Event;
 use node::Listed;
 use node::Node;
-use node::Setup;
+use node::NodeConfig;
 use platform::Client;
 use token::Keyring;
 use tokio::net::TcpListener;
@@ -283,9 +283,9 @@
     }
 }
 
-fn setup(settings: &Settings, own: &Identity) -> Setup {
+fn setup(settings: &Settings, own: &Identity) -> NodeConfig {
     let secrets = &settings.secrets;
-    Setup {
+    NodeConfig {
         name: own.name.clone(),
         incarnation: own.incarnation,
         zone: own.zone.clone(),
--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -102,7 +102,7 @@
     pub async fn run(mut self) -> End {
         let mut inputs = Vec::with_capacity(BATCH_LEN);
         let mut datagrams = Vec::with_capacity(BATCH_LEN);
-        let mut ticker = tokio::time::interval(node::TICK);
+        let mut ticker = tokio::time::interval(node::MAX_TICK_INTERVAL);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut report = tokio::time::interval(gauges::EVERY);
         report.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -150,7 +150,7 @@
     fn batch(&mut self, inputs: &mut Vec<Input>, datagrams: &mut Vec<Datagram>) {
         let began = Instant::now();
         for name in std::mem::take(&mut self.lost) {
-            self.step(Event::Lost(name));
+            self.step(Event::SessionLost(name));
         }
         for input in inputs.drain(..) {
             self.input(input);
@@ -163,7 +163,7 @@
 
     fn input(&mut self, input: Input) {
         match input {
-            Input::Event(Event::Called(id, _)) if !self.parts.upstreams.ended(id) => {}
+            Input::Event(Event::CallEnded(id, _)) if !self.parts.upstreams.ended(id) => {}
             Input::Event(Event::Stop) => self.stop(),
             Input::Event(event) => self.step(event),
             Input::Frame(arrival) => self.frame(arrival),
@@ -187,7 +187,7 @@
 
     fn session(&mut self, change: Change) {
         if let Some(name) = self.parts.sessions.change(change) {
-            self.step(Event::Lost(name));
+            self.step(Event::SessionLost(name));
         }
     }
 
--- a/crates/jayquayd/src/feed.rs
+++ b/crates/jayquayd/src/feed.rs
@@ -139,7 +139,7 @@
                 all_read = Some(now);
             }
             if result == Ok(true) {
-                self.intake.event(Event::List(list.entries().to_vec())).await?;
+                self.intake.event(Event::InstanceList(list.entries().to_vec())).await?;
             }
             self.wait_or_change(pause).await?;
         }
@@ -151,7 +151,7 @@
             return Ok(());
         }
         loop {
-            self.intake.event(Event::List(peers.clone())).await?;
+            self.intake.event(Event::InstanceList(peers.clone())).await?;
             tokio::time::sleep(jittered(PEERS_EVERY)).await;
         }
     }
@@ -210,7 +210,7 @@
         let is_newer = document.revision > *held;
         *held = document.revision.max(*held);
         self.intake
-            .event(Event::Loaded(document.revision, document.text))
+            .event(Event::DocumentLoaded(document.revision, document.text))
             .await?;
         Ok(is_newer)
     }
@@ -225,7 +225,7 @@
         let answers = answers(result);
         metric::platform_calls(if answers { "ok" } else { "failed" }).increment(1);
         metric::platform_up().set(if answers { 1.0 } else { 0.0 });
-        self.intake.event(Event::Platform(answers)).await?;
+        self.intake.event(Event::PlatformReachable(answers)).await?;
         if result.is_ok() {
             backoff.failures = 0;
             return Ok(jittered(every));
--- a/crates/jayquayd/src/gauges.rs
+++ b/crates/jayquayd/src/gauges.rs
@@ -4,7 +4,7 @@
 
 use node::RefusedCount;
 use node::Status;
-use node::UpstreamLine;
+use node::UpstreamStatus;
 use units::Time;
 use wire::Reason;
 
@@ -72,7 +72,7 @@
         metric::members(label).set(count as f64);
     }
     for state in UPSTREAM_STATES {
-        let of_state = |line: &&UpstreamLine| line.state.as_str() == state;
+        let of_state = |line: &&UpstreamStatus| line.state.as_str() == state;
         metric::upstreams(state).set(status.upstreams.iter().filter(of_state).count() as f64);
     }
 }
--- a/crates/jayquayd/src/poll.rs
+++ b/crates/jayquayd/src/poll.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use node::PollError;
-use node::Report;
+use node::UpstreamReport;
 use reqwest::Client;
 use reqwest::Response;
 use reqwest::StatusCode;
@@ -47,11 +47,11 @@
 }
 
 /// Asks the upstream at `address`.
-pub(crate) async fn report(client: &Client, address: SocketAddr) -> Result<Report, PollError> {
+pub(crate) async fn report(client: &Client, address: SocketAddr) -> Result<UpstreamReport, PollError> {
     let health = get::<Health>(client, address, "health");
     let load = get::<Load>(client, address, "load");
     let (health, load) = tokio::try_join!(health, load)?;
-    Ok(Report {
+    Ok(UpstreamReport {
         incarnation: health.incarnation,
         healthy: health.healthy,
         draining: health.draining,
--- a/crates/jayquayd/src/upstreams.rs
+++ b/crates/jayquayd/src/upstreams.rs
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Begins a call. Its result comes as [`Event::Called`].
+    /// Begins a call. Its result comes as [`Event::CallEnded`].
     pub fn call(&mut self, call: Call) {
         self.reap();
         let id = call.id;
@@ -90,7 +90,7 @@
         let task = self.tasks.spawn(async move {
             let result = caller.call(&call).await;
             // The engine is gone when this fails, and the result with it.
-            let _closed = intake.event(Event::Called(id, result)).await;
+            let _closed = intake.event(Event::CallEnded(id, result)).await;
         });
         self.running.insert(id, task);
         metric::calls_running().set(self.running.len() as f64);
@@ -113,7 +113,7 @@
         wanted
     }
 
-    /// Asks for an upstream's health and load. The answer comes as [`Event::Polled`].
+    /// Asks for an upstream's health and load. The answer comes as [`Event::PollEnded`].
     pub fn poll(&mut self, name: UpstreamName, address: SocketAddr) {
         self.reap();
         let client = self.polls.clone();
@@ -121,7 +121,7 @@
         self.tasks.spawn(async move {
             let report = poll::report(&client, address).await;
             metric::polls(if report.is_ok() { "ok" } else { "failed" }).increment(1);
-            let _closed = intake.event(Event::Polled(name, report)).await;
+            let _closed = intake.event(Event::PollEnded(name, report)).await;
         });
     }
 
--- a/crates/jayquayd/tests/feed.rs
+++ b/crates/jayquayd/tests/feed.rs
@@ -32,7 +32,7 @@
 async fn answered(queues: &mut Queues) -> bool {
     loop {
         let input = queues.control.recv().await.expect("the feed runs");
-        if let Input::Event(Event::Platform(answers)) = input {
+        if let Input::Event(Event::PlatformReachable(answers)) = input {
             return answers;
         }
     }
@@ -98,7 +98,7 @@
     let found = vec![other];
     loop {
         let input = queues.control.recv().await.expect("the feed runs");
-        if matches!(&input, Input::Event(Event::List(list)) if *list == found) {
+        if matches!(&input, Input::Event(Event::InstanceList(list)) if *list == found) {
             break;
         }
     }
--- a/crates/jayquayd/tests/upstreams.rs
+++ b/crates/jayquayd/tests/upstreams.rs
@@ -207,7 +207,7 @@
     let (intake, mut queues) = Intake::new();
     let mut upstreams = Upstreams::new("entry-1".parse().unwrap(), Incarnation(9), intake).unwrap();
     upstreams.poll("north-1".parse().unwrap(), address);
-    let Some(Input::Event(Event::Polled(_, Ok(report)))) = queues.control.recv().await else {
+    let Some(Input::Event(Event::PollEnded(_, Ok(report)))) = queues.control.recv().await else {
         panic!("no report came");
     };
     let seen = (
--- a/crates/model/src/ledger.rs
+++ b/crates/model/src/ledger.rs
@@ -46,7 +46,7 @@
 impl Book {
     /// What is written, in a form that has an order. An answer's text follows from its request's number.
     fn lines(&self) -> impl Iterator<Item = (u64, u8, u64)> {
-        let lines = self.0.lines.iter();
+        let lines = self.0.entries.iter();
         lines.map(|line| {
             let (code, at) = code(&line.state);
             (line.seq.0, code, at)
@@ -89,9 +89,9 @@
 
     pub(crate) fn end(&mut self, number: u8, word: Word) {
         let state = match word {
-            Word::Answer => node::State::Answered(Box::new(Answer::new(vec![number]))),
-            Word::NotRun => node::State::Refused(Verdict::NotRun, Reason::Deadline),
-            Word::MayHaveRun => node::State::Refused(Verdict::MayHaveRun, Reason::Deadline),
+            Word::Answer => node::RequestState::Answered(Box::new(Answer::new(vec![number]))),
+            Word::NotRun => node::RequestState::Refused(Verdict::NotRun, Reason::Deadline),
+            Word::MayHaveRun => node::RequestState::Refused(Verdict::MayHaveRun, Reason::Deadline),
         };
         let mut ledgers = self.ledgers();
         ledgers.end(KEY, seq(number), state, NOW);
@@ -108,22 +108,22 @@
 
     /// The instance at which a request is in progress, if the ledger says that it is another one.
     pub(crate) fn elsewhere_at(&self, number: u8) -> Option<u8> {
-        let at = self.ledgers().elsewhere_at(KEY, seq(number));
+        let at = self.ledgers().running_elsewhere_at(KEY, seq(number));
         at.map(|incarnation| incarnation.0 as u8)
     }
 
     /// The requests that are in progress at an instance.
     pub(crate) fn elsewhere(&self, at: u8) -> Vec<u8> {
-        let found = self.ledgers().elsewhere(Incarnation(at.into()));
+        let found = self.ledgers().requests_running_at(Incarnation(at.into()));
         found.into_iter().map(|(_, seq)| seq.0 as u8).collect()
     }
 
     /// The ledger as it is handed over: what is in progress here is in progress at `from`.
     pub(crate) fn handed_over(&self, from: u8) -> Self {
         let mut ledger = self.0.clone();
-        for line in &mut ledger.lines {
-            if matches!(line.state, node::State::Running(_)) {
-                line.state = node::State::Elsewhere(Incarnation(from.into()));
+        for line in &mut ledger.entries {
+            if matches!(line.state, node::RequestState::Running(_)) {
+                line.state = node::RequestState::RunningElsewhere(Incarnation(from.into()));
             }
         }
         Self(ledger)
@@ -151,23 +151,23 @@
     RequestSeq(number.into())
 }
 
-fn found(state: &node::State) -> Found {
+fn found(state: &node::RequestState) -> Found {
     match state {
-        node::State::Running(_) | node::State::Elsewhere(_) => Found::InProgress,
-        node::State::Answered(_) => Found::Ended(Word::Answer),
-        node::State::Forgotten => Found::Ended(Word::MayHaveRun),
-        node::State::Refused(verdict, _) => Found::Ended((*verdict).into()),
+        node::RequestState::Running(_) | node::RequestState::RunningElsewhere(_) => Found::InProgress,
+        node::RequestState::Answered(_) => Found::Ended(Word::Answer),
+        node::RequestState::AnswerDiscarded => Found::Ended(Word::MayHaveRun),
+        node::RequestState::Refused(verdict, _) => Found::Ended((*verdict).into()),
     }
 }
 
-fn code(state: &node::State) -> (u8, u64) {
+fn code(state: &node::RequestState) -> (u8, u64) {
     match state {
-        node::State::Running(ticket) => (0, ticket.0),
-        node::State::Elsewhere(incarnation) => (1, incarnation.0),
-        node::State::Answered(_) => (2, 0),
-        node::State::Forgotten => (3, 0),
-        node::State::Refused(Verdict::NotRun, _) => (4, 0),
-        node::State::Refused(Verdict::MayHaveRun, _) => (5, 0),
+        node::RequestState::Running(ticket) => (0, ticket.0),
+        node::RequestState::RunningElsewhere(incarnation) => (1, incarnation.0),
+        node::RequestState::Answered(_) => (2, 0),
+        node::RequestState::AnswerDiscarded => (3, 0),
+        node::RequestState::Refused(Verdict::NotRun, _) => (4, 0),
+        node::RequestState::Refused(Verdict::MayHaveRun, _) => (5, 0),
     }
 }
 
@@ -175,7 +175,7 @@
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         (self.0.floor, self.0.sent).hash(hasher);
         self.lines().for_each(|line| line.hash(hasher));
-        self.0.lines.len().hash(hasher);
+        self.0.entries.len().hash(hasher);
     }
 }
 
--- a/crates/model/src/setup.rs
+++ b/crates/model/src/setup.rs
@@ -6,7 +6,7 @@
 use node::Limits;
 use node::Listed;
 use node::Node;
-use node::Setup;
+use node::NodeConfig;
 use serde_bytes::ByteBuf;
 use token::Keyring;
 use token::Secret;
@@ -61,7 +61,7 @@
 
 pub(crate) fn node(index: usize, incarnation: Incarnation, now: Time) -> Node {
     let secret: Secret = SECRET.parse().expect("the secret is long enough");
-    let setup = Setup {
+    let setup = NodeConfig {
         name: name(index),
         incarnation,
         zone: "brugge".parse().expect("a zone"),
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -118,8 +118,8 @@
     }
 
     fn introduce(&mut self, index: usize) {
-        self.event(index, Event::List(setup::list(&self.incarnations)));
-        self.event(index, Event::Loaded(Revision(1), setup::DOCUMENT.to_owned()));
+        self.event(index, Event::InstanceList(setup::list(&self.incarnations)));
+        self.event(index, Event::DocumentLoaded(Revision(1), setup::DOCUMENT.to_owned()));
     }
 
     /// Gives a node an event, and carries out what follows at once.
@@ -242,7 +242,7 @@
         call.shed = result == CallResult::Shed;
         let (by, incarnation, id) = (call.by, call.incarnation, call.id);
         if self.incarnations[by] == incarnation {
-            self.event(by, Event::Called(id, result));
+            self.event(by, Event::CallEnded(id, result));
         }
     }
 
--- a/crates/node/benches/packet.rs
+++ b/crates/node/benches/packet.rs
@@ -9,7 +9,7 @@
 use node::Event;
 use node::Limits;
 use node::Node;
-use node::Setup;
+use node::NodeConfig;
 use serde_bytes::ByteBuf;
 use token::Keyring;
 use units::Incarnation;
@@ -51,7 +51,7 @@
         let secret = "a secret of at least thirty-two characters"
             .parse()
             .expect("long enough");
-        let setup = Setup {
+        let setup = NodeConfig {
             name: "a".parse().expect("a name"),
             incarnation: Incarnation(1),
             zone: document.zones[0].name.clone(),
@@ -65,7 +65,7 @@
         let mut out = Vec::new();
         node.handle(
             now,
-            Event::Loaded(Revision(document.revision.0), DOCUMENT.to_owned()),
+            Event::DocumentLoaded(Revision(document.revision.0), DOCUMENT.to_owned()),
             &mut out,
         );
         Self {
@@ -120,7 +120,7 @@
         let actions = self.datagram(&packet);
         for action in actions {
             if let Action::Call(call) = action {
-                self.handle(Event::Called(call.id, CallResult::Answered(vec![1; 200])));
+                self.handle(Event::CallEnded(call.id, CallResult::Answered(vec![1; 200])));
             }
         }
     }
--- a/crates/node/examples/flow_state.rs
+++ b/crates/node/examples/flow_state.rs
@@ -10,7 +10,7 @@
 
 use node::FlowKey;
 use node::Ledgers;
-use node::State;
+use node::RequestState;
 use units::FlowId;
 use units::Incarnation;
 use units::RequestSeq;
@@ -39,7 +39,7 @@
         };
         ledgers.look_up(key, RequestSeq(0), RequestSeq(1), RequestSeq(1), start);
         ledgers.begin(key, RequestSeq(1), TicketId(flow));
-        ledgers.end(key, RequestSeq(1), State::Forgotten, start);
+        ledgers.end(key, RequestSeq(1), RequestState::AnswerDiscarded, start);
     }
     ledgers.expire(start + Duration::from_mins(1), u64::MAX);
     ledgers
--- a/crates/node/examples/scale.rs
+++ b/crates/node/examples/scale.rs
@@ -14,10 +14,10 @@
 
 use node::Event;
 use node::Limits;
+use node::MAX_TICK_INTERVAL;
 use node::Node;
+use node::NodeConfig;
 use node::Peer;
-use node::Setup;
-use node::TICK;
 use token::Keyring;
 use units::Incarnation;
 use units::Revision;
@@ -45,7 +45,7 @@
     let mut node = Node::new(setup(), now);
     let mut out = Vec::new();
 
-    let load = timed(|| node.handle(now, Event::Loaded(Revision(1), text), &mut out));
+    let load = timed(|| node.handle(now, Event::DocumentLoaded(Revision(1), text), &mut out));
     for index in 0..members {
         let peer = Peer {
             name: name(index),
@@ -63,7 +63,7 @@
     let ticks = 20;
     let all = timed(|| {
         for _ in 0..ticks {
-            now = now + TICK;
+            now = now + MAX_TICK_INTERVAL;
             node.handle(now, Event::Tick, &mut out);
             out.clear();
         }
@@ -84,11 +84,11 @@
     start.elapsed()
 }
 
-fn setup() -> Setup {
+fn setup() -> NodeConfig {
     let secret = "a secret of at least thirty-two characters"
         .parse()
         .expect("long enough");
-    Setup {
+    NodeConfig {
         name: "me".parse().expect("a name"),
         incarnation: Incarnation(1),
         zone: "zone-0".parse().expect("a name"),
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -36,18 +36,18 @@
     /// A frame came from another instance.
     Frame(Peer, Frame),
     /// The session with another instance ended or could not be made.
-    Lost(InstanceName),
+    SessionLost(InstanceName),
     /// A call to an upstream ended.
-    Called(CallId, CallResult),
+    CallEnded(CallId, CallResult),
     /// An upstream's health and load were asked for.
-    Polled(UpstreamName, Result<Report, PollError>),
+    PollEnded(UpstreamName, Result<UpstreamReport, PollError>),
     /// The platform's list of instances came.
-    List(Vec<Listed>),
+    InstanceList(Vec<Listed>),
     /// The platform gave its configuration document.
-    Loaded(Revision, String),
+    DocumentLoaded(Revision, String),
     /// The platform answered, or stopped answering.
-    Platform(bool),
-    /// Time has passed. This comes at least every [`crate::TICK`].
+    PlatformReachable(bool),
+    /// Time has passed. This comes at least every [`crate::MAX_TICK_INTERVAL`].
     Tick,
     /// A planned stop begins.
     Stop,
@@ -78,7 +78,7 @@
 
 /// What an upstream says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct UpstreamReport {
     /// The upstream's life.
     pub incarnation: Incarnation,
     /// Whether it says that it is fit to serve.
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -12,7 +12,7 @@
 
 use crate::FlowKey;
 use crate::Ledger;
-use crate::State;
+use crate::RequestState;
 use crate::ticket::Ticket;
 
 /// About how many bytes of ledgers go into one frame: few enough frames for a session's queue, even with long answers.
@@ -24,7 +24,7 @@
 /// About what an answer takes besides its body.
 const ANSWER_BYTES: usize = 64;
 /// About what any other entry takes.
-const LINE_BYTES: usize = 32;
+const OTHER_ENTRY_BYTES: usize = 32;
 
 /// A waiting request, as it is handed over.
 pub(crate) fn handover_body(ticket: Ticket, now: Time) -> Body {
@@ -56,13 +56,13 @@
     };
     let mut pieces = vec![empty.clone()];
     let mut size = 0;
-    for line in ledger.lines {
+    for line in ledger.entries {
         let entry = match line.state {
-            State::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(local), Entry::Queued),
-            State::Elsewhere(incarnation) => Entry::Running(incarnation),
-            State::Answered(answer) => Entry::Answered(*answer),
-            State::Forgotten => Entry::Forgotten,
-            State::Refused(verdict, reason) => Entry::Refused(verdict, reason),
+            RequestState::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(local), Entry::Queued),
+            RequestState::RunningElsewhere(incarnation) => Entry::Running(incarnation),
+            RequestState::Answered(answer) => Entry::Answered(*answer),
+            RequestState::AnswerDiscarded => Entry::Forgotten,
+            RequestState::Refused(verdict, reason) => Entry::Refused(verdict, reason),
         };
         size += size_of_entry(&entry);
         if size > PART_BYTES {
@@ -105,6 +105,6 @@
     match entry {
         Entry::Queued(body) => REQUEST_BYTES + body.request.body.len(),
         Entry::Answered(answer) => ANSWER_BYTES + answer.body.len(),
-        Entry::Running(_) | Entry::Forgotten | Entry::Refused(..) => LINE_BYTES,
+        Entry::Running(_) | Entry::Forgotten | Entry::Refused(..) => OTHER_ENTRY_BYTES,
     }
 }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -16,7 +16,7 @@
 use wire::Verdict;
 
 /// The most requests of one flow that a ledger tells apart. Older ones sink below the floor.
-const MAX_LINES: usize = 64;
+const MAX_ENTRIES: usize = 64;
 /// Names a flow everywhere: the incarnation in its token, and the flow's own number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
@@ -28,59 +28,63 @@
 
 /// How a request stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum State {
+pub enum RequestState {
     /// It waits for a slot or runs, under this ticket.
     Running(TicketId),
     /// It was in progress at this incarnation when that one handed it over.
-    Elsewhere(Incarnation),
+    RunningElsewhere(Incarnation),
     /// It ran, and this is its answer.
     Answered(Box<Answer>),
     /// It ran, and its answer is no longer held.
-    Forgotten,
+    AnswerDiscarded,
     /// It was refused for good.
     Refused(Verdict, Reason),
 }
 
-impl State {
+impl RequestState {
     pub(crate) fn is_final(&self) -> bool {
-        !matches!(self, Self::Running(_) | Self::Elsewhere(_))
+        !matches!(self, Self::Running(_) | Self::RunningElsewhere(_))
     }
 }
 
 /// A request's line in its flow's ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Line {
+pub struct LedgerEntry {
     /// The request.
     pub seq: RequestSeq,
     /// How it stands.
-    pub state: State,
+    pub state: RequestState,
 }
 
 /// One flow's ledger.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Ledger {
-    /// Requests up to this number have ended or will never run, unless `lines` tells otherwise.
+    /// Requests up to this number have ended or will never run, unless `entries` tells otherwise.
     pub floor: RequestSeq,
     /// The highest number that the caller is known to have used.
     pub sent: RequestSeq,
     /// Until when the ledger is kept. Every request moves this on.
     pub keep_until: Time,
     /// The requests known one by one, in the order in which they came.
-    pub lines: ThinVec<Line>,
+    pub entries: ThinVec<LedgerEntry>,
 }
 
 impl Ledger {
-    pub(crate) fn line(&self, seq: RequestSeq) -> Option<&Line> {
-        self.lines.iter().find(|line| line.seq == seq)
+    pub(crate) fn entry(&self, seq: RequestSeq) -> Option<&LedgerEntry> {
+        self.entries.iter().find(|entry| entry.seq == seq)
     }
 
     /// Makes room for one more line by letting the oldest ended one sink below the floor.
     pub(crate) fn make_room(&mut self) -> bool {
-        if self.lines.len() < MAX_LINES {
+        if self.entries.len() < MAX_ENTRIES {
             return true;
         }
-        let ended = self.lines.iter().enumerate().filter(|(_, line)| line.state.is_final());
-        let Some((index, _)) = ended.min_by_key(|(_, line)| line.seq) else {
+        let ended = self
+            .entries
+            .iter()
+            .enumerate()
+            .filter(|(_, entry)| entry.state.is_final());
+        let Some((index, _)) = ended.min_by_key(|(_, entry)| entry.seq) else {
             return false;
         };
         self.evict(index);
@@ -88,7 +92,7 @@
     }
 
     pub(crate) fn evict(&mut self, index: usize) {
-        let line = self.lines.remove(index);
-        self.floor = self.floor.max(line.seq);
+        let entry = self.entries.remove(index);
+        self.floor = self.floor.max(entry.seq);
     }
 }
--- a/crates/node/src/ledgers.rs
+++ b/crates/node/src/ledgers.rs
@@ -14,8 +14,8 @@
 
 use crate::FlowKey;
 use crate::Ledger;
-use crate::Line;
-use crate::State;
+use crate::LedgerEntry;
+use crate::RequestState;
 use crate::flow_table::CallerGroup;
 use crate::flow_table::FlowTable;
 
@@ -37,14 +37,14 @@
     /// It is at or below the floor and no line tells what became of it.
     TooOld,
     /// It has come before.
-    Known(&'a State),
+    Known(&'a RequestState),
     /// The ledger is full of requests in progress.
     Full,
 }
 
 /// When the line of a request that has ended sinks.
 #[derive(Debug, Clone)]
-struct LineExpiry {
+struct EntryExpiry {
     at: Time,
     key: FlowKey,
     seq: RequestSeq,
@@ -54,25 +54,25 @@
 #[derive(Debug, Clone)]
 pub struct Ledgers {
     flows: FlowTable,
-    ended: VecDeque<LineExpiry>,
+    ended: VecDeque<EntryExpiry>,
     /// Answers that may be held, oldest first.
     answers: VecDeque<(FlowKey, RequestSeq)>,
     answer_bytes: u64,
     ledger_retention: Duration,
-    keep_answers: Duration,
+    answer_retention: Duration,
 }
 
 impl Ledgers {
     /// Ledgers that outlive their flow's last request by `keep_flows`, which must be longer than any token lives,
-    /// and that hold an answer for `keep_answers`.
-    pub fn new(ledger_retention: Duration, keep_answers: Duration) -> Self {
+    /// and that hold an answer for `answer_retention`.
+    pub fn new(ledger_retention: Duration, answer_retention: Duration) -> Self {
         Self {
             flows: FlowTable::default(),
             ended: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
             ledger_retention,
-            keep_answers,
+            answer_retention,
         }
     }
 
@@ -139,8 +139,8 @@
         let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
         ledger.keep_until = keep_until;
         ledger.sent = ledger.sent.max(sent).max(seq);
-        if let Some(index) = ledger.lines.iter().position(|line| line.seq == seq) {
-            return Lookup::Known(&ledger.lines[index].state);
+        if let Some(index) = ledger.entries.iter().position(|entry| entry.seq == seq) {
+            return Lookup::Known(&ledger.entries[index].state);
         }
         // The token's floor holds for this packet, whatever floor the ledger was made with.
         if seq <= ledger.floor.max(floor) {
@@ -158,30 +158,30 @@
 
     /// Writes the line of a request that begins. Only a [`Lookup::New`] may lead here.
     pub fn begin(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) {
-        self.insert_new(key, seq, State::Running(ticket));
+        self.insert_new(key, seq, RequestState::Running(ticket));
     }
 
-    fn insert_new(&mut self, key: FlowKey, seq: RequestSeq, state: State) {
+    fn insert_new(&mut self, key: FlowKey, seq: RequestSeq, state: RequestState) {
         let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
-        assert!(ledger.line(seq).is_none(), "a request begins or is refused once");
+        assert!(ledger.entry(seq).is_none(), "a request begins or is refused once");
         assert!(seq > ledger.floor, "a request at or below the floor may have run");
-        ledger.lines.push(Line { seq, state });
+        ledger.entries.push(LedgerEntry { seq, state });
     }
 
     /// Writes how a request ended. A request that has ended before keeps its first end.
-    pub fn end(&mut self, key: FlowKey, seq: RequestSeq, state: State, now: Time) {
-        let Some(line) = line_mut(&mut self.flows, key, seq) else {
+    pub fn end(&mut self, key: FlowKey, seq: RequestSeq, state: RequestState, now: Time) {
+        let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return;
         };
-        if line.state.is_final() {
+        if entry.state.is_final() {
             return;
         }
-        if let State::Answered(answer) = &state {
+        if let RequestState::Answered(answer) = &state {
             self.answer_bytes += answer.body.len() as u64;
             self.answers.push_back((key, seq));
         }
         let ended = state.is_final();
-        line.state = state;
+        entry.state = state;
         if ended {
             self.schedule_eviction(key, seq, now);
         }
@@ -189,33 +189,33 @@
 
     /// Writes the final refusal of a request that never began. Only a [`Lookup::New`] may lead here.
     pub fn refuse(&mut self, key: FlowKey, seq: RequestSeq, reason: Reason, now: Time) {
-        self.insert_new(key, seq, State::Refused(Verdict::NotRun, reason));
+        self.insert_new(key, seq, RequestState::Refused(Verdict::NotRun, reason));
         self.schedule_eviction(key, seq, now);
     }
 
     /// Lets the line of a request that has ended sink when its answer needs to be kept no longer.
     fn schedule_eviction(&mut self, key: FlowKey, seq: RequestSeq, now: Time) {
-        let at = now + self.keep_answers;
-        self.ended.push_back(LineExpiry { at, key, seq });
+        let at = now + self.answer_retention;
+        self.ended.push_back(EntryExpiry { at, key, seq });
     }
 
     /// The answer of a request, if it is held.
     pub fn answer(&self, key: FlowKey, seq: RequestSeq) -> Option<&Answer> {
-        let line = self.get(key)?.line(seq)?;
-        match &line.state {
-            State::Answered(answer) => Some(answer),
+        let entry = self.get(key)?.entry(seq)?;
+        match &entry.state {
+            RequestState::Answered(answer) => Some(answer),
             _ => None,
         }
     }
 
     /// Lets go of an answer that the caller has whole.
     pub fn forget_answer(&mut self, key: FlowKey, seq: RequestSeq) {
-        let Some(line) = line_mut(&mut self.flows, key, seq) else {
+        let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return;
         };
-        if let State::Answered(answer) = &line.state {
+        if let RequestState::Answered(answer) = &entry.state {
             self.answer_bytes -= answer.body.len() as u64;
-            line.state = State::Forgotten;
+            entry.state = RequestState::AnswerDiscarded;
         }
     }
 
@@ -231,7 +231,7 @@
             let Some(expiry) = self.ended.pop_front() else {
                 break;
             };
-            self.expire_line(&expiry);
+            self.expire_entry(&expiry);
         }
         shrink_queue(&mut self.ended);
         shrink_queue(&mut self.answers);
@@ -240,7 +240,7 @@
         }
     }
 
-    fn expire_line(&mut self, expiry: &LineExpiry) {
+    fn expire_entry(&mut self, expiry: &EntryExpiry) {
         self.forget_answer(expiry.key, expiry.seq);
         // Answers end and expire in the same order, so the front of the queue is this one or an earlier one.
         while let Some((key, seq)) = self.answers.front() {
@@ -252,15 +252,15 @@
         let Some(ledger) = self.flows.get_mut(expiry.key) else {
             return;
         };
-        let ended = |line: &Line| line.seq == expiry.seq && line.state.is_final();
-        let Some(index) = ledger.lines.iter().position(ended) else {
+        let ended = |entry: &LedgerEntry| entry.seq == expiry.seq && entry.state.is_final();
+        let Some(index) = ledger.entries.iter().position(ended) else {
             return;
         };
         // What is still missing below this number is turned away from now on. It has been under way for so long
         // that nobody waits for it.
         ledger.evict(index);
-        if ledger.lines.is_empty() {
-            ledger.lines = ThinVec::new();
+        if ledger.entries.is_empty() {
+            ledger.entries = ThinVec::new();
         }
     }
 
@@ -269,8 +269,8 @@
             return;
         };
         // What was in progress elsewhere has ended by now, and the word of that was lost.
-        let running = |line: &Line| matches!(line.state, State::Running(_));
-        if ledger.keep_until > now || ledger.lines.iter().any(running) {
+        let running = |entry: &LedgerEntry| matches!(entry.state, RequestState::Running(_));
+        if ledger.keep_until > now || ledger.entries.iter().any(running) {
             let due = ledger.keep_until.max(now + RECHECK_INTERVAL);
             return self.flows.set_due(key, due);
         }
@@ -294,8 +294,8 @@
         let Some(ledger) = self.flows.remove(key) else {
             return;
         };
-        for line in ledger.lines {
-            if let State::Answered(answer) = line.state {
+        for entry in ledger.entries {
+            if let RequestState::Answered(answer) = entry.state {
                 self.answer_bytes -= answer.body.len() as u64;
             }
         }
@@ -307,13 +307,13 @@
             return;
         }
         ledger.keep_until = now + self.ledger_retention;
-        for line in &ledger.lines {
-            if let State::Answered(answer) = &line.state {
+        for entry in &ledger.entries {
+            if let RequestState::Answered(answer) = &entry.state {
                 self.answer_bytes += answer.body.len() as u64;
-                self.answers.push_back((key, line.seq));
+                self.answers.push_back((key, entry.seq));
             }
-            if line.state.is_final() {
-                self.schedule_eviction(key, line.seq, now);
+            if entry.state.is_final() {
+                self.schedule_eviction(key, entry.seq, now);
             }
         }
         let due = ledger.keep_until;
@@ -322,32 +322,32 @@
 
     /// Lets a request that was in progress elsewhere begin here, because the other instance never ran it.
     pub fn resume(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) -> bool {
-        let Some(line) = line_mut(&mut self.flows, key, seq) else {
+        let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return false;
         };
-        if !matches!(line.state, State::Elsewhere(_)) {
+        if !matches!(entry.state, RequestState::RunningElsewhere(_)) {
             return false;
         }
-        line.state = State::Running(ticket);
+        entry.state = RequestState::Running(ticket);
         true
     }
 
     /// The incarnation at which a request is in progress, if that is not this one.
-    pub fn elsewhere_at(&self, key: FlowKey, seq: RequestSeq) -> Option<Incarnation> {
-        let line = self.get(key)?.line(seq)?;
-        match line.state {
-            State::Elsewhere(incarnation) => Some(incarnation),
+    pub fn running_elsewhere_at(&self, key: FlowKey, seq: RequestSeq) -> Option<Incarnation> {
+        let entry = self.get(key)?.entry(seq)?;
+        match entry.state {
+            RequestState::RunningElsewhere(incarnation) => Some(incarnation),
             _ => None,
         }
     }
 
     /// The requests that are in progress at another incarnation.
-    pub fn elsewhere(&self, incarnation: Incarnation) -> Vec<(FlowKey, RequestSeq)> {
+    pub fn requests_running_at(&self, incarnation: Incarnation) -> Vec<(FlowKey, RequestSeq)> {
         let mut found = Vec::new();
         for (key, ledger) in self.flows.iter() {
-            for line in &ledger.lines {
-                if line.state == State::Elsewhere(incarnation) {
-                    found.push((key, line.seq));
+            for entry in &ledger.entries {
+                if entry.state == RequestState::RunningElsewhere(incarnation) {
+                    found.push((key, entry.seq));
                 }
             }
         }
@@ -364,9 +364,9 @@
     }
 }
 
-fn line_mut(flows: &mut FlowTable, key: FlowKey, seq: RequestSeq) -> Option<&mut Line> {
+fn entry_mut(flows: &mut FlowTable, key: FlowKey, seq: RequestSeq) -> Option<&mut LedgerEntry> {
     let ledger = flows.get_mut(key)?;
-    ledger.lines.iter_mut().find(|line| line.seq == seq)
+    ledger.entries.iter_mut().find(|entry| entry.seq == seq)
 }
 
 /// Gives memory back after a peak.
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -14,7 +14,7 @@
     /// The most bytes of answers that wait to be pulled.
     pub answer_bytes: Bytes,
     /// How long an answer waits to be pulled.
-    pub keep_answers: Duration,
+    pub answer_retention: Duration,
     /// The longest time that a request may ask for.
     pub max_timeout: Duration,
 }
@@ -25,7 +25,7 @@
             flows: 500_000,
             requests: 20_000,
             answer_bytes: Bytes(64 * 1_024 * 1_024),
-            keep_answers: Duration::from_secs(30),
+            answer_retention: Duration::from_secs(30),
             max_timeout: Duration::from_mins(1),
         }
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -50,7 +50,7 @@
 
 /// What a node is told at its start.
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct NodeConfig {
     /// Its name.
     pub name: InstanceName,
     /// Its life.
@@ -128,7 +128,7 @@
 
 impl Node {
     /// A node at its start. It holds no document and knows no other instance.
-    pub fn new(setup: Setup, now: Time) -> Self {
+    pub fn new(setup: NodeConfig, now: Time) -> Self {
         let local = Member {
             name: setup.name.clone(),
             incarnation: setup.incarnation,
@@ -144,7 +144,7 @@
             },
             started: now,
             zone: setup.zone,
-            ledgers: Ledgers::new(ledger_retention(&setup.keyring), setup.limits.keep_answers),
+            ledgers: Ledgers::new(ledger_retention(&setup.keyring), setup.limits.answer_retention),
             keyring: setup.keyring,
             stop_within: setup.stop_within,
             seed: setup.seed,
@@ -177,12 +177,12 @@
         match event {
             Event::Datagram(caller, bytes) => self.handle_datagram(cx, caller, &bytes),
             Event::Frame(peer, frame) => self.handle_frame(cx, &peer, frame),
-            Event::Lost(name) => self.handle_session_lost(cx, &name),
-            Event::Called(call, result) => self.handle_call_result(cx, call, result),
-            Event::Polled(upstream, report) => self.handle_poll_result(cx, &upstream, report.ok()),
-            Event::List(list) => self.handle_list(cx, list),
-            Event::Loaded(revision, text) => self.load_document(cx, revision, &text),
-            Event::Platform(reachable) => self.platform_reachable = reachable,
+            Event::SessionLost(name) => self.handle_session_lost(cx, &name),
+            Event::CallEnded(call, result) => self.handle_call_result(cx, call, result),
+            Event::PollEnded(upstream, report) => self.handle_poll_result(cx, &upstream, report.ok()),
+            Event::InstanceList(list) => self.handle_list(cx, list),
+            Event::DocumentLoaded(revision, text) => self.load_document(cx, revision, &text),
+            Event::PlatformReachable(reachable) => self.platform_reachable = reachable,
             Event::Tick => self.tick(cx),
             Event::Stop => self.begin_stop(cx),
         }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -26,7 +26,7 @@
 use crate::Lookup;
 use crate::Node;
 use crate::Record;
-use crate::State;
+use crate::RequestState;
 use crate::flow_table::CallerGroup;
 use crate::ingress::RETRY_SOON;
 use crate::ingress::RoutedPacket;
@@ -74,8 +74,8 @@
         }
         let known = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
             Lookup::New => None,
-            Lookup::TooOld => Some(State::Refused(Verdict::MayHaveRun, Reason::TooOld)),
-            Lookup::Full => Some(State::Refused(Verdict::MayHaveRun, Reason::Limit)),
+            Lookup::TooOld => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::TooOld)),
+            Lookup::Full => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::Limit)),
             Lookup::Known(state) => Some(state.clone()),
         };
         if fresh {
@@ -100,23 +100,25 @@
         cx: &mut Context<'_>,
         key: FlowKey,
         seq: RequestSeq,
-        state: &State,
+        state: &RequestState,
         caller: SocketAddr,
     ) {
         match state {
-            State::Running(ticket) => {
+            RequestState::Running(ticket) => {
                 if let Some(ticket) = self.tickets.get_mut(ticket) {
                     ticket.caller = caller;
                 }
                 cx.push(Action::Reply(caller, Reply::Accepted(Accepted { flow: key.flow, seq })));
             }
-            State::Elsewhere(_) => cx.push(Action::Reply(caller, Reply::Accepted(Accepted { flow: key.flow, seq }))),
-            State::Answered(answer) => push_chunk(cx, caller, key, seq, answer, 0, None),
-            State::Forgotten => {
+            RequestState::RunningElsewhere(_) => {
+                cx.push(Action::Reply(caller, Reply::Accepted(Accepted { flow: key.flow, seq })));
+            }
+            RequestState::Answered(answer) => push_chunk(cx, caller, key, seq, answer, 0, None),
+            RequestState::AnswerDiscarded => {
                 let refusal = (Verdict::MayHaveRun, Reason::AnswerGone);
                 self.reply_refused(cx, caller, key, seq, refusal, Millis(0), None);
             }
-            State::Refused(verdict, reason) => {
+            RequestState::Refused(verdict, reason) => {
                 self.reply_refused(cx, caller, key, seq, (*verdict, *reason), RETRY_SOON, None);
             }
         }
@@ -287,7 +289,7 @@
         push_chunk(cx, ticket.caller, key, seq, &answer, 0, granted);
         cx.record(Record::Answered(key.flow, seq));
         self.counters.answered += 1;
-        self.record_end(cx, key, seq, State::Answered(Box::new(answer)));
+        self.record_end(cx, key, seq, RequestState::Answered(Box::new(answer)));
     }
 
     /// Refuses a request for good. No call of it is in progress any more.
@@ -298,14 +300,14 @@
         let key = ticket.key();
         let seq = ticket.request.seq;
         let verdict = ticket.verdict();
-        self.record_end(cx, key, seq, State::Refused(verdict, reason));
+        self.record_end(cx, key, seq, RequestState::Refused(verdict, reason));
         let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
         let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
         self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, granted);
     }
 
     /// Writes an end to the ledger, or tells whoever holds the ledger now.
-    fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: State) {
+    fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
         if self.stop.has_handed_over() {
             return self.send_final_state(cx, key, seq, &state);
         }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -22,7 +22,7 @@
 use crate::Node;
 use crate::Peer;
 use crate::Record;
-use crate::State;
+use crate::RequestState;
 use crate::node::Context;
 use crate::ticket::Phase;
 
@@ -258,7 +258,7 @@
             home.pool.retain(|key| key.peer != peer, now, &mut decisions);
             self.pending_decisions.extend(decisions);
         }
-        for (key, seq) in self.ledgers.elsewhere(peer.incarnation) {
+        for (key, seq) in self.ledgers.requests_running_at(peer.incarnation) {
             self.refuse_interrupted(cx, key, seq);
         }
         self.partial_handovers.remove(&peer.incarnation);
@@ -269,7 +269,7 @@
     fn refuse_interrupted(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: units::RequestSeq) {
         let verdict = wire::Verdict::MayHaveRun;
         self.ledgers
-            .end(key, seq, State::Refused(verdict, Reason::OwnerGone), cx.now);
+            .end(key, seq, RequestState::Refused(verdict, Reason::OwnerGone), cx.now);
         cx.record(Record::Refused(key.flow, seq, verdict, Reason::OwnerGone));
     }
 
--- a/crates/node/src/reports.rs
+++ b/crates/node/src/reports.rs
@@ -6,12 +6,17 @@
 
 use crate::Node;
 use crate::Record;
-use crate::Report;
+use crate::UpstreamReport;
 use crate::node::Context;
 
 impl Node {
     /// Takes what an upstream says of itself.
-    pub(crate) fn handle_poll_result(&mut self, cx: &mut Context<'_>, name: &UpstreamName, report: Option<Report>) {
+    pub(crate) fn handle_poll_result(
+        &mut self,
+        cx: &mut Context<'_>,
+        name: &UpstreamName,
+        report: Option<UpstreamReport>,
+    ) {
         let Some(service) = self.documents.service_of(name) else {
             return;
         };
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -3,7 +3,6 @@
 use std::collections::BTreeMap;
 
 use balance::State;
-use balance::UpstreamStatus;
 use serde::Deserialize;
 use serde::Serialize;
 use units::Incarnation;
@@ -79,7 +78,7 @@
     /// The services and where their homes are.
     pub homes: Vec<HomeStatus>,
     /// The upstreams of the services whose home it is.
-    pub upstreams: Vec<UpstreamLine>,
+    pub upstreams: Vec<UpstreamStatus>,
     /// How many flows have a ledger here.
     pub flows: usize,
     /// How many requests are in progress here.
@@ -132,7 +131,7 @@
 
 /// An upstream as the home of its service sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct UpstreamLine {
+pub struct UpstreamStatus {
     /// The service.
     pub service: ServiceName,
     /// The upstream.
@@ -238,18 +237,18 @@
         lines
     }
 
-    fn upstream_status(&self) -> Vec<UpstreamLine> {
+    fn upstream_status(&self) -> Vec<UpstreamStatus> {
         let mut lines = Vec::new();
         for (service, home) in &self.homes {
             for status in home.pool.states() {
-                lines.push(self.upstream_line(service, status));
+                lines.push(self.upstream_status_of(service, status));
             }
         }
         lines
     }
 
-    fn upstream_line(&self, service: &ServiceName, status: UpstreamStatus) -> UpstreamLine {
-        UpstreamLine {
+    fn upstream_status_of(&self, service: &ServiceName, status: balance::UpstreamStatus) -> UpstreamStatus {
+        UpstreamStatus {
             service: service.clone(),
             incarnation: self.upstreams.get(&status.name).copied(),
             upstream: status.name,
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -26,7 +26,7 @@
 use crate::Node;
 use crate::Peer;
 use crate::Record;
-use crate::State;
+use crate::RequestState;
 use crate::handover::handover_body;
 use crate::handover::pack_ledger;
 use crate::handover::split_into_parts;
@@ -274,11 +274,19 @@
     }
 
     /// Tells the successor how a request ended that was in progress here.
-    pub(crate) fn send_final_state(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: &State) {
+    pub(crate) fn send_final_state(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: FlowKey,
+        seq: RequestSeq,
+        state: &RequestState,
+    ) {
         let entry = match state {
-            State::Answered(answer) => Entry::Answered((**answer).clone()),
-            State::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
-            State::Forgotten | State::Running(_) | State::Elsewhere(_) => Entry::Forgotten,
+            RequestState::Answered(answer) => Entry::Answered((**answer).clone()),
+            RequestState::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
+            RequestState::AnswerDiscarded | RequestState::Running(_) | RequestState::RunningElsewhere(_) => {
+                Entry::Forgotten
+            }
         };
         self.send_request_end(cx, key, seq, entry);
     }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -19,10 +19,10 @@
 
 use crate::FlowKey;
 use crate::Ledger;
-use crate::Line;
+use crate::LedgerEntry;
 use crate::Node;
 use crate::Peer;
-use crate::State;
+use crate::RequestState;
 use crate::node::Context;
 use crate::node::ledger_retention;
 use crate::ticket::Phase;
@@ -95,7 +95,7 @@
             };
             let piece = unpack_ledger(key, flow, record.from_incarnation, &mut queued);
             match ledgers.get_mut(&key) {
-                Some(ledger) => ledger.lines.extend(piece.lines),
+                Some(ledger) => ledger.entries.extend(piece.entries),
                 None => drop(ledgers.insert(key, piece)),
             }
         }
@@ -134,7 +134,7 @@
             };
             return self
                 .ledgers
-                .end(key, seq, State::Refused(verdict, Reason::Token), cx.now);
+                .end(key, seq, RequestState::Refused(verdict, Reason::Token), cx.now);
         };
         let service = self.documents.service(&claims.service);
         let kind = service.and_then(|service| service.kind(&body.request.kind));
@@ -166,39 +166,39 @@
             // The ledger has moved on meanwhile, and whoever holds it waits for this word.
             return self.send_resolved(cx, resolved);
         }
-        let running_there = self.ledgers.elsewhere_at(key, seq) == Some(resolved.at);
+        let running_there = self.ledgers.running_elsewhere_at(key, seq) == Some(resolved.at);
         if !running_there {
             return;
         }
         let state = match resolved.entry {
             Entry::Queued(body) => return self.resume_request(cx, QueuedRequest { key, seq, body }),
-            Entry::Answered(answer) => State::Answered(Box::new(answer)),
-            Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
-            Entry::Forgotten | Entry::Running(_) => State::Forgotten,
+            Entry::Answered(answer) => RequestState::Answered(Box::new(answer)),
+            Entry::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
+            Entry::Forgotten | Entry::Running(_) => RequestState::AnswerDiscarded,
         };
         self.ledgers.end(key, seq, state, cx.now);
     }
 }
 
 fn unpack_ledger(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<QueuedRequest>) -> Ledger {
-    let mut lines = ThinVec::new();
+    let mut entries = ThinVec::new();
     for (seq, entry) in flow.entries {
         let state = match entry {
             Entry::Queued(body) => {
                 queued.push(QueuedRequest { key, seq, body });
-                State::Elsewhere(from)
+                RequestState::RunningElsewhere(from)
             }
-            Entry::Running(incarnation) => State::Elsewhere(incarnation),
-            Entry::Answered(answer) => State::Answered(Box::new(answer)),
-            Entry::Forgotten => State::Forgotten,
-            Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
+            Entry::Running(incarnation) => RequestState::RunningElsewhere(incarnation),
+            Entry::Answered(answer) => RequestState::Answered(Box::new(answer)),
+            Entry::Forgotten => RequestState::AnswerDiscarded,
+            Entry::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
         };
-        lines.push(Line { seq, state });
+        entries.push(LedgerEntry { seq, state });
     }
     Ledger {
         floor: flow.floor,
         sent: flow.sent,
         keep_until: Time::default(),
-        lines,
+        entries,
     }
 }
--- a/crates/node/tests/documents.rs
+++ b/crates/node/tests/documents.rs
@@ -16,7 +16,7 @@
     let mut fleet = Fleet::new(1);
     fleet.documents.clear();
     for (revision, text) in texts {
-        fleet.event(&instance(0), Event::Loaded(Revision(*revision), text.clone()));
+        fleet.event(&instance(0), Event::DocumentLoaded(Revision(*revision), text.clone()));
     }
     assert_eq!(fleet.documents, expected);
 }
@@ -40,7 +40,7 @@
 fn a_change_reaches_all() {
     let mut fleet = Fleet::new(9);
     fleet.documents.clear();
-    fleet.event(&instance(4), Event::Loaded(Revision(2), document(2)));
+    fleet.event(&instance(4), Event::DocumentLoaded(Revision(2), document(2)));
     fleet.pass(Duration::from_secs(5));
     fleet.documents.sort();
     let expected: Vec<String> = (0..9)
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -5,7 +5,7 @@
 use node::FlowKey;
 use node::Ledgers;
 use node::Lookup;
-use node::State;
+use node::RequestState;
 use units::FlowId;
 use units::Incarnation;
 use units::RequestSeq;
@@ -35,11 +35,11 @@
         Lookup::New => "new".to_owned(),
         Lookup::TooOld => "too old".to_owned(),
         Lookup::Full => "full".to_owned(),
-        Lookup::Known(State::Running(_)) => "running".to_owned(),
-        Lookup::Known(State::Elsewhere(_)) => "elsewhere".to_owned(),
-        Lookup::Known(State::Answered(_)) => "answered".to_owned(),
-        Lookup::Known(State::Forgotten) => "forgotten".to_owned(),
-        Lookup::Known(State::Refused(verdict, _)) => verdict.to_string(),
+        Lookup::Known(RequestState::Running(_)) => "running".to_owned(),
+        Lookup::Known(RequestState::RunningElsewhere(_)) => "elsewhere".to_owned(),
+        Lookup::Known(RequestState::Answered(_)) => "answered".to_owned(),
+        Lookup::Known(RequestState::AnswerDiscarded) => "forgotten".to_owned(),
+        Lookup::Known(RequestState::Refused(verdict, _)) => verdict.to_string(),
     };
     assert_eq!(got, expected);
 }
@@ -48,7 +48,7 @@
     check(ledgers, seq, now, "new");
     ledgers.begin(KEY, RequestSeq(seq), TicketId(seq));
     let answer = Answer::new(vec![7; 100]);
-    ledgers.end(KEY, RequestSeq(seq), State::Answered(Box::new(answer)), now);
+    ledgers.end(KEY, RequestSeq(seq), RequestState::Answered(Box::new(answer)), now);
 }
 
 #[test]
@@ -78,7 +78,7 @@
 fn a_first_end_stays() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
-    let refused = State::Refused(Verdict::NotRun, Reason::Deadline);
+    let refused = RequestState::Refused(Verdict::NotRun, Reason::Deadline);
     ledgers.end(KEY, RequestSeq(1), refused, START);
     check(&mut ledgers, 1, START, "answered");
 }
@@ -125,7 +125,7 @@
     check(&mut ledgers, 2, START, "answered");
     ledgers.expire(START + KEEP_ANSWERS, PLENTY);
     assert_eq!(ledgers.answer_bytes(), 0);
-    let lines = ledgers.get(KEY).map(|ledger| ledger.lines.len());
+    let lines = ledgers.get(KEY).map(|ledger| ledger.entries.len());
     assert_eq!(lines, Some(0));
 }
 
@@ -168,7 +168,7 @@
     check(&mut old, 1, START, "new");
     old.begin(KEY, RequestSeq(1), TicketId(1));
     let (key, mut ledger) = old.drain().remove(0);
-    ledger.lines[0].state = State::Elsewhere(Incarnation(1));
+    ledger.entries[0].state = RequestState::RunningElsewhere(Incarnation(1));
     let mut ledgers = ledgers();
     ledgers.install(key, ledger, START);
     check(&mut ledgers, 1, START, "elsewhere");
--- a/crates/node/tests/polls.rs
+++ b/crates/node/tests/polls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use node::Event;
-use node::Report;
+use node::UpstreamReport;
 use units::Incarnation;
 use units::Revision;
 use units::Slots;
@@ -22,7 +22,10 @@
     let cases = [(0, 30), (5, 40), (40, 40), (97, 40)];
     for (more, expected) in cases {
         let mut fleet = Fleet::new(1);
-        fleet.event(&instance(0), Event::Loaded(Revision(2), large_document(2, more)));
+        fleet.event(
+            &instance(0),
+            Event::DocumentLoaded(Revision(2), large_document(2, more)),
+        );
         fleet.pass(Duration::from_mins(1));
         fleet.polls = 0;
         fleet.pass(Duration::from_mins(2));
@@ -40,21 +43,21 @@
     let mut fleet = Fleet::new(1);
     let name = "more-0".parse::<UpstreamName>().unwrap();
     let check = |fleet: &mut Fleet, revision, text, expected| {
-        fleet.event(&instance(0), Event::Loaded(Revision(revision), text));
+        fleet.event(&instance(0), Event::DocumentLoaded(Revision(revision), text));
         fleet.pass(Duration::from_millis(20));
         let status = fleet.nodes[&instance(0)].1.status(fleet.now);
         let line = status.upstreams.iter().find(|line| line.upstream == name);
         assert_eq!(line.map(|line| line.incarnation), expected, "at revision {revision}");
     };
     check(&mut fleet, 2, large_document(2, 1), Some(None));
-    let report = Report {
+    let report = UpstreamReport {
         incarnation: Incarnation(9),
         healthy: true,
         draining: false,
         busy: Slots(0),
         age: Duration::ZERO,
     };
-    fleet.event(&instance(0), Event::Polled(name.clone(), Ok(report)));
+    fleet.event(&instance(0), Event::PollEnded(name.clone(), Ok(report)));
     check(&mut fleet, 3, large_document(3, 1), Some(Some(Incarnation(9))));
     check(&mut fleet, 4, document(4), None);
     check(&mut fleet, 5, large_document(5, 1), Some(None));
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -32,9 +32,9 @@
 use node::Limits;
 use node::Listed;
 use node::Node;
+use node::NodeConfig;
 use node::Peer;
 use node::Record;
-use node::Setup;
 
 pub const SECRET: &str = "a secret of at least thirty-two characters";
 pub const OTHER_SECRET: &str = "another secret of thirty-two characters";
@@ -129,7 +129,7 @@
 
     pub fn join(&mut self, name: &InstanceName, incarnation: u64) {
         let secret = SECRET.parse().unwrap();
-        let setup = Setup {
+        let setup = NodeConfig {
             name: name.clone(),
             incarnation: Incarnation(incarnation),
             zone: "brugge".parse().unwrap(),
@@ -150,8 +150,8 @@
             .iter()
             .map(|(name, (incarnation, _))| listed(name, *incarnation))
             .collect();
-        self.event(name, Event::List(list));
-        self.event(name, Event::Loaded(Revision(1), document(1)));
+        self.event(name, Event::InstanceList(list));
+        self.event(name, Event::DocumentLoaded(Revision(1), document(1)));
     }
 
     pub fn event(&mut self, name: &InstanceName, event: Event) {
@@ -233,7 +233,7 @@
     /// Ends the oldest call.
     pub fn end_call(&mut self, result: CallResult) -> Call {
         let (name, call) = self.calls.remove(0);
-        self.event(&name, Event::Called(call.id, result));
+        self.event(&name, Event::CallEnded(call.id, result));
         call
     }
 
--- a/crates/proof/src/act.rs
+++ b/crates/proof/src/act.rs
@@ -189,8 +189,12 @@
         if !self.sessions.stands_for(&link, from) {
             self.close_session(&link);
             let Some(target) = target.filter(|_| reached) else {
-                let wait = if reached { node::TICK } else { SESSION_TIMEOUT };
-                let event = Happening::Event(from.clone(), Box::new(Event::Lost(to.clone())));
+                let wait = if reached {
+                    node::MAX_TICK_INTERVAL
+                } else {
+                    SESSION_TIMEOUT
+                };
+                let event = Happening::Event(from.clone(), Box::new(Event::SessionLost(to.clone())));
                 self.queue.push(self.now + wait, event);
                 return Ok(());
             };
@@ -246,7 +250,7 @@
         };
         self.sessions.close(link);
         for (end, other) in [(&a, &b), (&b, &a)] {
-            let event = Event::Lost(other.name.clone());
+            let event = Event::SessionLost(other.name.clone());
             self.queue
                 .push(self.now, Happening::Event(end.clone(), Box::new(event)));
         }
@@ -274,16 +278,16 @@
             .map(|instance| instance.spec.zone.clone());
         let target = self.upstream_at(address).and_then(|target| self.upstreams.get(&target));
         let Some((upstream, zone)) = target.zip(zone) else {
-            return self.feed(peer, Event::Polled(name, Err(PollError)));
+            return self.feed(peer, Event::PollEnded(name, Err(PollError)));
         };
         if !self.cuts.joined(&zone, &upstream.spec.zone) {
-            let event = Event::Polled(name, Err(PollError));
+            let event = Event::PollEnded(name, Err(PollError));
             self.queue
                 .push(self.now + POLL_TIMEOUT, Happening::Event(peer.clone(), Box::new(event)));
             return Ok(());
         }
         let report = upstream.report(self.now, &mut self.rng);
-        self.feed(peer, Event::Polled(name, report))
+        self.feed(peer, Event::PollEnded(name, report))
     }
 
     /// A process has done everything and ends.
--- a/crates/proof/src/feed.rs
+++ b/crates/proof/src/feed.rs
@@ -46,7 +46,7 @@
         let Some(accepted) = self.platform.relist() else {
             return;
         };
-        let event = Event::Loaded(accepted.revision, accepted.text.clone());
+        let event = Event::DocumentLoaded(accepted.revision, accepted.text.clone());
         let delay = millis(&mut self.rng, 5, 50) + self.platform.delay();
         self.queue
             .push(self.now + delay, Happening::Event(peer.clone(), Box::new(event)));
@@ -62,7 +62,7 @@
     pub(crate) fn introduce(&mut self, peer: &Peer) {
         let list = self.settings_peers(&peer.name);
         let soon = self.now + millis(&mut self.rng, 1, 5);
-        let event = Box::new(Event::List(list));
+        let event = Box::new(Event::InstanceList(list));
         self.queue.push(soon, Happening::Event(peer.clone(), event));
         self.relist(peer);
         self.queue.push(soon, Happening::Platform(peer.clone()));
@@ -113,7 +113,7 @@
             life.listed = Some(now);
         }
         if changed {
-            self.feed(&peer, Event::Platform(reached))?;
+            self.feed(&peer, Event::PlatformReachable(reached))?;
         }
         if reached && changed && watching {
             self.relist(&peer);
@@ -125,7 +125,7 @@
     }
 
     fn read_list(&mut self, peer: Peer) {
-        let list = Box::new(Event::List(self.platform.list(self.now)));
+        let list = Box::new(Event::InstanceList(self.platform.list(self.now)));
         let delay = millis(&mut self.rng, 2, 20) + self.platform.delay();
         self.queue.push(self.now + delay, Happening::Event(peer, list));
     }
--- a/crates/proof/src/flight.rs
+++ b/crates/proof/src/flight.rs
@@ -237,7 +237,7 @@
             name: name.by.clone(),
             incarnation: name.incarnation,
         };
-        let event = Event::Called(name.id, CallResult::Answered(answer));
+        let event = Event::CallEnded(name.id, CallResult::Answered(answer));
         self.queue
             .push(self.now + wait, Happening::Event(peer, Box::new(event)));
     }
@@ -260,7 +260,7 @@
             name: name.by.clone(),
             incarnation: name.incarnation,
         };
-        self.feed(&peer, Event::Called(name.id, result))
+        self.feed(&peer, Event::CallEnded(name.id, result))
     }
 }
 
--- a/crates/proof/src/standing.rs
+++ b/crates/proof/src/standing.rs
@@ -33,11 +33,11 @@
             return;
         }
         match event {
-            Event::Called(id, CallResult::Draining) => self.note_call_sign(peer, *id),
-            Event::Polled(name, Ok(report)) if report.draining => {
+            Event::CallEnded(id, CallResult::Draining) => self.note_call_sign(peer, *id),
+            Event::PollEnded(name, Ok(report)) if report.draining => {
                 self.note_sign(peer, name.clone(), report.incarnation);
             }
-            Event::List(list) => self.note_list_signs(peer, list),
+            Event::InstanceList(list) => self.note_list_signs(peer, list),
             _ => {}
         }
     }
--- a/crates/proof/src/upset.rs
+++ b/crates/proof/src/upset.rs
@@ -84,7 +84,7 @@
                 continue;
             }
             let delay = millis(&mut self.rng, 5, 800) + self.platform.delay();
-            let event = Box::new(Event::Loaded(accepted.revision, accepted.text.clone()));
+            let event = Box::new(Event::DocumentLoaded(accepted.revision, accepted.text.clone()));
             self.queue.push(self.now + delay, Happening::Event(peer, event));
         }
     }
--- a/crates/proof/src/upstream.rs
+++ b/crates/proof/src/upstream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use node::PollError;
-use node::Report;
+use node::UpstreamReport;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use units::Incarnation;
@@ -125,13 +125,13 @@
     }
 
     /// What it says of itself.
-    pub(crate) fn report(&self, now: Time, rng: &mut StdRng) -> Result<Report, PollError> {
+    pub(crate) fn report(&self, now: Time, rng: &mut StdRng) -> Result<UpstreamReport, PollError> {
         if !self.up {
             return Err(PollError);
         }
         let lying_load = self.behaviour == Behaviour::LyingLoad;
         let busy = if lying_load { rng.random_range(0..20) } else { self.busy };
-        Ok(Report {
+        Ok(UpstreamReport {
             incarnation: self.incarnation,
             healthy: self.behaviour != Behaviour::LyingUnhealthy,
             draining: self.draining,
--- a/crates/proof/src/world.rs
+++ b/crates/proof/src/world.rs
@@ -260,7 +260,7 @@
         // A life's number is the time of its start and random bits, as the daemon makes it.
         let random: u64 = self.rng.random_range(0..1 << RANDOM_BITS);
         let incarnation = Incarnation((now.0 / 1_000) << RANDOM_BITS | random);
-        let setup = node::Setup {
+        let setup = node::NodeConfig {
             name: name.clone(),
             incarnation,
             zone: instance.spec.zone.clone(),
@@ -313,7 +313,8 @@
         if !alive {
             return Ok(());
         }
-        self.queue.push(self.now + node::TICK, Happening::Tick(peer.clone()));
+        self.queue
+            .push(self.now + node::MAX_TICK_INTERVAL, Happening::Tick(peer.clone()));
         self.feed(peer, Event::Tick)
     }
 
