--- a/crates/node/benches/packet.rs
+++ b/crates/node/benches/packet.rs
@@ -1,4 +1,4 @@
-//! How long a node takes for one event: `cargo bench -p node`.
+//! Benchmarks of the time a node takes to handle an event: `cargo bench -p node`.
 
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Runs one request to its answer.
+    /// Runs one request until it is answered.
     fn run(&mut self, granted: &Granted, seq: u64) {
         let packet = self.request(granted, seq);
         let actions = self.datagram(&packet);
@@ -126,14 +126,14 @@
     }
 }
 
-/// Opens a flow.
+/// Opening a flow.
 #[divan::bench]
 fn open(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
     bencher.bench_local(|| black_box(bench.open()));
 }
 
-/// A packet of an established flow whose request is known: decode, token, ledger, answer.
+/// A repeated request of an established flow: decoding, token check, ledger look-up and reply.
 #[divan::bench]
 fn established_packet(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
@@ -144,7 +144,7 @@
     bencher.bench_local(|| black_box(bench.handle(Event::Datagram(address, bytes.clone()))));
 }
 
-/// A whole request at the owner: packet, slot, call, answer.
+/// A complete request at the owner: packet, slot, call and answer.
 #[divan::bench]
 fn whole_request(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
@@ -156,7 +156,7 @@
     });
 }
 
-/// A forged packet.
+/// A packet with an invalid token.
 #[divan::bench]
 fn forged_packet(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
--- a/crates/node/examples/counting/mod.rs
+++ b/crates/node/examples/counting/mod.rs
@@ -1,4 +1,4 @@
-//! An allocator that counts what it has handed out and not got back.
+//! A global allocator that counts the bytes currently allocated.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -10,17 +10,17 @@
 
 static HELD: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: Every call goes to the system's allocator unchanged.
+// SAFETY: Every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         HELD.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller's promise is passed on.
+        // SAFETY: The caller upholds the contract of the system allocator.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
         HELD.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller's promise is passed on.
+        // SAFETY: The caller upholds the contract of the system allocator.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
@@ -28,7 +28,7 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// How many bytes are held now.
+/// The number of bytes currently allocated.
 pub fn held() -> usize {
     HELD.load(Ordering::Relaxed)
 }
--- a/crates/node/examples/flow_state.rs
+++ b/crates/node/examples/flow_state.rs
@@ -1,8 +1,9 @@
-//! How many bytes a flow costs its owner: `cargo run --release -p node --example flow_state`.
+//! Measures how many bytes of memory a flow takes at its owner:
+//! `cargo run --release -p node --example flow_state`.
 //!
-//! Counts what the allocator hands out, before and after many flows have each run one request.
+//! Compares the allocated bytes before and after many flows have each run one request.
 
-#![expect(unsafe_code, reason = "an allocator can't be written without")]
+#![expect(unsafe_code, reason = "a global allocator can't be implemented in safe code")]
 
 mod counting;
 
@@ -18,7 +19,7 @@
 use wire::TicketId;
 
 fn main() {
-    println!("flows  bytes per flow after its requests have sunk below the floor");
+    println!("flows  bytes per flow after the entries of its requests were evicted");
     for flows in [10_000, 28_000, 100_000, 300_000] {
         let before = counting::held();
         let ledgers = fill(flows);
@@ -26,7 +27,7 @@
         println!("{flows:>6}  {:>5}", held / flows as usize);
         drop(ledgers);
     }
-    println!("a flow that is open and has made no request has no ledger: 0 bytes");
+    println!("an open flow without requests has no ledger: 0 bytes");
 }
 
 fn fill(flows: u64) -> Ledgers {
--- a/crates/node/examples/scale.rs
+++ b/crates/node/examples/scale.rs
@@ -1,9 +1,10 @@
-//! What a node costs at the size of letter 1: `cargo run --release -p node --example scale`.
+//! Measures the CPU time and memory of one node at the size of a large region:
+//! `cargo run --release -p node --example scale`.
 //!
-//! A region of letter 1 has 600 instances, 650 services and 3,250 upstreams. Everything but one node is silent, so the
-//! figures are the node's own processor time and memory without sockets.
+//! The target size is a region of 600 instances, 650 services and 3,250 upstreams. All other instances are silent, so
+//! the figures cover the node itself, without sockets.
 
-#![expect(unsafe_code, reason = "an allocator can't be written without")]
+#![expect(unsafe_code, reason = "a global allocator can't be implemented in safe code")]
 
 mod counting;
 
@@ -31,7 +32,7 @@
 const UPSTREAMS_PER_SERVICE: usize = 5;
 
 fn main() {
-    println!("services  members  text     memory    load     tick      change of view");
+    println!("services  members  text     memory    load     tick      view change");
     for (services, members) in [(10, 9), (65, 60), (260, 240), (650, 600), (2_000, 600)] {
         measure(services, members);
     }
@@ -54,12 +55,12 @@
         node.handle(now, Event::Frame(peer, news(index)), &mut out);
     }
     out.clear();
-    // The first tick works all homes out.
+    // The first tick computes the homes of all services.
     let change = timed(|| node.handle(now, Event::Tick, &mut out));
     out = Vec::new();
     let memory = counting::held() - before;
 
-    // Shorter than a probe's timeout, so that no silent member is given up.
+    // Shorter in total than a probe's timeout, so that no silent member is suspected.
     let ticks = 20;
     let all = timed(|| {
         for _ in 0..ticks {
--- a/crates/node/src/action.rs
+++ b/crates/node/src/action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done.
+//! The actions that a node returns to its driver.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 use crate::Record;
 
-/// Names a call to an upstream, unique within the node's incarnation.
+/// Identifies a call to an upstream. Unique within the node's incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -29,52 +29,52 @@
 /// One attempt to run a request at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Names the attempt.
+    /// Identifies the attempt.
     pub id: CallId,
     /// The upstream.
     pub upstream: UpstreamName,
-    /// Where it serves HTTP.
+    /// The upstream's HTTP address.
     pub address: SocketAddr,
     /// The service.
     pub service: ServiceName,
     /// The kind of request.
     pub kind: KindName,
-    /// The incarnation that issued the flow's first token; with flow and number it names the request everywhere.
+    /// The incarnation named in the flow's token. With `flow` and `seq` it identifies the request globally.
     pub owner: Incarnation,
     /// The flow.
     pub flow: FlowId,
-    /// The request's number.
+    /// The request's sequence number.
     pub seq: RequestSeq,
-    /// How long until the deadline.
+    /// The time left until the deadline.
     pub timeout: Duration,
-    /// What the upstream gets.
+    /// The body sent to the upstream.
     pub body: Vec<u8>,
 }
 
-/// What a node wants done. The order of actions is the order of effects.
+/// An action for the driver. Actions must be carried out in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram to a caller.
+    /// Sends a datagram to a caller.
     Reply(SocketAddr, Reply),
-    /// Send a frame to another instance, over a session that is made if there is none.
+    /// Sends a frame to another instance, connecting to it first if there is no session.
     Send {
-        /// The instance.
+        /// The receiving instance.
         to: InstanceName,
-        /// Where it listens for other instances.
+        /// The address at which it listens for other instances.
         address: SocketAddr,
         /// The frame.
         frame: Frame,
     },
-    /// Call an upstream.
+    /// Calls an upstream.
     Call(Call),
-    /// Close the connection of a call. Its result is no longer wanted.
+    /// Closes the connection of a call whose result is no longer needed.
     Cancel(CallId),
-    /// Ask an upstream for its health and load.
+    /// Polls an upstream for its health and load.
     Poll(UpstreamName, SocketAddr),
-    /// Start or stop watching the platform's configuration document.
+    /// Starts or stops watching the platform's configuration document.
     Watch(bool),
-    /// Keep an event for the time line.
+    /// Adds a record to the timeline.
     Record(Record),
-    /// Everything is done; the process may end.
+    /// The planned stop is complete; the process may exit.
     Stopped,
 }
--- a/crates/node/src/documents.rs
+++ b/crates/node/src/documents.rs
@@ -1,4 +1,4 @@
-//! The configuration document in force: the highest revision wins, and nothing steps down.
+//! The configuration document in force, which is the highest valid revision seen. Lower revisions are ignored.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -29,22 +29,22 @@
 use crate::node::Context;
 use crate::ticket::Ticket;
 
-/// How many earlier documents are kept, so that others can be told of a change alone.
+/// How many earlier documents are kept as bases for the deltas that are sent to other instances.
 const MAX_EARLIER_DOCUMENTS: usize = 4;
-/// How long to wait for a document that was asked for before it is asked for again.
+/// How long to wait for a requested document before requesting it again.
 const DOCUMENT_REQUEST_RETRY: Duration = Duration::from_millis(250);
 
-/// The document in force and some before it.
+/// The document in force and the most recent earlier ones.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Documents {
     current: Option<Arc<Document>>,
     earlier: VecDeque<Arc<Document>>,
-    /// Where each service stands in the document. A document may hold thousands.
+    /// The index of each service in the document, which may hold thousands of services.
     by_name: HashMap<ServiceName, usize>,
     by_address: HashMap<SocketAddr, usize>,
     by_upstream: HashMap<UpstreamName, usize>,
     wanted: Option<(Revision, Time)>,
-    /// Documents that were refused because they did not pass the checks.
+    /// The number of documents that failed validation.
     pub rejected: u64,
     last_rejected: Option<Revision>,
 }
@@ -55,12 +55,12 @@
         self.current.as_ref()
     }
 
-    /// Its revision.
+    /// The revision of the document in force.
     pub fn revision(&self) -> Option<Revision> {
         self.current.as_ref().map(|document| document.revision)
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.current.as_ref()?.services.get(*self.by_name.get(name)?)
     }
@@ -70,19 +70,19 @@
         self.current.as_ref()?.services.get(*self.by_address.get(&address)?)
     }
 
-    /// The name of the service that an upstream serves.
+    /// The name of the service to which an upstream belongs.
     pub fn service_of(&self, upstream: &UpstreamName) -> Option<ServiceName> {
         let service = self.current.as_ref()?.services.get(*self.by_upstream.get(upstream)?)?;
         Some(service.name.clone())
     }
 
-    /// Whether the flows of a service keep their upstream.
+    /// Whether each flow of a service keeps using the same upstream.
     pub fn has_flow_affinity(&self, service: &ServiceName) -> bool {
         let service = self.service(service);
         service.is_some_and(|service| service.sharing.affinity == Affinity::Flow)
     }
 
-    /// The services that `known` lacks.
+    /// The services of the document that are missing from `known`.
     pub fn missing_from<V>(&self, known: &BTreeMap<ServiceName, V>) -> Vec<ServiceName> {
         let Some(document) = &self.current else {
             return Vec::new();
@@ -153,7 +153,7 @@
         self.recompute_homes(cx);
     }
 
-    /// Keeps the document in force, and says once for each revision that a newer one can't be used.
+    /// Rejects a newer document and keeps the one in force. Records the rejection once per revision.
     fn reject_document(&mut self, cx: &mut Context<'_>, revision: Revision) {
         self.documents.rejected += 1;
         if self.documents.last_rejected != Some(revision) {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Refuses what waits for a service that the document no longer has. What is being called may finish.
+    /// Refuses waiting requests for services that are no longer in the document. Calls in progress may finish.
     fn refuse_unknown_services(&mut self, cx: &mut Context<'_>) {
         let unserved =
             |ticket: &Ticket| ticket.is_waiting() && self.documents.service(&ticket.claims.service).is_none();
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Another instance holds a document of this revision.
+    /// Requests the document of this revision from an instance that holds it, if it is newer than the one in force.
     pub(crate) fn request_newer_document(
         &mut self,
         cx: &mut Context<'_>,
@@ -217,7 +217,7 @@
         });
     }
 
-    /// Another instance asks for the document.
+    /// Sends the document in force to an instance that holds revision `have`, as a delta if possible.
     pub(crate) fn handle_document_request(&mut self, cx: &mut Context<'_>, peer: &Peer, have: Option<Revision>) {
         let Some(current) = self.documents.current() else {
             return;
@@ -240,7 +240,7 @@
         self.load_document(cx, document.revision, text);
     }
 
-    /// Applies a change to the document in force, or asks for the whole if it does not fit.
+    /// Applies a delta to the document in force, or requests the full document if the delta does not apply.
     pub(crate) fn handle_delta(&mut self, cx: &mut Context<'_>, peer: &Peer, delta: &Delta) {
         if !self.documents.is_newer(delta.revision) {
             return;
@@ -263,7 +263,7 @@
     }
 }
 
-/// The bytes between the common start and the common end of two documents.
+/// The delta between two documents: the bytes between their common prefix and their common suffix.
 fn diff(base: &Document, current: &Document) -> Delta {
     let old = base.text.as_bytes();
     let new = current.text.as_bytes();
@@ -280,7 +280,7 @@
     }
 }
 
-/// The text after a change, if the change fits the document and gives what it promises.
+/// Applies a delta. Returns `None` if its base is another document or the result does not match its digest.
 fn apply_delta(document: &Document, delta: &Delta) -> Option<String> {
     if document.digest != delta.base {
         return None;
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told.
+//! The events that a node handles.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,79 +15,79 @@
 
 use crate::CallId;
 
-/// One life of another instance, as its authenticated session names it.
+/// One incarnation of another instance, as identified by its authenticated session.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name.
     pub name: InstanceName,
-    /// Its life.
+    /// The incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What happened outside a node.
+/// An input to a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "an event is moved once, and most that come are the large ones"
+    reason = "an event is moved only once, and most events are of the large variants"
 )]
 pub enum Event {
-    /// A datagram came from a caller.
+    /// A datagram arrived from a caller.
     Datagram(SocketAddr, Vec<u8>),
-    /// A frame came from another instance.
+    /// A frame arrived from another instance.
     Frame(Peer, Frame),
-    /// The session with another instance ended or could not be made.
+    /// The session with another instance ended or could not be established.
     SessionLost(InstanceName),
     /// A call to an upstream ended.
     CallEnded(CallId, CallResult),
-    /// An upstream's health and load were asked for.
+    /// A poll of an upstream's health and load ended.
     PollEnded(UpstreamName, Result<UpstreamReport, PollError>),
-    /// The platform's list of instances came.
+    /// The platform's list of instances and upstreams was received.
     InstanceList(Vec<Listed>),
-    /// The platform gave its configuration document.
+    /// The platform's configuration document was received.
     DocumentLoaded(Revision, String),
-    /// The platform answered, or stopped answering.
+    /// Whether the platform can be reached has changed.
     PlatformReachable(bool),
-    /// Time has passed. This comes at least every [`crate::MAX_TICK_INTERVAL`].
+    /// Time has passed. Delivered at least once every [`crate::MAX_TICK_INTERVAL`].
     Tick,
-    /// A planned stop begins.
+    /// Starts a planned stop.
     Stop,
 }
 
 /// How a call to an upstream ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
-    /// A whole answer came, and it names this call.
+    /// The upstream returned a complete answer that carries this call's id.
     Answered(Vec<u8>),
-    /// The upstream refused before it began; the request has not run.
+    /// The upstream refused the request before starting it; the request has not run.
     Shed,
-    /// The upstream takes no more work; the request has not run.
+    /// The upstream is draining and accepts no new work; the request has not run.
     Draining,
-    /// No connection could be made; the request has not run.
+    /// No connection could be established; the request has not run.
     Unreachable,
-    /// The call failed after it was sent.
+    /// The call failed after the request was sent.
     Failed,
-    /// The upstream answered another request's call, or the answer was cut or too long.
+    /// The answer belongs to another call, is truncated or is too long.
     Mismatched,
     /// The deadline passed.
     TimedOut,
 }
 
-/// An upstream gave no usable report.
+/// An upstream returned no usable report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollError;
 
-/// What an upstream says of itself.
+/// An upstream's report on its own health and load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamReport {
-    /// The upstream's life.
+    /// The upstream's incarnation.
     pub incarnation: Incarnation,
-    /// Whether it says that it is fit to serve.
+    /// Whether it reports itself as healthy.
     pub healthy: bool,
-    /// Whether it says that it takes no new work.
+    /// Whether it reports that it accepts no new work.
     pub draining: bool,
-    /// How many requests it says it is serving.
+    /// The number of requests that it reports to be serving.
     pub busy: Slots,
-    /// How long ago it started.
+    /// The time since it started.
     pub age: Duration,
 }
 
@@ -96,27 +96,27 @@
 pub enum Listed {
     /// An entry instance.
     Entry {
-        /// Its name.
+        /// The name.
         name: InstanceName,
-        /// Its life.
+        /// The incarnation.
         incarnation: Incarnation,
-        /// Its availability zone.
+        /// The availability zone.
         zone: ZoneName,
-        /// Where it listens for other instances.
+        /// The address at which it listens for other instances.
         address: SocketAddr,
-        /// Where operators reach it, if it says so.
+        /// The address of its admin interface, if published.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         admin: Option<SocketAddr>,
-        /// Whether it is leaving.
+        /// Whether it has announced that it is leaving.
         leaving: bool,
     },
     /// An upstream.
     Upstream {
-        /// Its name.
+        /// The name.
         name: UpstreamName,
-        /// Its life.
+        /// The incarnation.
         incarnation: Incarnation,
-        /// Whether it is leaving.
+        /// Whether it has announced that it is leaving.
         leaving: bool,
     },
 }
--- a/crates/node/src/flow_table.rs
+++ b/crates/node/src/flow_table.rs
@@ -1,6 +1,7 @@
-//! Ledgers by flow, when each is due to be looked at, and how many each group of callers has made.
+//! A table of ledgers by flow, with the time at which each is next checked for expiry and the number of flows per
+//! group of callers.
 //!
-//! This part knows nothing of what ledgers say, nor of how long they are to be tracked.
+//! The table does not interpret ledgers and does not decide how long they are kept.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -14,15 +15,15 @@
 use crate::FlowKey;
 use crate::Ledger;
 
-/// How many groups of callers are told apart. Memory must not grow with the number of callers.
+/// The number of groups of callers. Fixed, so that memory does not grow with the number of callers.
 const CALLER_GROUPS: u64 = 4_096;
 
-/// The callers whose addresses have the same hash. Few share a group with a given other one.
+/// The callers whose addresses hash to the same value. Few callers share a group with a given other one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallerGroup(u16);
 
 impl CallerGroup {
-    /// The group of an address. Nobody who doesn't know the seed can choose whose group to be in.
+    /// The group of an address. The hash is seeded so that a caller can't choose to share another caller's group.
     pub fn of(address: IpAddr, seed: u64) -> Self {
         let mut hasher = DefaultHasher::new();
         seed.hash(&mut hasher);
@@ -31,7 +32,7 @@
     }
 }
 
-/// A flow's ledger, when it is due, and whose it is if that is known.
+/// A flow's ledger, when it is next checked, and the group of the caller if known.
 #[derive(Debug, Clone)]
 struct TrackedFlow {
     ledger: Ledger,
@@ -43,9 +44,9 @@
 #[derive(Debug, Clone)]
 pub(crate) struct FlowTable {
     tracked: HashMap<FlowKey, TrackedFlow>,
-    /// Each flow once, so that what is queued is bounded by the number of flows.
+    /// When each flow is next checked. Each flow appears once, so the size is bounded by the number of flows.
     due: BTreeSet<(Time, FlowKey)>,
-    /// How many flows each group has.
+    /// The number of flows per group.
     group_sizes: Vec<u32>,
 }
 
@@ -101,7 +102,7 @@
         Some(tracked.ledger)
     }
 
-    /// A flow that is due, if there is one. It stays due until it is removed or set to a later time.
+    /// A flow that is due, if there is one. It stays due until it is removed or [`FlowTable::set_due`] postpones it.
     pub fn first_due(&self, now: Time) -> Option<FlowKey> {
         let (due, key) = self.due.first()?;
         (*due <= now).then_some(*key)
@@ -116,12 +117,12 @@
         tracked.due = due;
     }
 
-    /// How many flows a group has.
+    /// The number of flows of a group.
     pub fn group_size(&self, group: CallerGroup) -> usize {
         self.group_sizes[usize::from(group.0)] as usize
     }
 
-    /// Notes whose a flow is, unless that is known.
+    /// Assigns a flow to a group unless it already belongs to one.
     pub fn assign_group(&mut self, key: FlowKey, group: CallerGroup) {
         let tracked = self.tracked.get_mut(&key).filter(|tracked| tracked.group.is_none());
         if let Some(tracked) = tracked {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Takes all ledgers out, in a fixed order.
+    /// Removes and returns all ledgers in a deterministic order.
     pub fn drain(&mut self) -> Vec<(FlowKey, Ledger)> {
         let tracked = std::mem::take(self).tracked.into_iter();
         let mut flows: Vec<_> = tracked.map(|(key, tracked)| (key, tracked.ledger)).collect();
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,4 +1,4 @@
-//! Ledgers in the form in which they are handed over.
+//! The form in which ledgers are handed over.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,19 @@
 use crate::RequestState;
 use crate::ticket::Ticket;
 
-/// About how many bytes of ledgers go into one frame: few enough frames for a session's queue, even with long answers.
+/// The approximate number of bytes of ledgers in one frame. Large enough that the frames of a hand-over fit into a
+/// session's queue, even with long answers.
 const PART_BYTES: usize = 1_024 * 1_024;
-/// About what a flow takes besides its entries.
+/// The approximate size of a flow without its entries.
 const FLOW_BYTES: usize = 64;
-/// About what a waiting request takes besides its body.
+/// The approximate size of a waiting request without its body.
 const REQUEST_BYTES: usize = 640;
-/// About what an answer takes besides its body.
+/// The approximate size of an answer without its body.
 const ANSWER_BYTES: usize = 64;
-/// About what any other entry takes.
+/// The approximate size of any other entry.
 const OTHER_ENTRY_BYTES: usize = 32;
 
-/// A waiting request, as it is handed over.
+/// Converts a waiting request into the form in which it is handed over.
 pub(crate) fn handover_body(ticket: Ticket, now: Time) -> Body {
     let remaining = Millis::from(now.until(ticket.deadline));
     Body {
@@ -39,8 +40,8 @@
     }
 }
 
-/// Writes a ledger for the hand-over, in several pieces if it holds long answers. `bodies` are the requests that
-/// wait, `me` is where the others run.
+/// Packs a ledger for the hand-over, in several pieces if it holds long answers. `bodies` holds the requests that
+/// wait for a slot; the other running ones are in progress at `local`.
 pub(crate) fn pack_ledger(
     key: FlowKey,
     ledger: Ledger,
@@ -76,9 +77,9 @@
     pieces
 }
 
-/// Cuts ledgers into parts of at most [`PART_BYTES`] or one piece. There is always at least one part.
+/// Splits ledgers into parts of at most [`PART_BYTES`] or a single piece. There is always at least one part.
 ///
-/// A piece of one entry fits a frame, since the daemon takes no longer answer than that from an upstream.
+/// A piece with one entry fits into a frame, since the daemon accepts no longer answer from an upstream.
 pub(crate) fn split_into_parts(flows: &[HandoverFlow]) -> Vec<&[HandoverFlow]> {
     let mut parts = Vec::new();
     let mut start = 0;
--- a/crates/node/src/home.rs
+++ b/crates/node/src/home.rs
@@ -1,7 +1,8 @@
-//! The home's part: the central queue of a service, and the owner's side of asking for its slots.
+//! The home of a service: its central queue, from which slots are granted to the owners of requests.
 //!
-//! What a home knows is soft. Owners ask again, and tell a new home what they hold, so nothing here needs to outlive
-//! the instance. A wrong view costs efficiency and never safety, since an upstream sheds what is too much.
+//! A home holds soft state only. Owners repeat their requests and report the slots that they hold to a new home, so
+//! nothing here needs to survive the instance. An inconsistent view costs efficiency but never safety, since an
+//! upstream sheds excess load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,31 +34,31 @@
 use crate::ingress::RETRY_SOON;
 use crate::node::Context;
 
-/// How often a home asks its upstreams for health and load.
+/// How often a home polls its upstreams for health and load.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How far polls are apart at least, over all upstreams, so that they stay within what control may cost.
+/// The minimum time between polls over all upstreams, which bounds the cost of control traffic.
 const MIN_POLL_SPACING: Duration = Duration::from_millis(250);
 
-/// Names a request for a slot at a home.
+/// Identifies a slot request at a home.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct SlotKey {
     /// The owner of the request.
     pub peer: Peer,
-    /// The owner's name for it.
+    /// The owner's ticket for the request.
     pub ticket: TicketId,
 }
 
-/// A service whose slots this instance lends.
+/// A service for which this instance grants slots.
 #[derive(Debug, Clone)]
 pub(crate) struct Home {
-    /// The service's central queue.
+    /// The service's central queue and its upstreams.
     pub pool: Pool<SlotKey>,
-    /// When its upstreams are asked next.
+    /// When its upstreams are next polled.
     next_poll: Time,
 }
 
 impl Node {
-    /// The pool of a service, made if there is none yet.
+    /// The state of a service's home, created if there is none yet. Returns `None` if the service is unknown.
     fn home_or_create(&mut self, service: &ServiceName, now: Time) -> Option<&mut Home> {
         if !self.homes.contains_key(service) {
             let home = self.create_home(service, now)?;
@@ -76,7 +77,7 @@
         Some(Home { pool, next_poll: now })
     }
 
-    /// Runs `change` on a service's pool and queues what the pool decides.
+    /// Runs `change` on a service's pool and queues the pool's decisions. Returns whether the service is known.
     pub(crate) fn with_pool(
         &mut self,
         service: &ServiceName,
@@ -108,7 +109,7 @@
         };
         let now = cx.now;
         let asked = self.with_pool(&acquire.service, now, |pool, out| match pool.lent(&key).cloned() {
-            // The owner asks again because the grant was lost.
+            // The owner repeats its request because the grant was lost.
             Some(upstream) => out.push(Decision::Grant {
                 key: key.clone(),
                 upstream,
@@ -167,7 +168,7 @@
         });
     }
 
-    /// Carries out what the pools have decided, and what follows from that.
+    /// Applies the queued decisions of the pools, including those that result from applying them.
     pub(crate) fn apply_decisions(&mut self, cx: &mut Context<'_>) {
         while let Some(decision) = self.pending_decisions.pop_front() {
             match decision {
@@ -204,7 +205,7 @@
         self.send(cx, &key.peer, Frame::Deny(deny));
     }
 
-    /// Lets pools expire, asks upstreams for health and load, and drops pools that have moved away.
+    /// Advances the pools, polls upstreams that are due, and drops idle pools whose home is elsewhere.
     pub(crate) fn tick_homes(&mut self, cx: &mut Context<'_>) {
         if std::mem::take(&mut self.view_changed) {
             self.create_local_homes(cx.now);
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Makes the pools of services whose home is here, so that their upstreams are known before the first request.
+    /// Creates the pools of services whose home is here, so that their upstreams are known before the first request.
     fn create_local_homes(&mut self, now: Time) {
         let names: Vec<ServiceName> = self.documents.missing_from(&self.home_cache);
         for name in names {
@@ -244,7 +245,7 @@
         }
     }
 
-    /// How often each upstream is asked. What it says of calls comes at once and does not wait for this.
+    /// How often each upstream is polled. The outcome of calls takes effect at once and does not wait for a poll.
     fn poll_interval(&self) -> Duration {
         let upstreams = self.homes.values().map(|home| home.pool.upstreams());
         let upstreams = u32::try_from(upstreams.sum::<usize>()).unwrap_or(u32::MAX);
@@ -261,7 +262,7 @@
     }
 }
 
-/// The upstreams of a service that get no new work.
+/// The upstreams of a service that are leaving and get no new work.
 pub(crate) fn leaving_upstreams(
     service: &Service,
     known: &BTreeMap<UpstreamName, Incarnation>,
@@ -269,7 +270,7 @@
 ) -> Vec<UpstreamName> {
     let mut leaving = Vec::new();
     for upstream in &service.upstreams {
-        // The incarnation may not be known here yet. The first poll readmits an upstream that has begun anew.
+        // The incarnation may not be known here yet. The first poll readmits an upstream that has restarted.
         let incarnation = known.get(&upstream.name).copied().unwrap_or_default();
         if membership.is_leaving(&upstream.name, incarnation) {
             leaving.push(upstream.name.clone());
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -1,6 +1,6 @@
-//! Where packets come in: decode, authenticate, find the owner.
+//! Ingress of packets: decodes and authenticates them and routes them to the owner of their flow.
 //!
-//! This part never says `not run` of a request; only an owner may.
+//! This module never refuses a request with the verdict `not run`; only the owner may.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,25 +31,25 @@
 use crate::node::Context;
 use crate::peers::OwnerLocation;
 
-/// How many instances may pass a packet on before it is dropped.
+/// How often a packet may be forwarded between instances before it is dropped.
 const MAX_HOPS: u8 = 4;
-/// How long an instance named by a new token may still be unheard of elsewhere.
+/// How long gossip may take to spread an instance that new tokens name as owner.
 const GOSSIP_PROPAGATION: Duration = Duration::from_secs(5);
-/// When to come back after a refusal that time alone may mend.
+/// The retry delay for refusals whose cause may be transient.
 pub(crate) const RETRY_SOON: Millis = Millis(200);
-/// When to come back after a refusal that only a change of configuration mends.
+/// The retry delay for refusals that are unlikely to change without a new token or configuration.
 const RETRY_LATE: Millis = Millis(5_000);
 
-/// A caller's packet on its way through the instances.
+/// A caller's packet while it is routed between instances.
 #[derive(Debug, Clone)]
 pub(crate) struct RoutedPacket {
-    /// Where the reply goes.
+    /// The address to which the reply is sent.
     pub caller: SocketAddr,
     /// The availability zone in which it arrived.
     pub zone: ZoneName,
     /// The packet.
     pub packet: Packet,
-    /// How many instances have passed it on.
+    /// How often it has been forwarded.
     pub hops: u8,
 }
 
@@ -95,7 +95,7 @@
         );
     }
 
-    /// Takes a packet to the part of the system that answers it.
+    /// Routes a packet to the instance that answers it.
     pub(crate) fn route(&mut self, cx: &mut Context<'_>, routed: RoutedPacket) {
         let Some(sealed) = routed.packet.token() else {
             if let Packet::Open(open) = &routed.packet {
@@ -127,7 +127,8 @@
         cx.push(Action::Send { to, address, frame });
     }
 
-    /// A newcomer may not have heard of an owner that lives. Another instance may know better.
+    /// Handles a packet whose owner this node has not heard of. The owner may still be alive and known to others, so
+    /// the packet is first forwarded to a random instance.
     fn route_to_unknown_owner(&mut self, cx: &mut Context<'_>, claims: &Claims, routed: RoutedPacket) {
         if routed.hops == 0
             && let Some((name, address)) = self.random_peer()
@@ -136,7 +137,7 @@
         }
         let young = cx.now.since(claims.issued) < GOSSIP_PROPAGATION;
         if young || !self.is_discovery_complete(cx.now) {
-            // The caller sends its packet again, and by then more is known.
+            // The caller will resend the packet, and gossip may have reached this node by then.
             return;
         }
         self.refuse_owner_gone(cx, claims, &routed);
@@ -181,7 +182,7 @@
         cx.record(Record::Opened(claims.service, flow));
     }
 
-    /// Refuses to open a flow. Nothing can have run, as there is no flow yet.
+    /// Refuses to open a flow. As there is no flow yet, nothing can have run.
     fn refuse_open(
         &mut self,
         cx: &mut Context<'_>,
@@ -203,7 +204,7 @@
         cx.push(Action::Reply(caller, Reply::Refused(refused)));
     }
 
-    /// Refuses a packet whose token does not name a flow of its service.
+    /// Refuses a packet whose token is invalid or belongs to another service.
     fn refuse_invalid_token(&mut self, cx: &mut Context<'_>, routed: &RoutedPacket, reason: Reason) {
         let verdict = Verdict::MayHaveRun;
         self.counters.count_refusal(verdict, reason);
@@ -221,7 +222,7 @@
         cx.push(Action::Reply(routed.caller, Reply::Refused(refused)));
     }
 
-    /// Refuses a packet whose owner is gone, and offers a token of a living one.
+    /// Refuses a packet whose owner is gone, and offers a token that names the current home as owner.
     fn refuse_owner_gone(&mut self, cx: &mut Context<'_>, claims: &Claims, routed: &RoutedPacket) {
         let (subject, reason, granted) = match &routed.packet {
             Packet::Request(request) => {
@@ -262,8 +263,8 @@
         })
     }
 
-    /// A token that should replace `sealed`: its owner is not the home any more, its upstream has changed, or it
-    /// ages.
+    /// Returns a replacement for the token `sealed` if its owner is no longer the home, its pinned upstream has
+    /// changed, it is past half of its lifetime, or it was sealed with an old key.
     pub(crate) fn renew_token(
         &mut self,
         cx: &Context<'_>,
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -1,9 +1,9 @@
-//! What an owner knows of the requests of its flows.
+//! The ledger of a flow: the owner's record of the flow's requests.
 //!
-//! A ledger decides whether a request may still begin. It knows nothing of upstreams, packets or other instances.
-//! The rule that all else rests on: a request begins only when [`crate::Ledgers::look_up`] says [`crate::Lookup::New`], and its
-//! line stays until its number lies at or below the floor, where nothing begins. This holds for idempotent requests
-//! too: were they left out, a late copy could run after its refusal had said `not run`.
+//! A ledger decides whether a request may still start. It is independent of upstreams, packets and other instances.
+//! The invariant on which all guarantees rest: a request starts only if [`crate::Ledgers::look_up`] returns
+//! [`crate::Lookup::New`], and its entry is kept until its number is at or below the floor, where no request starts.
+//! Idempotent requests are included: otherwise a late copy could run after the request was refused as `not run`.
 
 use thin_vec::ThinVec;
 use units::FlowId;
@@ -15,29 +15,29 @@
 use wire::TicketId;
 use wire::Verdict;
 
-/// The most requests of one flow that a ledger tells apart. Older ones sink below the floor.
+/// The maximum number of entries in a ledger. Older entries are evicted and fall below the floor.
 const MAX_ENTRIES: usize = 64;
-/// Names a flow everywhere: the incarnation in its token, and the flow's own number.
+/// Identifies a flow globally by the incarnation in its token and the flow's id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
-    /// The incarnation that the flow's token names.
+    /// The incarnation named in the flow's token.
     pub owner: Incarnation,
     /// The flow.
     pub flow: FlowId,
 }
 
-/// How a request stands.
+/// The state of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestState {
-    /// It waits for a slot or runs, under this ticket.
+    /// It waits for a slot or is being called, under this ticket.
     Running(TicketId),
-    /// It was in progress at this incarnation when that one handed it over.
+    /// It was in progress at this incarnation when its ledger was handed over.
     RunningElsewhere(Incarnation),
-    /// It ran, and this is its answer.
+    /// It ran and returned this answer.
     Answered(Box<Answer>),
-    /// It ran, and its answer is no longer held.
+    /// It ran, but its answer is no longer held.
     AnswerDiscarded,
-    /// It was refused for good.
+    /// It was refused with a final verdict.
     Refused(Verdict, Reason),
 }
 
@@ -47,25 +47,25 @@
     }
 }
 
-/// A request's line in its flow's ledger.
+/// A request's entry in its flow's ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LedgerEntry {
-    /// The request.
+    /// The sequence number of the request.
     pub seq: RequestSeq,
-    /// How it stands.
+    /// The state of the request.
     pub state: RequestState,
 }
 
 /// One flow's ledger.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Ledger {
-    /// Requests up to this number have ended or will never run, unless `entries` tells otherwise.
+    /// Requests up to this number have ended or will never run, unless `entries` holds another state.
     pub floor: RequestSeq,
-    /// The highest number that the caller is known to have used.
+    /// The highest sequence number that the caller is known to have used.
     pub sent: RequestSeq,
-    /// Until when the ledger is kept. Every request moves this on.
+    /// When the ledger expires. Every request extends this.
     pub keep_until: Time,
-    /// The requests known one by one, in the order in which they came.
+    /// The requests that are tracked individually, in order of arrival.
     pub entries: ThinVec<LedgerEntry>,
 }
 
@@ -74,7 +74,7 @@
         self.entries.iter().find(|entry| entry.seq == seq)
     }
 
-    /// Makes room for one more line by letting the oldest ended one sink below the floor.
+    /// Makes room for one more entry by evicting the ended one with the lowest number. Returns whether there is room.
     pub(crate) fn make_room(&mut self) -> bool {
         if self.entries.len() < MAX_ENTRIES {
             return true;
--- a/crates/node/src/ledgers.rs
+++ b/crates/node/src/ledgers.rs
@@ -1,4 +1,4 @@
-//! The ledgers of all flows that an instance owns, and how long they are kept.
+//! The ledgers of all flows that an instance owns, and their expiry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -19,30 +19,30 @@
 use crate::flow_table::CallerGroup;
 use crate::flow_table::FlowTable;
 
-/// How long a copy of a datagram may be under way. A closed flow's ledger outlives its last packet by this.
+/// The maximum time that a copy of a datagram may be in flight. The ledger of a closed flow is kept for this long.
 const MAX_PACKET_LIFETIME: Duration = Duration::from_mins(2);
-/// How many free places a queue may keep, however short it is.
+/// The spare capacity that a queue may keep regardless of its length.
 const MIN_QUEUE_CAPACITY: usize = 256;
-/// How soon a flow whose ledger is due but still in use is looked at again.
+/// How soon a ledger that is due but still in use is checked again.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a request that is looked up, begins or is refused has a ledger.
-const LEDGER_EXISTS: &str = "looking a request up makes its flow's ledger";
+/// The panic message if a request that is looked up, started or refused has no ledger.
+const LEDGER_EXISTS: &str = "a request must be looked up first, which creates its flow's ledger";
 
-/// What a ledger says of a request that has just come.
+/// The result of looking up a request that has been received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Lookup<'a> {
-    /// It has not come before, and may begin.
+    /// It has not been received before and may start.
     New,
-    /// It is at or below the floor and no line tells what became of it.
+    /// It is at or below the floor, and there is no entry for it.
     TooOld,
-    /// It has come before.
+    /// It has been received before.
     Known(&'a RequestState),
     /// The ledger is full of requests in progress.
     Full,
 }
 
-/// When the line of a request that has ended sinks.
+/// When the entry of an ended request is evicted.
 #[derive(Debug, Clone)]
 struct EntryExpiry {
     at: Time,
@@ -55,7 +55,7 @@
 pub struct Ledgers {
     flows: FlowTable,
     ended: VecDeque<EntryExpiry>,
-    /// Answers that may be held, oldest first.
+    /// Requests whose answers may still be held, oldest first.
     answers: VecDeque<(FlowKey, RequestSeq)>,
     answer_bytes: u64,
     ledger_retention: Duration,
@@ -63,8 +63,10 @@
 }
 
 impl Ledgers {
-    /// Ledgers that outlive their flow's last request by `keep_flows`, which must be longer than any token lives,
-    /// and that hold an answer for `answer_retention`.
+    /// Creates an empty set of ledgers.
+    ///
+    /// A ledger is kept for `ledger_retention` after its flow's last request, which must be longer than any token is
+    /// valid. An answer is held for `answer_retention`.
     pub fn new(ledger_retention: Duration, answer_retention: Duration) -> Self {
         Self {
             flows: FlowTable::default(),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// How many flows have a ledger.
+    /// The number of flows with a ledger.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
@@ -86,12 +88,12 @@
         self.flows.len() == 0
     }
 
-    /// How many bytes of answers are held.
+    /// The number of bytes of answers that are held.
     pub fn answer_bytes(&self) -> u64 {
         self.answer_bytes
     }
 
-    /// How many times of expiry are queued for flows.
+    /// The number of expiry times that are queued for flows.
     pub fn expiries(&self) -> usize {
         self.flows.expiries()
     }
@@ -101,15 +103,16 @@
         self.flows.contains(key)
     }
 
-    /// Whether a group of callers may have one more flow, of `limit` in all.
+    /// Whether a group of callers may have one more flow, given a total limit of `limit` flows.
     ///
-    /// It may have as many as are free, so one caller gets half, two get a third each, and some are always left for
-    /// others. A fixed share would be too small for the only caller, or too large for the tenth.
+    /// A group may have as many flows as are left free, so one group gets at most half of the limit, two get a third
+    /// each, and some are always left for others. A fixed share would be too small for a single caller or too large
+    /// for the tenth.
     pub(crate) fn has_room(&self, group: CallerGroup, limit: usize) -> bool {
         self.flows.group_size(group) < limit.saturating_sub(self.len())
     }
 
-    /// Counts a flow as one of this group's, unless it counts already. Flows that were handed over count for nobody.
+    /// Assigns a flow to this group unless it already belongs to one. Flows that were handed over belong to no group.
     pub(crate) fn assign_group(&mut self, key: FlowKey, group: CallerGroup) {
         self.flows.assign_group(key, group);
     }
@@ -119,7 +122,7 @@
         self.flows.get(key)
     }
 
-    /// Notes that a request has come and tells how it stands. `floor` is the token's, `sent` the packet's.
+    /// Records the arrival of a request and returns its state. `floor` is taken from the token, `sent` from the packet.
     pub fn look_up(
         &mut self,
         key: FlowKey,
@@ -142,33 +145,39 @@
         if let Some(index) = ledger.entries.iter().position(|entry| entry.seq == seq) {
             return Lookup::Known(&ledger.entries[index].state);
         }
-        // The token's floor holds for this packet, whatever floor the ledger was made with.
+        // The token's floor applies to this packet even if the ledger was created with a lower one.
         if seq <= ledger.floor.max(floor) {
             return Lookup::TooOld;
         }
         if !ledger.make_room() {
             return Lookup::Full;
         }
-        // Making room may have raised the floor.
+        // Making room may have raised the floor above this request.
         if seq <= ledger.floor {
             return Lookup::TooOld;
         }
         Lookup::New
     }
 
-    /// Writes the line of a request that begins. Only a [`Lookup::New`] may lead here.
+    /// Records that a request starts. May only follow a [`Lookup::New`].
     pub fn begin(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) {
         self.insert_new(key, seq, RequestState::Running(ticket));
     }
 
     fn insert_new(&mut self, key: FlowKey, seq: RequestSeq, state: RequestState) {
         let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
-        assert!(ledger.entry(seq).is_none(), "a request begins or is refused once");
-        assert!(seq > ledger.floor, "a request at or below the floor may have run");
+        assert!(
+            ledger.entry(seq).is_none(),
+            "a request must start or be refused at most once"
+        );
+        assert!(
+            seq > ledger.floor,
+            "a request at or below the floor may have run and must not start"
+        );
         ledger.entries.push(LedgerEntry { seq, state });
     }
 
-    /// Writes how a request ended. A request that has ended before keeps its first end.
+    /// Records how a request ended. If it has ended before, its first final state is kept.
     pub fn end(&mut self, key: FlowKey, seq: RequestSeq, state: RequestState, now: Time) {
         let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return;
@@ -187,13 +196,13 @@
         }
     }
 
-    /// Writes the final refusal of a request that never began. Only a [`Lookup::New`] may lead here.
+    /// Records the final refusal of a request that never started. May only follow a [`Lookup::New`].
     pub fn refuse(&mut self, key: FlowKey, seq: RequestSeq, reason: Reason, now: Time) {
         self.insert_new(key, seq, RequestState::Refused(Verdict::NotRun, reason));
         self.schedule_eviction(key, seq, now);
     }
 
-    /// Lets the line of a request that has ended sink when its answer needs to be kept no longer.
+    /// Schedules the eviction of an ended request's entry for when its answer need no longer be kept.
     fn schedule_eviction(&mut self, key: FlowKey, seq: RequestSeq, now: Time) {
         let at = now + self.answer_retention;
         self.ended.push_back(EntryExpiry { at, key, seq });
@@ -208,7 +217,7 @@
         }
     }
 
-    /// Lets go of an answer that the caller has whole.
+    /// Discards an answer that the caller has received completely.
     pub fn forget_answer(&mut self, key: FlowKey, seq: RequestSeq) {
         let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return;
@@ -219,7 +228,7 @@
         }
     }
 
-    /// Forgets what has been kept long enough, and the oldest answers beyond `max_bytes`.
+    /// Discards expired entries and ledgers, and the oldest answers beyond `max_bytes`.
     pub fn expire(&mut self, now: Time, max_bytes: u64) {
         while self.answer_bytes > max_bytes {
             let Some((key, seq)) = self.answers.pop_front() else {
@@ -242,7 +251,8 @@
 
     fn expire_entry(&mut self, expiry: &EntryExpiry) {
         self.forget_answer(expiry.key, expiry.seq);
-        // Answers end and expire in the same order, so the front of the queue is this one or an earlier one.
+        // Answers expire in the order in which they were added, so the front of the queue is this answer or an earlier
+        // one.
         while let Some((key, seq)) = self.answers.front() {
             if self.answer(*key, *seq).is_some() {
                 break;
@@ -256,8 +266,8 @@
         let Some(index) = ledger.entries.iter().position(ended) else {
             return;
         };
-        // What is still missing below this number is turned away from now on. It has been under way for so long
-        // that nobody waits for it.
+        // Requests below this number that have not arrived yet are refused as too old from now on. They have been in
+        // flight for so long that no caller waits for them.
         ledger.evict(index);
         if ledger.entries.is_empty() {
             ledger.entries = ThinVec::new();
@@ -268,7 +278,7 @@
         let Some(ledger) = self.flows.get(key) else {
             return;
         };
-        // What was in progress elsewhere has ended by now, and the word of that was lost.
+        // Requests that were running at another instance have ended by now; the message that said so was lost.
         let running = |entry: &LedgerEntry| matches!(entry.state, RequestState::Running(_));
         if ledger.keep_until > now || ledger.entries.iter().any(running) {
             let due = ledger.keep_until.max(now + RECHECK_INTERVAL);
@@ -277,7 +287,8 @@
         self.remove(key);
     }
 
-    /// Notes that the caller has closed a flow. Its ledger stays for as long as copies of its packets may be under way.
+    /// Records that the caller has closed a flow. Its ledger is kept for as long as copies of its packets may be in
+    /// flight.
     pub fn close(&mut self, key: FlowKey, now: Time) {
         let Some(ledger) = self.flows.get_mut(key) else {
             return;
@@ -301,7 +312,8 @@
         }
     }
 
-    /// Takes over a ledger and keeps it as if a request had just come. One that is already there is left alone.
+    /// Installs a ledger that was handed over, retained as if a request had just arrived. An existing ledger of the
+    /// flow is left unchanged.
     pub fn install(&mut self, key: FlowKey, mut ledger: Ledger, now: Time) {
         if self.flows.contains(key) {
             return;
@@ -320,7 +332,7 @@
         self.flows.insert(key, ledger, due);
     }
 
-    /// Lets a request that was in progress elsewhere begin here, because the other instance never ran it.
+    /// Marks a request that was in progress elsewhere as running here, because the other instance never ran it.
     pub fn resume(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) -> bool {
         let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return false;
@@ -332,7 +344,7 @@
         true
     }
 
-    /// The incarnation at which a request is in progress, if that is not this one.
+    /// The other incarnation at which a request is in progress, if any.
     pub fn running_elsewhere_at(&self, key: FlowKey, seq: RequestSeq) -> Option<Incarnation> {
         let entry = self.get(key)?.entry(seq)?;
         match entry.state {
@@ -341,7 +353,7 @@
         }
     }
 
-    /// The requests that are in progress at another incarnation.
+    /// The requests that are in progress at this other incarnation.
     pub fn requests_running_at(&self, incarnation: Incarnation) -> Vec<(FlowKey, RequestSeq)> {
         let mut found = Vec::new();
         for (key, ledger) in self.flows.iter() {
@@ -355,7 +367,7 @@
         found
     }
 
-    /// Takes all ledgers out, in a fixed order.
+    /// Removes and returns all ledgers in a deterministic order.
     pub fn drain(&mut self) -> Vec<(FlowKey, Ledger)> {
         self.ended.clear();
         self.answers.clear();
@@ -369,7 +381,7 @@
     ledger.entries.iter_mut().find(|entry| entry.seq == seq)
 }
 
-/// Gives memory back after a peak.
+/// Releases memory after a peak.
 fn shrink_queue<T>(queue: &mut VecDeque<T>) {
     if queue.capacity() > 4 * queue.len() + MIN_QUEUE_CAPACITY {
         queue.shrink_to(2 * queue.len() + MIN_QUEUE_CAPACITY);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,13 @@
-//! The entry instance as a pure state machine: events and the time in, actions out.
+//! The entry instance as a deterministic state machine: it takes events and the current time and returns actions.
 //!
-//! This crate does no I/O, reads no clock and draws no randomness but from the seed it is given. The daemon, the
-//! randomised tests and the scenarios drive the same code.
+//! This crate does no I/O, reads no clock and takes all randomness from a seed, so that the daemon, the randomised
+//! tests and the scenarios can run the same code.
+//!
+//! A flow is the sequence of requests that one caller sends to one service. The instance named in the flow's token, or
+//! the successor that took over its ledgers, is its owner: it alone starts requests of the flow, and it keeps a ledger
+//! per flow that records which requests have started and how they ended, so that a repeated packet never starts its
+//! request again. The home of a service is the instance that queues the service's requests and grants slots (units of
+//! upstream capacity) to owners.
 
 mod action;
 mod documents;
@@ -53,5 +59,5 @@
 pub use status::Status;
 pub use status::UpstreamStatus;
 
-/// The longest time between two ticks.
+/// The maximum time between two [`Event::Tick`]s.
 pub const MAX_TICK_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,21 +1,21 @@
-//! Bounds on what a node keeps.
+//! Limits on the state that a node holds.
 
 use std::time::Duration;
 
 use units::Bytes;
 
-/// Bounds on what a node keeps.
+/// Limits on the state that a node holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// The most flows with a ledger. One caller gets as many as it leaves free.
+    /// The maximum number of flows with a ledger. A group of callers may have at most as many as are left free.
     pub flows: usize,
-    /// The most requests in progress.
+    /// The maximum number of requests in progress.
     pub requests: usize,
-    /// The most bytes of answers that wait to be pulled.
+    /// The maximum number of bytes of answers that are held for callers to pull.
     pub answer_bytes: Bytes,
-    /// How long an answer waits to be pulled.
+    /// How long an answer is held for the caller to pull.
     pub answer_retention: Duration,
-    /// The longest time that a request may ask for.
+    /// The maximum timeout of a request. Longer timeouts are reduced to it.
     pub max_timeout: Duration,
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node itself: what it keeps, and which part handles which event.
+//! The node's state and the dispatch of events to their handlers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -40,50 +40,50 @@
 use crate::stop::StopState;
 use crate::ticket::Ticket;
 
-/// How much longer a ledger is kept than a token lives, for clocks that differ.
+/// How much longer a ledger is kept than a token is valid, to allow for clock skew between instances.
 const CLOCK_MARGIN: Duration = Duration::from_mins(2);
 
-/// How long ledgers are kept after their last request, and incarnations after they were inherited.
+/// How long a ledger is kept after its last request, and an incarnation after it was inherited.
 pub(crate) fn ledger_retention(keyring: &Keyring) -> Duration {
     keyring.lifetime() + CLOCK_MARGIN
 }
 
-/// What a node is told at its start.
+/// The configuration of a node at startup.
 #[derive(Debug, Clone)]
 pub struct NodeConfig {
-    /// Its name.
+    /// The node's name.
     pub name: InstanceName,
-    /// Its life.
+    /// The node's incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The node's availability zone.
     pub zone: ZoneName,
-    /// Where it listens for other instances.
+    /// The address at which it listens for other instances.
     pub address: SocketAddr,
-    /// The keys for tokens.
+    /// The keys that seal and open tokens.
     pub keyring: Keyring,
-    /// Bounds on what it keeps.
+    /// Limits on the state that it holds.
     pub limits: Limits,
-    /// How long a planned stop may take.
+    /// The maximum duration of a planned stop.
     pub stop_within: Duration,
-    /// The seed for all its random choices.
+    /// The seed for all random choices.
     pub seed: u64,
 }
 
-/// Where a handler writes what it wants done, and the time it works at.
+/// The current time and the output of an event handler.
 pub(crate) struct Context<'a> {
-    /// The time.
+    /// The current time.
     pub now: Time,
-    /// What is to be done.
+    /// The actions to carry out.
     pub out: &'a mut Vec<Action>,
 }
 
 impl Context<'_> {
-    /// Wants an action done.
+    /// Adds an action to the output.
     pub fn push(&mut self, action: Action) {
         self.out.push(action);
     }
 
-    /// Keeps an event for the time line.
+    /// Adds a record to the timeline.
     pub fn record(&mut self, record: Record) {
         self.out.push(Action::Record(record));
     }
@@ -102,7 +102,7 @@
     pub(crate) rng: SmallRng,
     pub(crate) documents: Documents,
     pub(crate) membership: Membership,
-    /// Whose flows this node owns besides its own, and when it took over their ledgers.
+    /// The incarnations whose flows this node owns besides its own, and when it took over their ledgers.
     pub(crate) inherited: BTreeMap<Life, Time>,
     pub(crate) ledgers: Ledgers,
     pub(crate) tickets: BTreeMap<TicketId, Ticket>,
@@ -111,13 +111,13 @@
     pub(crate) last_ticket: u64,
     pub(crate) last_call: u64,
     pub(crate) homes: BTreeMap<ServiceName, Home>,
-    /// Decisions of the pools that have not been carried out yet.
+    /// Decisions of the pools that have not been applied yet.
     pub(crate) pending_decisions: VecDeque<Decision<SlotKey>>,
-    /// Where homes are, as last worked out for the present view.
+    /// The homes of services in the current view, filled on demand.
     pub(crate) home_cache: BTreeMap<ServiceName, Option<(Peer, SocketAddr)>>,
-    /// Whether the view or the document has changed since the homes were last worked out.
+    /// Whether the view or the document has changed since [`Node::tick_homes`] last ran.
     pub(crate) view_changed: bool,
-    /// The incarnations of upstreams, as they last told.
+    /// The incarnation that each upstream last reported.
     pub(crate) upstreams: BTreeMap<UpstreamName, Incarnation>,
     pub(crate) partial_handovers: BTreeMap<Incarnation, crate::takeover::PartialHandover>,
     pub(crate) stop: StopState,
@@ -127,7 +127,7 @@
 }
 
 impl Node {
-    /// A node at its start. It holds no document and knows no other instance.
+    /// Creates a node that holds no document and knows no other instance.
     pub fn new(setup: NodeConfig, now: Time) -> Self {
         let local = Member {
             name: setup.name.clone(),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Takes an event and writes what is to be done about it.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let cx = &mut Context { now, out };
         match event {
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,6 @@
-//! The owner's part: it alone lets requests of its flows begin, and it alone says that one has not run.
+//! Request handling at the owner of a flow.
+//!
+//! Only the owner starts requests of its flows, and only the owner may state that a request has not run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,17 +37,17 @@
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
-/// How long a home may leave a request for a slot unanswered before it is asked again.
+/// How long to wait for the home's answer to a slot request before requesting the slot again.
 const SLOT_REQUEST_RETRY: Duration = Duration::from_millis(400);
 
-/// Why a request may not begin.
+/// Why a request may not start.
 struct Rejection {
     reason: Reason,
     retry_after: Millis,
 }
 
 impl Node {
-    /// Takes a packet of a flow that this node owns.
+    /// Handles a packet of a flow that this node owns.
     pub(crate) fn handle_owned_packet(&mut self, cx: &mut Context<'_>, claims: Claims, routed: &RoutedPacket) {
         let key = FlowKey {
             owner: claims.incarnation,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Answers a request that has come before.
+    /// Replies to a request that has been received before.
     fn answer_duplicate(
         &mut self,
         cx: &mut Context<'_>,
@@ -179,17 +181,17 @@
         TicketId(self.last_ticket)
     }
 
-    /// Puts a request whose ledger line names this ticket in the queue of its service's home.
+    /// Queues a request at the home of its service. Its ledger entry already refers to this ticket.
     pub(crate) fn start_ticket(&mut self, cx: &mut Context<'_>, id: TicketId, ticket: Ticket) {
         self.deadlines.insert((ticket.deadline, id));
         self.tickets.insert(id, ticket);
         self.request_slot(cx, id);
     }
 
-    /// Calls the upstream whose slot was lent.
+    /// Calls the upstream for which a slot was granted.
     pub(crate) fn call_upstream(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: &UpstreamName) {
         let Some(address) = self.upstream_address(id, upstream) else {
-            // This instance's document may lag the home's. The home is asked again after a while.
+            // This instance's document may be older than the home's. The slot is requested again later.
             return self.release_slot(cx, id, Outcome::Unused, Duration::ZERO);
         };
         let Some(ticket) = self.tickets.get_mut(&id) else {
@@ -221,7 +223,7 @@
         }));
     }
 
-    /// Where to call an upstream for a request that still waits.
+    /// The address at which to call an upstream, if the request still waits for a slot.
     fn upstream_address(&self, id: TicketId, upstream: &UpstreamName) -> Option<SocketAddr> {
         let ticket = self.tickets.get(&id)?;
         if !matches!(ticket.phase, Phase::Waiting(_)) {
@@ -231,7 +233,7 @@
         service.upstream(upstream).map(|upstream| upstream.address)
     }
 
-    /// Takes the end of a call.
+    /// Handles the end of a call.
     pub(crate) fn handle_call_result(&mut self, cx: &mut Context<'_>, call: CallId, result: CallResult) {
         let Some(id) = self.calls.remove(&call) else {
             return;
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Asks for another slot if the request may still run, else refuses it.
+    /// Requests another slot if the request may be retried, else refuses it.
     fn retry_or_refuse(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: UpstreamName, outcome: Outcome) {
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
@@ -292,7 +294,7 @@
         self.record_end(cx, key, seq, RequestState::Answered(Box::new(answer)));
     }
 
-    /// Refuses a request for good. No call of it is in progress any more.
+    /// Refuses a request with a final verdict. No call of it may be in progress.
     pub(crate) fn refuse_request(&mut self, cx: &mut Context<'_>, id: TicketId, reason: Reason, retry_after: Millis) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
@@ -306,7 +308,7 @@
         self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, granted);
     }
 
-    /// Writes an end to the ledger, or tells whoever holds the ledger now.
+    /// Records the end of a request in the ledger, or sends it to the successor if the ledger was handed over.
     fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
         if self.stop.has_handed_over() {
             return self.send_final_state(cx, key, seq, &state);
@@ -323,7 +325,7 @@
         Some(ticket)
     }
 
-    /// Gives up what is past its deadline, and asks again for slots whose home stays silent.
+    /// Aborts requests that are past their deadline, and repeats slot requests that the home has not answered.
     pub(crate) fn tick_owner(&mut self, cx: &mut Context<'_>) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > cx.now {
@@ -350,7 +352,7 @@
         ticket.home != self.local && now.since(asked) > SLOT_REQUEST_RETRY
     }
 
-    /// Ends a request whatever it is doing.
+    /// Ends a request in any phase: withdraws its slot request or cancels its call, and refuses it.
     pub(crate) fn abort_request(&mut self, cx: &mut Context<'_>, id: TicketId, reason: Reason) {
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other instances: which live, which is whose home, and what follows when that changes.
+//! The other instances: which are alive, which is the home of a service, and the reaction to changes of the view.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,31 +26,31 @@
 use crate::node::Context;
 use crate::ticket::Phase;
 
-/// How long a node that has met others takes to learn the fleet.
+/// How long a node that has met another instance is given to learn of the rest.
 const DISCOVERY_PERIOD: Duration = Duration::from_millis(500);
-/// How long a node waits for others before it serves alone.
+/// How long a node that has met no other instance waits before it serves alone.
 const DISCOVERY_PERIOD_ALONE: Duration = Duration::from_secs(2);
 
-/// Where the owner of a flow is.
+/// The location of the owner of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum OwnerLocation {
-    /// This node owns the flow.
+    /// This node is the owner.
     Local,
-    /// This instance owns it.
+    /// This instance is the owner.
     Remote(Peer, SocketAddr),
-    /// Nothing is known of the owner.
+    /// The owner is not known to this node.
     Unknown,
-    /// The owner is gone, and nobody has its ledgers.
+    /// The owner is gone, and no instance holds its ledgers.
     Gone,
 }
 
 impl Node {
-    /// Whether this node owns the flows of this life of an instance: it is its own, or it has taken over its ledgers.
+    /// Whether this node owns the flows of an incarnation: its own, or one whose ledgers it has taken over.
     pub(crate) fn owns(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
         if incarnation == self.local.incarnation && *name == self.local.name {
             return true;
         }
-        // Most nodes have inherited nothing, and the name is copied for each packet otherwise.
+        // Most nodes have inherited nothing. This avoids cloning the name for each packet.
         if self.inherited.is_empty() {
             return false;
         }
@@ -58,12 +58,12 @@
         self.inherited.contains_key(&Life { name, incarnation })
     }
 
-    /// Finds the owner of a flow.
+    /// Locates the owner of a flow.
     pub(crate) fn locate(&self, claims: &Claims) -> OwnerLocation {
         if self.owns(&claims.owner, claims.incarnation) {
             return match self.stop.successor() {
                 Some(successor) => self.locate_successor(successor),
-                // The ledgers end with this process, which may take a moment.
+                // No successor holds the ledgers, and the process is about to exit.
                 None if self.stop.has_ended() => OwnerLocation::Gone,
                 None => OwnerLocation::Local,
             };
@@ -71,7 +71,7 @@
         self.locate_incarnation(&claims.owner, claims.incarnation)
     }
 
-    /// Finds whoever holds the ledgers that went to this successor.
+    /// Locates the current holder of the ledgers that were handed over to this successor.
     pub(crate) fn locate_successor(&self, successor: &Peer) -> OwnerLocation {
         match self.locate_incarnation(&successor.name, successor.incarnation) {
             OwnerLocation::Unknown => OwnerLocation::Gone,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Where another incarnation, or who has its ledgers now, is in the present view.
+    /// Locates an incarnation, or the holder of its ledgers, in the current view.
     fn locate_incarnation(&self, name: &InstanceName, incarnation: Incarnation) -> OwnerLocation {
         match self.membership.standing(name, incarnation) {
             Standing::Alive(member)
@@ -92,13 +92,13 @@
                 };
                 OwnerLocation::Remote(peer, member.address)
             }
-            // A record that names this node counts only once the ledgers are here.
+            // A successor record that names this node counts only once the ledgers have arrived.
             Standing::Me | Standing::SucceededByMe | Standing::Unknown => OwnerLocation::Unknown,
             Standing::Gone => OwnerLocation::Gone,
         }
     }
 
-    /// The home of a service in the present view.
+    /// The home of a service in the current view.
     pub(crate) fn find_home(&mut self, service: &ServiceName) -> Option<(Peer, SocketAddr)> {
         if let Some(home) = self.home_cache.get(service) {
             return home.clone();
@@ -118,14 +118,14 @@
         home
     }
 
-    /// Whether this node has had time to hear of the others.
+    /// Whether this node has had enough time to discover the other instances.
     pub(crate) fn is_discovery_complete(&self, now: Time) -> bool {
         let age = now.since(self.started);
         let alone = self.membership.members().count() == 1;
         age >= DISCOVERY_PERIOD_ALONE || (age >= DISCOVERY_PERIOD && !alone)
     }
 
-    /// Any living instance, to ask what is not known here.
+    /// A random other instance, which may know what this node does not.
     pub(crate) fn random_peer(&mut self) -> Option<(InstanceName, SocketAddr)> {
         let local = &self.local.name;
         let others: Vec<_> = self
@@ -140,7 +140,7 @@
         Some((member.name.clone(), member.address))
     }
 
-    /// Sends a frame to an instance, if it is known.
+    /// Sends a frame to an instance if this incarnation of it is known.
     pub(crate) fn send(&self, cx: &mut Context<'_>, peer: &Peer, frame: Frame) {
         let member = self.membership.member(&peer.name);
         let Some(member) = member.filter(|member| member.incarnation == peer.incarnation) else {
@@ -191,7 +191,7 @@
                     incarnation,
                     leaving: true,
                 } => self.mark_upstream_leaving(cx, name, incarnation),
-                // Absence and a plain entry say nothing, since the list lags.
+                // The list lags, so neither the absence of an upstream nor an entry that is not leaving is evidence.
                 Listed::Upstream { leaving: false, .. } => {}
             }
         }
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Carries out what membership wants and has learned.
+    /// Carries out the requests of the membership protocol and reacts to the changes that it reports.
     pub(crate) fn apply_membership_outputs(&mut self, cx: &mut Context<'_>, outputs: Vec<Output>) {
         let mut moved = false;
         for output in outputs {
@@ -265,7 +265,7 @@
         cx.record(Record::Down(peer.name, peer.incarnation));
     }
 
-    /// A request was in progress at an instance that is gone.
+    /// Refuses a request that was in progress at an instance that is gone.
     fn refuse_interrupted(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: units::RequestSeq) {
         let verdict = wire::Verdict::MayHaveRun;
         self.ledgers
@@ -273,7 +273,7 @@
         cx.record(Record::Refused(key.flow, seq, verdict, Reason::OwnerGone));
     }
 
-    /// Works homes out anew and moves requests to them.
+    /// Recomputes the homes of all services and moves requests to them.
     pub(crate) fn recompute_homes(&mut self, cx: &mut Context<'_>) {
         self.home_cache.clear();
         self.view_changed = true;
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -1,4 +1,4 @@
-//! Events for the time line.
+//! Records for the timeline.
 
 use std::fmt;
 
@@ -15,7 +15,7 @@
 use wire::Reason;
 use wire::Verdict;
 
-/// An event worth keeping for the time line.
+/// An event in the timeline.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// A flow was opened.
@@ -30,32 +30,32 @@
     Answered(FlowId, RequestSeq),
     /// A request was refused.
     Refused(FlowId, RequestSeq, Verdict, Reason),
-    /// A document came into force.
+    /// A configuration document came into force.
     InForce(Revision),
-    /// A document did not pass the checks, and the one before it stays in force.
+    /// A configuration document failed validation, and the previous one stays in force.
     DocumentRejected(Revision),
-    /// An instance joined the view.
+    /// An instance joined the membership view.
     Up(InstanceName, Incarnation),
     /// An instance announced a planned stop.
     Leaving(InstanceName, Incarnation),
-    /// An instance is gone.
+    /// An instance was declared down.
     Down(InstanceName, Incarnation),
-    /// The ledgers of an instance moved.
+    /// The ledgers of the first instance were handed over to the second.
     HandedOver(InstanceName, InstanceName),
-    /// An upstream gets no new work.
+    /// An upstream was marked as leaving and gets no new work.
     UpstreamLeaving(UpstreamName, Incarnation),
-    /// An upstream was set aside after failures.
+    /// An upstream was ejected after failures.
     Ejected(UpstreamName),
-    /// An upstream was taken back.
+    /// An ejected upstream was restored.
     Restored(UpstreamName),
-    /// A planned stop began.
+    /// A planned stop started.
     Stopping,
-    /// A planned stop ended, leaving this many requests in doubt.
+    /// A planned stop ended with this many requests still in progress, whose outcome is unknown.
     Stopped(u32),
 }
 
 impl Record {
-    /// The flow that it is about, if it is about one.
+    /// The flow that the record refers to, if any.
     pub fn flow(&self) -> Option<FlowId> {
         match self {
             Self::Opened(_, flow) => Some(*flow),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The request that it is about, if it is about one.
+    /// The request that the record refers to, if any.
     pub fn request(&self) -> Option<(FlowId, RequestSeq)> {
         match self {
             Self::Accepted(_, flow, seq)
@@ -88,15 +88,15 @@
             Self::Answered(flow, seq) => write!(f, "request {flow}/{seq} answered"),
             Self::Refused(flow, seq, verdict, reason) => write!(f, "request {flow}/{seq} refused, {verdict}: {reason}"),
             Self::InForce(revision) => write!(f, "revision {revision} in force"),
-            Self::DocumentRejected(revision) => write!(f, "revision {revision} rejected: it does not pass the checks"),
+            Self::DocumentRejected(revision) => write!(f, "revision {revision} rejected: validation failed"),
             Self::Up(name, incarnation) => write!(f, "instance {name} ({incarnation}) is up"),
             Self::Leaving(name, incarnation) => write!(f, "instance {name} ({incarnation}) is leaving"),
             Self::Down(name, incarnation) => write!(f, "instance {name} ({incarnation}) is down"),
-            Self::HandedOver(from, to) => write!(f, "ledgers of {from} moved to {to}"),
+            Self::HandedOver(from, to) => write!(f, "ledgers of {from} handed over to {to}"),
             Self::UpstreamLeaving(name, incarnation) => write!(f, "upstream {name} ({incarnation}) is leaving"),
-            Self::Ejected(name) => write!(f, "upstream {name} set aside"),
-            Self::Restored(name) => write!(f, "upstream {name} taken back"),
-            Self::Stopping => f.write_str("planned stop began"),
+            Self::Ejected(name) => write!(f, "upstream {name} ejected"),
+            Self::Restored(name) => write!(f, "upstream {name} restored"),
+            Self::Stopping => f.write_str("planned stop started"),
             Self::Stopped(left) => write!(f, "planned stop ended, {left} requests in doubt"),
         }
     }
--- a/crates/node/src/replies.rs
+++ b/crates/node/src/replies.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers, chunk by chunk. The caller sets the pace.
+//! Replies to callers: refusals, and answers in chunks. The caller controls the flow by pulling chunks.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 use crate::node::Context;
 
 impl Node {
-    /// Sends the chunks that a caller asks for.
+    /// Sends the chunks that a caller requested.
     pub(crate) fn handle_pull(&mut self, cx: &mut Context<'_>, key: FlowKey, caller: SocketAddr, pull: &Pull) {
         let held = self
             .ledgers
@@ -50,7 +50,7 @@
 
     #[expect(
         clippy::too_many_arguments,
-        reason = "each is a field of the reply, and a struct would only copy it"
+        reason = "each argument is a field of the reply, and a struct would only duplicate it"
     )]
     pub(crate) fn reply_refused(
         &mut self,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Sends one chunk of an answer, if the answer has it.
+/// Sends one chunk of an answer, if the answer has a chunk of that index.
 pub(crate) fn push_chunk(
     cx: &mut Context<'_>,
     caller: SocketAddr,
--- a/crates/node/src/reports.rs
+++ b/crates/node/src/reports.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, and which of them are leaving.
+//! Reports from upstreams, and the upstreams that are leaving.
 
 use units::Incarnation;
 use units::UpstreamName;
@@ -10,7 +10,7 @@
 use crate::node::Context;
 
 impl Node {
-    /// Takes what an upstream says of itself.
+    /// Handles the result of a poll. `report` is `None` if the poll failed.
     pub(crate) fn handle_poll_result(
         &mut self,
         cx: &mut Context<'_>,
@@ -24,7 +24,7 @@
         if let Some(report) = report {
             let known = self.upstreams.get(name).copied();
             if known.is_some_and(|known| known > report.incarnation) {
-                // The answer is older than what is known, or belongs to another process.
+                // The report is outdated, or comes from another process.
                 return;
             }
             self.upstreams.insert(name.clone(), report.incarnation);
@@ -45,7 +45,7 @@
         self.with_pool(&service, now, |pool, out| pool.report(name, said, now, out));
     }
 
-    /// Spreads that an incarnation of an upstream gets no new work.
+    /// Marks an incarnation of an upstream as leaving, so that it gets no new work, and gossips the mark.
     pub(crate) fn mark_upstream_leaving(&mut self, cx: &mut Context<'_>, name: UpstreamName, incarnation: Incarnation) {
         if self.membership.is_leaving(&name, incarnation) {
             return;
@@ -57,7 +57,7 @@
         self.apply_membership_outputs(cx, outputs);
     }
 
-    /// Stops new work for an upstream that is marked, unless a later incarnation is known.
+    /// Stops sending new work to an upstream marked as leaving, unless a later incarnation is known.
     pub(crate) fn handle_upstream_leaving(&mut self, cx: &mut Context<'_>, mark: &LeavingUpstream) {
         let later = self
             .upstreams
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -1,4 +1,4 @@
-//! The owner's side of slots: it asks the home for one, uses it, and gives it back.
+//! The owner's side of the slot protocol: requests a slot from the home, uses it and releases it.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 use crate::ticket::Phase;
 
 impl Node {
-    /// Asks the present home of a request's service for a slot.
+    /// Requests a slot from the current home of a request's service.
     pub(crate) fn request_slot(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(service) = self.tickets.get(&id).map(|ticket| ticket.claims.service.clone()) else {
             return;
@@ -54,7 +54,7 @@
         });
     }
 
-    /// Takes back a request for a slot.
+    /// Withdraws a slot request.
     pub(crate) fn withdraw_slot_request(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.tickets.get(&id) else {
             return;
@@ -67,7 +67,7 @@
         self.send(cx, &home, Frame::Withdraw(id));
     }
 
-    /// Gives a slot back.
+    /// Releases a slot and reports the outcome of its use.
     pub(crate) fn release_slot(&mut self, cx: &mut Context<'_>, id: TicketId, outcome: Outcome, took: Duration) {
         let Some(ticket) = self.tickets.get(&id) else {
             return;
@@ -86,7 +86,7 @@
         self.send(cx, &home, Frame::Settle(settle));
     }
 
-    /// Tells the present home of a slot that is in use already.
+    /// Reports a slot that is already in use to the current home.
     pub(crate) fn report_held_slot(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.tickets.get(&id) else {
             return;
@@ -123,7 +123,7 @@
         if in_use {
             return;
         }
-        // The request has ended or asks another home by now.
+        // The request has ended, or has moved to another home.
         let frame = Frame::Withdraw(grant.ticket);
         if peer == &self.local {
             return self.handle_withdraw(cx, peer, grant.ticket);
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself.
+//! The status of a node, as shown to operators.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 use crate::Node;
 use crate::stop::StopState;
 
-/// What a node counts over its life.
+/// Counters since the node started.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(crate) struct Counters {
     pub packets: u64,
@@ -38,136 +38,136 @@
     }
 }
 
-/// How far a node is in its life.
+/// The stage of a node's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// It holds no configuration document, or has just begun.
+    /// It holds no configuration document yet, or has not discovered the other instances.
     Starting,
-    /// It serves.
+    /// It serves packets.
     Serving,
-    /// It is on a planned stop.
+    /// A planned stop is in progress.
     Draining,
     /// It has stopped.
     Stopped,
 }
 
-/// What a node tells of itself.
+/// The status of a node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// The name.
     pub name: InstanceName,
-    /// Its life.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: ZoneName,
-    /// How far it is in its life.
+    /// The stage of the lifecycle.
     pub stage: Stage,
-    /// Whether the platform answers it.
+    /// Whether the platform can be reached.
     pub platform: bool,
-    /// Whether it watches the platform for its availability zone.
+    /// Whether it watches the platform's configuration document on behalf of its availability zone.
     pub watching: bool,
-    /// The revision in force.
+    /// The revision of the document in force.
     pub revision: Option<Revision>,
     /// The digest of the document in force, in hexadecimal.
     pub digest: Option<String>,
-    /// Documents that did not pass the checks.
+    /// Documents that failed validation.
     pub documents_rejected: u64,
-    /// The instances that it knows, itself included.
+    /// The instances that it knows, including itself.
     pub members: Vec<MemberStatus>,
-    /// The services and where their homes are.
+    /// The services and their homes.
     pub homes: Vec<HomeStatus>,
-    /// The upstreams of the services whose home it is.
+    /// The upstreams of the services for which it is the home.
     pub upstreams: Vec<UpstreamStatus>,
-    /// How many flows have a ledger here.
+    /// The number of flows with a ledger.
     pub flows: usize,
-    /// How many requests are in progress here.
+    /// The number of requests in progress.
     pub requests: usize,
-    /// How many bytes of answers wait to be pulled.
+    /// The number of bytes of answers that are held for callers to pull.
     pub answer_bytes: u64,
-    /// Packets from callers, over its life.
+    /// Packets received from callers since the start.
     pub packets: u64,
-    /// Datagrams that could not be read.
+    /// Datagrams that could not be decoded.
     pub malformed: u64,
-    /// Packets passed on to the owner of their flow.
+    /// Packets forwarded to another instance.
     pub forwarded: u64,
-    /// Packets dropped because they were passed on too often.
+    /// Packets dropped because they had been forwarded too often.
     pub hops_exceeded: u64,
-    /// Flows opened here.
+    /// Flows opened by this node.
     pub opened: u64,
-    /// Requests answered here.
+    /// Requests answered by this node.
     pub answered: u64,
     /// Refusals by verdict and reason.
     pub refused: Vec<RefusedCount>,
 }
 
-/// An instance as another sees it.
+/// An instance as seen by another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// The name.
     pub name: InstanceName,
-    /// Its life.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: ZoneName,
-    /// How it fares.
+    /// The membership state.
     pub state: MemberState,
-    /// The revision that it told of last. It may have a newer one in force by now, and never an older one.
+    /// The document revision that it last announced. A newer one may be in force there by now, never an older one.
     #[serde(default)]
     pub revision: Option<Revision>,
-    /// The digest of that document, in hexadecimal.
+    /// The digest of that document in hexadecimal.
     #[serde(default)]
     pub digest: Option<String>,
 }
 
-/// Where the home of a service is.
+/// The home of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeStatus {
     /// The service.
     pub service: ServiceName,
-    /// Its home, if there is one.
+    /// The home, if there is one.
     pub home: Option<InstanceName>,
 }
 
-/// An upstream as the home of its service sees it.
+/// An upstream as seen by the home of its service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
     /// The service.
     pub service: ServiceName,
     /// The upstream.
     pub upstream: UpstreamName,
-    /// Its life, as it last told.
+    /// The incarnation that it last reported.
     pub incarnation: Option<Incarnation>,
-    /// Its state: why it gets new work or not.
+    /// The state, which determines whether it gets new work.
     pub state: State,
     /// Slots in use.
     pub busy: u32,
-    /// Slots in all.
+    /// Total slots.
     pub slots: Slots,
-    /// The smoothed share of its slots in use.
+    /// The smoothed fraction of its slots that are in use.
     pub utilisation: f64,
-    /// The smoothed share of its calls that failed.
+    /// The smoothed fraction of its calls that failed.
     pub failures: f64,
 }
 
-/// How often a node refused for one reason with one verdict.
+/// The number of refusals for one verdict and reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedCount {
     /// Whether the requests may have run.
     pub verdict: Verdict,
-    /// Why they were refused.
+    /// The reason for the refusals.
     pub reason: Reason,
-    /// How many.
+    /// The number of refusals.
     pub count: u64,
 }
 
 impl Node {
-    /// Whether packets may be handed to this node: it holds a document and knows the fleet.
+    /// Whether this node may receive packets: it holds a document and has discovered the other instances.
     pub fn is_ready(&self, now: Time) -> bool {
         self.stage(now) == Stage::Serving
     }
 
-    /// How far this node is in its life.
+    /// The current stage of this node's lifecycle.
     pub fn stage(&self, now: Time) -> Stage {
         match self.stop {
             StopState::Serving if self.documents.current().is_none() || !self.is_discovery_complete(now) => {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// What this node tells of itself.
+    /// The current status of this node.
     pub fn status(&self, now: Time) -> Status {
         let document = self.documents.current();
         Status {
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,7 +1,9 @@
-//! A planned stop: the ledgers go to a successor, what is in progress ends here, late packets are passed on.
+//! Planned stops: the ledgers are handed over to a successor, calls in progress finish here, and late packets are
+//! forwarded.
 //!
-//! Once a ledger has been sent, this node begins nothing of its flows again, acknowledged or not. Only a refusal by
-//! the chosen successor, which promises that nothing was taken over, lets the node choose another.
+//! Once the ledgers have been sent, this node starts no further requests of their flows, even if the hand-over is
+//! not acknowledged. The node chooses another successor only if the first refuses, which guarantees that nothing was
+//! taken over.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -33,27 +35,27 @@
 use crate::node::Context;
 use crate::peers::OwnerLocation;
 
-/// How long the others get to hear of the stop before the ledgers move.
+/// How long the other instances have to learn of the stop before the ledgers are handed over.
 const ANNOUNCEMENT_PERIOD: Duration = Duration::from_millis(300);
-/// How long packets are passed on after the ledgers have moved.
+/// How long packets are forwarded after the hand-over was acknowledged.
 const FORWARDING_PERIOD: Duration = Duration::from_millis(700);
-/// How long to wait for the successor's word before the ledgers are sent again.
+/// How long to wait for the successor's acknowledgement before sending the ledgers again.
 const HANDOVER_RETRY: Duration = Duration::from_millis(500);
 
-/// How far a planned stop has come.
+/// The progress of a planned stop.
 #[derive(Debug, Clone)]
 pub(crate) enum StopState {
-    /// None has begun.
+    /// No stop has started.
     Serving,
-    /// The others are told.
+    /// The stop has been announced to the other instances.
     Announced(Announced),
     /// The ledgers have been sent.
     HandedOver(HandedOver),
-    /// The process may end. The ledgers are with this successor, if there is one.
+    /// The process may exit. The ledgers are at this successor, if there is one.
     Ended(Option<Peer>),
 }
 
-/// A stop that the others are told of.
+/// A stop that has been announced.
 #[derive(Debug, Clone)]
 pub(crate) struct Announced {
     handover_at: Time,
@@ -69,7 +71,7 @@
     sent_at: Time,
     end_by: Time,
     acknowledged: Option<Time>,
-    /// Ends of requests that wait for the successor's word.
+    /// Ends of requests that are held back until the successor acknowledges the hand-over.
     resolved: Vec<Resolved>,
 }
 
@@ -82,12 +84,12 @@
         matches!(self, Self::HandedOver(_))
     }
 
-    /// Whether the process may end, so that nothing begins here any more.
+    /// Whether the process may exit, so that no request starts here any more.
     pub(crate) fn has_ended(&self) -> bool {
         matches!(self, Self::Ended(_))
     }
 
-    /// Who owns this node's flows, if that is no longer the node itself.
+    /// The owner of this node's flows, if that is no longer the node itself.
     pub(crate) fn successor(&self) -> Option<&Peer> {
         match self {
             Self::HandedOver(state) => Some(&state.successor),
@@ -154,13 +156,14 @@
         });
         let chosen = peer.filter(|peer| !refused_by.contains(peer));
         let Some(successor) = chosen else {
-            // Nobody can take the ledgers. The node goes on as owner until it is idle.
+            // No instance can take the ledgers. The node remains the owner until it is idle.
             if self.tickets.is_empty() && refused_by.is_empty() {
                 self.finish_stop(cx);
             }
             return;
         };
-        // What has ended since the ledgers were packed is not in them, and goes along to the next successor.
+        // Requests that have ended since the ledgers were packed are not in them; their ends go to the new successor
+        // too.
         let (flows, resolved) = match std::mem::replace(&mut self.stop, StopState::Serving) {
             StopState::HandedOver(state) => (state.flows, state.resolved),
             _ => (self.pack_ledgers(cx), Vec::new()),
@@ -177,7 +180,7 @@
         self.send_ledgers(cx);
     }
 
-    /// Takes the ledgers out, with the requests that still wait.
+    /// Removes all ledgers and the requests that wait for a slot, and packs them for the hand-over.
     fn pack_ledgers(&mut self, cx: &mut Context<'_>) -> Vec<HandoverFlow> {
         let waiting: Vec<TicketId> = self
             .tickets
@@ -226,19 +229,19 @@
         }
     }
 
-    /// The session with an instance broke. Parts of the ledgers may be lost.
+    /// Sends the ledgers again if the session with the successor broke, as parts of them may be lost.
     pub(crate) fn resend_handover(&mut self, cx: &mut Context<'_>, name: &InstanceName) {
         let StopState::HandedOver(state) = &self.stop else {
             return;
         };
-        // A session that can't be made at once must not be tried at once again and again.
+        // If the session can't be established, do not retry in a tight loop.
         let due = cx.now.since(state.sent_at) >= HANDOVER_RETRY / 2;
         if &state.successor.name == name && state.acknowledged.is_none() && due {
             self.send_ledgers(cx);
         }
     }
 
-    /// The successor has taken over.
+    /// Handles the successor's acknowledgement that it has taken over.
     pub(crate) fn handle_handover_done(&mut self, cx: &mut Context<'_>, peer: &Peer, incarnation: Incarnation) {
         let StopState::HandedOver(state) = &mut self.stop else {
             return;
@@ -259,7 +262,7 @@
         self.apply_membership_outputs(cx, outputs);
     }
 
-    /// The chosen successor stops too, and has taken over nothing.
+    /// Handles the refusal of the chosen successor, which is stopping too and has taken over nothing.
     pub(crate) fn handle_handover_refused(&mut self, cx: &mut Context<'_>, peer: &Peer, incarnation: Incarnation) {
         let StopState::HandedOver(state) = &mut self.stop else {
             return;
@@ -273,7 +276,7 @@
         self.choose_successor(cx, end_by, refused_by);
     }
 
-    /// Tells the successor how a request ended that was in progress here.
+    /// Sends the successor the final state of a request that was in progress here.
     pub(crate) fn send_final_state(
         &mut self,
         cx: &mut Context<'_>,
@@ -291,7 +294,7 @@
         self.send_request_end(cx, key, seq, entry);
     }
 
-    /// Gives the successor a request that was in progress here but has not run to an end.
+    /// Hands a request that was in progress here and may be retried over to the successor.
     pub(crate) fn hand_over_request(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
@@ -313,7 +316,7 @@
         self.send_resolved(cx, resolved);
     }
 
-    /// Sends the end of a request to whoever holds its ledger by now.
+    /// Sends the end of a request to the current holder of its ledger.
     pub(crate) fn send_resolved(&mut self, cx: &mut Context<'_>, resolved: Resolved) {
         let StopState::HandedOver(state) = &mut self.stop else {
             return;
@@ -340,7 +343,7 @@
     }
 }
 
-/// The record that the ledgers of one incarnation are at another.
+/// The successor record that states that the ledgers of `from` are at `to`.
 fn successor_record(from: &Peer, to: &Peer) -> Successor {
     Successor {
         from: from.name.clone(),
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -1,4 +1,4 @@
-//! The successor's side of a planned stop: the ledgers of another instance take effect here, all at once.
+//! The successor's side of a planned stop: installs the ledgers of another instance in one step.
 
 use std::collections::BTreeMap;
 
@@ -28,13 +28,13 @@
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
-/// The parts of a hand-over that have arrived so far.
+/// The parts of a hand-over that have been received so far.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct PartialHandover {
     parts: BTreeMap<u32, Vec<HandoverFlow>>,
 }
 
-/// A request that was handed over while it waited.
+/// A request that was handed over while it waited for a slot.
 struct QueuedRequest {
     key: FlowKey,
     seq: RequestSeq,
@@ -42,7 +42,7 @@
 }
 
 impl Node {
-    /// Takes a part of another instance's ledgers.
+    /// Handles a part of another instance's ledgers.
     pub(crate) fn handle_handover(&mut self, cx: &mut Context<'_>, peer: &Peer, handover: Handover) {
         let from = handover.successor.from_incarnation;
         let for_me =
@@ -51,7 +51,7 @@
             return;
         }
         if self.owns(&peer.name, from) {
-            // All of it is here already, and the word of that was lost.
+            // All ledgers have been installed already, and the acknowledgement was lost.
             return self.send(cx, peer, Frame::HandoverDone(from));
         }
         if self.stop.has_begun() {
@@ -111,15 +111,15 @@
         }
     }
 
-    /// Drops incarnations that were inherited so long ago that every token which names them has expired.
+    /// Drops inherited incarnations that are so old that every token which names them has expired.
     ///
-    /// Otherwise each hand-over would pass on all that ever stopped before.
+    /// Otherwise each hand-over would include every incarnation that ever stopped.
     pub(crate) fn expire_inherited(&mut self, now: Time) {
         let keep = ledger_retention(&self.keyring);
         self.inherited.retain(|_, since| now.since(*since) < keep);
     }
 
-    /// Lets a request begin here that another instance had let wait.
+    /// Starts a request that was waiting at another instance when it was handed over.
     fn resume_request(&mut self, cx: &mut Context<'_>, queued: QueuedRequest) {
         let QueuedRequest { key, seq, body } = queued;
         let id = self.next_ticket();
@@ -155,7 +155,7 @@
         self.start_ticket(cx, id, ticket);
     }
 
-    /// Takes the end of a request that was in progress at the instance that handed it over.
+    /// Handles the end of a request that was in progress at the instance that handed its ledger over.
     pub(crate) fn handle_resolved(&mut self, cx: &mut Context<'_>, resolved: Resolved) {
         let key = FlowKey {
             owner: resolved.owner,
@@ -163,7 +163,7 @@
         };
         let seq = resolved.seq;
         if self.stop.has_handed_over() {
-            // The ledger has moved on meanwhile, and whoever holds it waits for this word.
+            // The ledger has been handed over again, and its current holder waits for this message.
             return self.send_resolved(cx, resolved);
         }
         let running_there = self.ledgers.running_elsewhere_at(key, seq) == Some(resolved.at);
--- a/crates/node/src/ticket.rs
+++ b/crates/node/src/ticket.rs
@@ -1,4 +1,4 @@
-//! A request in progress at its owner.
+//! Requests in progress at their owner.
 
 use std::net::SocketAddr;
 
@@ -13,18 +13,18 @@
 use crate::FlowKey;
 use crate::Peer;
 
-/// Where a request in progress stands.
+/// The phase of a request in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits for a slot, for which the home was last asked at this time.
+    /// It waits for a slot, which was last requested from the home at this time.
     Waiting(Time),
-    /// It is being called.
+    /// A call to an upstream is in progress.
     Calling {
         /// The call.
         call: CallId,
         /// The upstream.
         upstream: UpstreamName,
-        /// When the call began.
+        /// When the call started.
         since: Time,
     },
 }
@@ -32,30 +32,30 @@
 /// A request in progress at its owner.
 #[derive(Debug, Clone)]
 pub(crate) struct Ticket {
-    /// The request, as the caller sent it.
+    /// The request as received from the caller.
     pub request: Request,
-    /// What its token says.
+    /// The claims of its token.
     pub claims: Claims,
-    /// Where the answer goes.
+    /// The address to which the answer is sent.
     pub caller: SocketAddr,
     /// The availability zone in which it arrived.
     pub zone: ZoneName,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub idempotent: bool,
-    /// When the caller gives up.
+    /// When the request times out.
     pub deadline: Time,
-    /// Upstreams that have failed it.
+    /// Upstreams at which a call of the request did not succeed.
     pub avoid: Vec<UpstreamName>,
-    /// Whether an earlier call may have run it.
+    /// Whether an earlier call may have run the request.
     pub in_doubt: bool,
-    /// The instance that was asked for a slot.
+    /// The home from which a slot was requested.
     pub home: Peer,
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
 }
 
 impl Ticket {
-    /// The flow's key.
+    /// The key of the request's flow.
     pub fn key(&self) -> FlowKey {
         FlowKey {
             owner: self.claims.incarnation,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Whether it waits for a slot.
+    /// Whether the request waits for a slot.
     pub fn is_waiting(&self) -> bool {
         matches!(self.phase, Phase::Waiting(_))
     }
 
-    /// What a refusal now would have to say, given that no call is in progress.
+    /// The verdict of a refusal, assuming that no call is in progress.
     pub fn verdict(&self) -> Verdict {
         if self.in_doubt {
             Verdict::MayHaveRun
--- a/crates/node/tests/documents.rs
+++ b/crates/node/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Which document is in force.
+//! Tests of which configuration document is in force.
 
 mod support;
 
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_document_that_fails_the_checks_is_said_once_and_changes_nothing() {
-    let rejected = "a: revision 5 rejected: it does not pass the checks";
+    let rejected = "a: revision 5 rejected: validation failed";
     let broken = (5, document(5).replace("slots: 1", "slots: 0"));
     check(&[broken.clone(), broken.clone()], &[rejected]);
     check(&[(5, document(4))], &[rejected]);
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What a ledger says of a request, whatever came before.
+//! Tests of the state that a ledger reports for a request, depending on the preceding events.
 
 use std::time::Duration;
 
--- a/crates/node/tests/path.rs
+++ b/crates/node/tests/path.rs
@@ -1,4 +1,4 @@
-//! A request's way through one or two instances.
+//! Tests of the path of a request through one or two instances.
 
 mod support;
 
@@ -59,7 +59,7 @@
         let mut fleet = Fleet::new(1);
         let home = fleet.home("availability");
         let granted = fleet.open(&home, "availability");
-        // The retry budget is a share of successes.
+        // The retry budget is a fraction of the successful calls.
         for seq in 1..=20 {
             fleet.send(&home, &request(&granted, "availability", "feed", seq));
             fleet.end_call(CallResult::Answered(Vec::new()));
--- a/crates/node/tests/polls.rs
+++ b/crates/node/tests/polls.rs
@@ -1,4 +1,4 @@
-//! How often a home asks its upstreams for health and load, and what it keeps of that.
+//! Tests of how often a home polls its upstreams, and of what it remembers of their reports.
 
 mod support;
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn polls_stay_within_what_control_may_cost() {
-    // Three upstreams are asked each second; of more, four a second in all.
+    // Up to four polls per second are sent in total; three upstreams are polled once per second each.
     let cases = [(0, 30), (5, 40), (40, 40), (97, 40)];
     for (more, expected) in cases {
         let mut fleet = Fleet::new(1);
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Tests of planned stops.
 
 mod support;
 
@@ -18,7 +18,7 @@
     let home = fleet.home("availability");
     let other = fleet.other(&home);
     let granted = fleet.open(&home, "availability");
-    // Two run, one waits, one has ended.
+    // One request has ended, two are running and one waits for a slot.
     for seq in 1..=2 {
         fleet.send(&home, &request(&granted, "availability", "hold", seq));
     }
@@ -30,7 +30,7 @@
     assert_eq!(fleet.got(), "chunk 0/1 of 1");
     fleet.event(&home, Event::Stop);
     fleet.pass(Duration::from_millis(800));
-    // The one that waited is run by the successor as soon as a slot is free.
+    // The successor runs the waiting request as soon as a slot is free.
     fleet.end_call(CallResult::Answered(b"second".to_vec()));
     assert_eq!(fleet.got(), "chunk 0/1 of 2, new token");
     assert_eq!(fleet.calls.len(), 2);
@@ -41,14 +41,14 @@
     assert_eq!(fleet.stopped, std::slice::from_ref(&home));
     fleet.nodes.remove(&home);
     fleet.replies.clear();
-    // All four are known at the successor, and none runs again.
+    // The successor knows all four requests, and none runs again.
     for seq in 1..=4 {
         fleet.send(&other, &request(&granted, "availability", "hold", seq));
     }
     assert!(fleet.calls.is_empty());
     let got = fleet.got();
     assert_eq!(got, "chunk 0/1 of 1; chunk 0/1 of 2; chunk 0/1 of 3; chunk 0/1 of 4");
-    // And the flow goes on under its old token.
+    // The flow continues with its old token.
     fleet.send(&other, &request(&granted, "availability", "hold", 5));
     fleet.end_call(CallResult::Answered(Vec::new()));
     assert_eq!(fleet.got(), "chunk 0/1 of 5, new token");
@@ -103,7 +103,7 @@
     let granted = fleet.open(&home, "availability");
     fleet.send(&home, &request(&granted, "availability", "hold", 1));
     fleet.event(&home, Event::Stop);
-    // The ledgers are lost on their way, and the one who should have got them stops too.
+    // The ledgers are lost in transit, and the instance that should have received them stops too.
     let others: Vec<_> = fleet.nodes.keys().filter(|name| **name != home).cloned().collect();
     for other in &others {
         fleet.cut.push((home.clone(), other.clone()));
@@ -111,7 +111,7 @@
     fleet.pass(Duration::from_millis(400));
     fleet.end_call(CallResult::Answered(b"first".to_vec()));
     assert_eq!(fleet.got(), "chunk 0/1 of 1, new token");
-    // The younger of the two others was chosen.
+    // The more recently started of the two others was chosen.
     let [third, chosen] = others.as_slice() else {
         panic!("two others");
     };
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A few nodes, wired by hand: frames are delivered at once, calls wait until the test ends them.
+//! A fleet of nodes connected in memory: frames are delivered immediately, calls wait until the test ends them.
 
-#![allow(dead_code, reason = "each test file uses a part of this")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -66,7 +66,7 @@
     )
 }
 
-/// A document whose first service has this many more upstreams.
+/// A document whose first service has `more` additional upstreams.
 pub fn large_document(revision: u64, more: usize) -> String {
     let mut lines = String::new();
     for index in 0..more {
@@ -84,26 +84,26 @@
 pub struct Fleet {
     pub now: Time,
     pub nodes: BTreeMap<InstanceName, (Incarnation, Node)>,
-    /// Replies to the caller that the test has not looked at.
+    /// Replies to the caller that the test has not read yet.
     pub replies: VecDeque<Reply>,
-    /// Calls in progress and the instance that made them.
+    /// Calls in progress and the instances that made them.
     pub calls: Vec<(InstanceName, Call)>,
     pub cancelled: Vec<CallId>,
     pub stopped: Vec<InstanceName>,
-    /// What instances noted for the time line about documents.
+    /// The timeline records about documents.
     pub documents: Vec<String>,
-    /// How often upstreams were asked for health and load.
+    /// The number of polls of upstreams.
     pub polls: usize,
-    /// Frames from the first to the second instance are lost.
+    /// Links on which frames from the first to the second instance are dropped.
     pub cut: Vec<(InstanceName, InstanceName)>,
-    /// Who each part of a hand-over says is inherited.
+    /// The inherited incarnations in each part of a hand-over that was sent.
     pub inherited: Vec<Vec<Life>>,
-    /// The most flows with a ledger at an instance that joins.
+    /// The maximum number of flows with a ledger at instances that join.
     pub flows: usize,
 }
 
 impl Fleet {
-    /// A fleet of instances `a`, `b` and so on that have met and hold the document.
+    /// Creates a fleet of instances `a`, `b` and so on that have discovered each other and hold the document.
     pub fn new(count: u64) -> Self {
         let mut fleet = Self {
             now: Time(1_000_000_000),
@@ -230,14 +230,14 @@
         }
     }
 
-    /// Ends the oldest call.
+    /// Ends the oldest call with this result.
     pub fn end_call(&mut self, result: CallResult) -> Call {
         let (name, call) = self.calls.remove(0);
         self.event(&name, Event::CallEnded(call.id, result));
         call
     }
 
-    /// The instance that owns the flows which are opened now.
+    /// The current home of a service, which becomes the owner of flows opened now.
     pub fn home(&self, service: &str) -> InstanceName {
         let (_, node) = self.nodes.values().next().unwrap();
         let status = node.status(self.now);
@@ -245,7 +245,7 @@
         line.and_then(|line| line.home.clone()).unwrap()
     }
 
-    /// Any instance but this one.
+    /// An instance other than this one.
     pub fn other(&self, than: &InstanceName) -> InstanceName {
         self.nodes.keys().find(|name| *name != than).cloned().unwrap()
     }
@@ -299,7 +299,7 @@
     })
 }
 
-/// A reply in one line, for inline expectations.
+/// Formats a reply on one line, for comparison in tests.
 pub fn show(reply: &Reply) -> String {
     match reply {
         Reply::Opened(_) => "opened".to_owned(),
@@ -316,7 +316,7 @@
 }
 
 impl Fleet {
-    /// What the caller has got since the last look.
+    /// Returns the replies received since the previous call, formatted on one line.
     pub fn got(&mut self) -> String {
         let lines: Vec<String> = self.replies.drain(..).map(|reply| show(&reply)).collect();
         lines.join("; ")
