--- a/crates/node/examples/flow_state.rs
+++ b/crates/node/examples/flow_state.rs
@@ -5,7 +5,7 @@
 
 #![expect(unsafe_code, reason = "a global allocator can't be implemented in safe code")]
 
-mod counting;
+mod counting_allocator;
 
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
 fn main() {
     println!("flows  bytes per flow after the entries of its requests were evicted");
     for flows in [10_000, 28_000, 100_000, 300_000] {
-        let before = counting::held();
+        let before = counting_allocator::allocated_bytes();
         let ledgers = fill(flows);
-        let held = counting::held() - before;
+        let held = counting_allocator::allocated_bytes() - before;
         println!("{flows:>6}  {:>5}", held / flows as usize);
         drop(ledgers);
     }
--- a/crates/node/examples/scale.rs
+++ b/crates/node/examples/scale.rs
@@ -6,7 +6,7 @@
 
 #![expect(unsafe_code, reason = "a global allocator can't be implemented in safe code")]
 
-mod counting;
+mod counting_allocator;
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 fn measure(services: usize, members: usize) {
-    let before = counting::held();
+    let before = counting_allocator::allocated_bytes();
     let text = document(1, services);
     let len = text.len();
     let mut now = Time(1_000_000_000);
@@ -52,13 +52,13 @@
             name: name(index),
             incarnation: Incarnation(1),
         };
-        node.handle(now, Event::Frame(peer, news(index)), &mut out);
+        node.handle(now, Event::Frame(peer, gossip(index)), &mut out);
     }
     out.clear();
     // The first tick computes the homes of all services.
     let change = timed(|| node.handle(now, Event::Tick, &mut out));
     out = Vec::new();
-    let memory = counting::held() - before;
+    let memory = counting_allocator::allocated_bytes() - before;
 
     // Shorter in total than a probe's timeout, so that no silent member is suspected.
     let ticks = 20;
@@ -109,7 +109,7 @@
     SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_000))
 }
 
-fn news(index: usize) -> Frame {
+fn gossip(index: usize) -> Frame {
     let member = Member {
         name: name(index),
         incarnation: Incarnation(1),
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -135,8 +135,8 @@
         {
             return self.forward(cx, name, address, routed);
         }
-        let young = cx.now.since(claims.issued) < GOSSIP_PROPAGATION;
-        if young || !self.is_discovery_complete(cx.now) {
+        let recently_issued = cx.now.since(claims.issued) < GOSSIP_PROPAGATION;
+        if recently_issued || !self.is_discovery_complete(cx.now) {
             // The caller will resend the packet, and gossip may have reached this node by then.
             return;
         }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -68,9 +68,9 @@
             flow: claims.flow,
         };
         let seq = request.seq;
-        let fresh = !self.ledgers.contains(key);
+        let is_new_flow = !self.ledgers.contains(key);
         let group = CallerGroup::of(routed.caller.ip(), self.seed);
-        if fresh && !self.ledgers.has_room(group, self.limits.flows) {
+        if is_new_flow && !self.ledgers.has_room(group, self.limits.flows) {
             let refusal = (Verdict::MayHaveRun, Reason::Limit);
             return self.reply_refused(cx, routed.caller, key, seq, refusal, RETRY_SOON, None);
         }
@@ -80,7 +80,7 @@
             Lookup::Full => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::Limit)),
             Lookup::Known(state) => Some(state.clone()),
         };
-        if fresh {
+        if is_new_flow {
             self.ledgers.assign_group(key, group);
         }
         if let Some(state) = known {
--- a/crates/node/src/reports.rs
+++ b/crates/node/src/reports.rs
@@ -31,18 +31,18 @@
             if report.draining {
                 self.mark_upstream_leaving(cx, name.clone(), report.incarnation);
             }
-            let fresh = known != Some(report.incarnation);
-            if fresh && !self.membership.is_leaving(name, report.incarnation) {
+            let is_new_incarnation = known != Some(report.incarnation);
+            if is_new_incarnation && !self.membership.is_leaving(name, report.incarnation) {
                 self.with_pool(&service, now, |pool, _| pool.readmit(name, now));
             }
         }
-        let said = report.map(|report| balance::Report {
+        let report = report.map(|report| balance::Report {
             healthy: report.healthy,
             draining: report.draining,
             busy: report.busy,
             age: report.age,
         });
-        self.with_pool(&service, now, |pool, out| pool.report(name, said, now, out));
+        self.with_pool(&service, now, |pool, out| pool.report(name, report, now, out));
     }
 
     /// Marks an incarnation of an upstream as leaving, so that it gets no new work, and gossips the mark.
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -252,8 +252,8 @@
         state.acknowledged = Some(cx.now);
         state.flows.clear();
         let resolved = std::mem::take(&mut state.resolved);
-        for one in resolved {
-            self.send(cx, peer, Frame::Resolved(one));
+        for message in resolved {
+            self.send(cx, peer, Frame::Resolved(message));
         }
         let record = successor_record(&self.local, peer);
         cx.record(Record::HandedOver(record.from.clone(), record.to.clone()));
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -106,8 +106,8 @@
         let mut outputs = Vec::new();
         self.membership.add_successor(record, cx.now, &mut outputs);
         self.apply_membership_outputs(cx, outputs);
-        for one in queued {
-            self.resume_request(cx, one);
+        for request in queued {
+            self.resume_request(cx, request);
         }
     }
 
--- a/crates/node/tests/documents.rs
+++ b/crates/node/tests/documents.rs
@@ -14,11 +14,11 @@
 #[track_caller]
 fn check(texts: &[(u64, String)], expected: &[&str]) {
     let mut fleet = Fleet::new(1);
-    fleet.documents.clear();
+    fleet.document_records.clear();
     for (revision, text) in texts {
         fleet.event(&instance(0), Event::DocumentLoaded(Revision(*revision), text.clone()));
     }
-    assert_eq!(fleet.documents, expected);
+    assert_eq!(fleet.document_records, expected);
 }
 
 #[test]
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_document_that_fails_the_checks_is_said_once_and_changes_nothing() {
+fn an_invalid_document_is_reported_once_and_changes_nothing() {
     let rejected = "a: revision 5 rejected: validation failed";
     let broken = (5, document(5).replace("slots: 1", "slots: 0"));
     check(&[broken.clone(), broken.clone()], &[rejected]);
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_change_reaches_all() {
+fn a_new_document_reaches_all_instances() {
     let mut fleet = Fleet::new(9);
-    fleet.documents.clear();
+    fleet.document_records.clear();
     fleet.event(&instance(4), Event::DocumentLoaded(Revision(2), document(2)));
-    fleet.pass(Duration::from_secs(5));
-    fleet.documents.sort();
+    fleet.advance(Duration::from_secs(5));
+    fleet.document_records.sort();
     let expected: Vec<String> = (0..9)
         .map(|index| format!("{}: revision 2 in force", instance(index)))
         .collect();
-    assert_eq!(fleet.documents, expected);
+    assert_eq!(fleet.document_records, expected);
 }
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_number_begins_once() {
+fn a_sequence_number_starts_only_once() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     check(&mut ledgers, 1, START, "answered");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_first_end_stays() {
+fn the_first_final_state_is_kept() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     let refused = RequestState::Refused(Verdict::NotRun, Reason::Deadline);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn numbers_may_come_out_of_order() {
+fn requests_may_arrive_out_of_order() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 3, START);
     run(&mut ledgers, 1, START);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_window_is_bounded_and_its_lower_end_never_begins_again() {
+fn the_window_is_bounded_and_evicted_requests_never_start_again() {
     let mut ledgers = ledgers();
     for seq in 2..=66 {
         run(&mut ledgers, seq, START);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn requests_in_progress_are_never_pushed_out() {
+fn requests_in_progress_are_never_evicted() {
     let mut ledgers = ledgers();
     for seq in 1..=64 {
         check(&mut ledgers, seq, START, "new");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn answers_beyond_the_limit_go_and_their_lines_still_sink() {
+fn answers_beyond_the_limit_are_discarded_and_their_entries_still_expire() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     run(&mut ledgers, 2, START);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_ledger_outlives_its_last_request_and_a_closed_one_its_packets() {
+fn a_ledger_is_retained_after_its_last_request_and_after_closing() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     ledgers.expire(START + Duration::from_secs(3_599), PLENTY);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_flow_that_is_closed_again_and_again_costs_no_more_than_one() {
+fn a_flow_that_is_closed_repeatedly_has_a_single_expiry() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     for second in 0..100 {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_request_whose_end_is_never_told_does_not_keep_its_ledger_for_ever() {
+fn a_request_whose_end_is_lost_does_not_keep_its_ledger_forever() {
     let mut old = ledgers();
     check(&mut old, 1, START, "new");
     old.begin(KEY, RequestSeq(1), TicketId(1));
--- a/crates/node/tests/path.rs
+++ b/crates/node/tests/path.rs
@@ -27,11 +27,11 @@
     assert_eq!(fleet.calls.len(), 1);
     assert_eq!(fleet.calls[0].0, home);
     fleet.end_call(CallResult::Answered(b"held".to_vec()));
-    check(&fleet.got(), "chunk 0/1 of 1");
+    check(&fleet.take_replies(), "chunk 0/1 of 1");
 }
 
 #[test]
-fn a_copy_never_runs_again() {
+fn a_duplicate_request_never_runs_again() {
     let mut fleet = Fleet::new(3);
     let home = fleet.home("availability");
     let granted = fleet.open(&home, "availability");
@@ -39,10 +39,10 @@
     fleet.send(&home, &packet);
     let other = fleet.other(&home);
     fleet.send(&other, &packet);
-    check(&fleet.got(), "accepted 1");
+    check(&fleet.take_replies(), "accepted 1");
     fleet.end_call(CallResult::Answered(b"held".to_vec()));
     fleet.send(&other, &packet);
-    check(&fleet.got(), "chunk 0/1 of 1; chunk 0/1 of 1");
+    check(&fleet.take_replies(), "chunk 0/1 of 1; chunk 0/1 of 1");
     assert!(fleet.calls.is_empty());
 }
 
@@ -68,12 +68,12 @@
         fleet.send(&home, &request(&granted, "availability", kind, 21));
         fleet.end_call(result.clone());
         assert_eq!(fleet.calls.len(), calls, "{kind} after {result:?}");
-        check(&fleet.got(), expected);
+        check(&fleet.take_replies(), expected);
     }
 }
 
 #[test]
-fn a_deadline_ends_a_request_with_a_true_verdict() {
+fn an_expired_deadline_gives_a_correct_verdict() {
     let mut fleet = Fleet::new(1);
     let home = fleet.home("availability");
     let granted = fleet.open(&home, "availability");
@@ -81,29 +81,29 @@
         fleet.send(&home, &request(&granted, "availability", "hold", seq));
     }
     assert_eq!(fleet.calls.len(), 2, "two slots");
-    fleet.pass(Duration::from_secs(11));
-    let got = fleet.got();
+    fleet.advance(Duration::from_secs(11));
+    let got = fleet.take_replies();
     assert_eq!(got.matches("may have run: deadline").count(), 2, "{got}");
     assert_eq!(got.matches("not run: ").count(), 1, "{got}");
     assert_eq!(fleet.cancelled.len(), 2);
 }
 
 #[test]
-fn a_refusal_that_says_not_run_stays_true() {
+fn a_request_refused_as_not_run_never_runs_later() {
     let mut fleet = Fleet::new(1);
     let home = fleet.home("availability");
     let granted = fleet.open(&home, "availability");
     let packet = request(&granted, "availability", "nonsense", 1);
     fleet.send(&home, &packet);
-    check(&fleet.got(), "not run: unknown");
+    check(&fleet.take_replies(), "not run: unknown");
     fleet.send(&home, &packet);
-    check(&fleet.got(), "not run: unknown");
+    check(&fleet.take_replies(), "not run: unknown");
     let Packet::Request(mut changed) = packet else {
         panic!("a request")
     };
     changed.kind = "feed".parse().unwrap();
     fleet.send(&home, &Packet::Request(changed));
-    check(&fleet.got(), "not run: unknown");
+    check(&fleet.take_replies(), "not run: unknown");
     assert!(fleet.calls.is_empty());
 }
 
@@ -113,12 +113,12 @@
     let home = fleet.home("availability");
     let granted = fleet.open(&home, "availability");
     fleet.send(&home, &request(&granted, "photos", "sheet", 1));
-    check(&fleet.got(), "may have run: wrong_service");
+    check(&fleet.take_replies(), "may have run: wrong_service");
     assert!(fleet.calls.is_empty());
 }
 
 #[test]
-fn a_gone_owner_means_a_new_token_and_no_second_run() {
+fn a_lost_owner_leads_to_a_new_token_and_no_second_run() {
     let mut fleet = Fleet::new(3);
     let home = fleet.home("availability");
     let granted = fleet.open(&home, "availability");
@@ -126,41 +126,41 @@
     fleet.send(&home, &packet);
     assert_eq!(fleet.calls.len(), 1);
     fleet.nodes.remove(&home);
-    fleet.pass(Duration::from_secs(6));
+    fleet.advance(Duration::from_secs(6));
     let other = fleet.other(&home);
     fleet.send(&other, &packet);
-    check(&fleet.got(), "may have run: owner_gone, new token");
+    check(&fleet.take_replies(), "may have run: owner_gone, new token");
     assert_eq!(fleet.calls.len(), 1, "only the call of the instance that is gone");
 }
 
 #[test]
-fn homes_move_and_flows_follow() {
+fn a_flow_gets_a_new_token_after_its_home_moves() {
     let mut fleet = Fleet::new(1);
     let first = fleet.home("availability");
     let granted = fleet.open(&first, "availability");
     for index in 1..9 {
         fleet.join(&support::instance(index), index + 1);
     }
-    fleet.pass(Duration::from_secs(3));
+    fleet.advance(Duration::from_secs(3));
     assert_ne!(fleet.home("availability"), first, "this seed moves the home");
     fleet.send(&first, &request(&granted, "availability", "hold", 1));
     assert_eq!(fleet.calls[0].0, first, "the owner runs it");
     fleet.end_call(CallResult::Answered(Vec::new()));
-    check(&fleet.got(), "chunk 0/1 of 1, new token");
+    check(&fleet.take_replies(), "chunk 0/1 of 1, new token");
 }
 
 #[test]
-fn one_caller_leaves_ledgers_for_others() {
+fn one_caller_cannot_use_up_all_ledgers() {
     let mut fleet = Fleet::new(0);
-    fleet.flows = 10;
+    fleet.max_flows = 10;
     let home = support::instance(0);
     fleet.join(&home, 1);
-    fleet.pass(Duration::from_secs(3));
+    fleet.advance(Duration::from_secs(3));
     let mut got = Vec::new();
     for _ in 0..10 {
         let granted = fleet.open(&home, "availability");
         fleet.send(&home, &request(&granted, "availability", "nonsense", 1));
-        got.push(fleet.got());
+        got.push(fleet.take_replies());
     }
     check(&got[4], "not run: unknown");
     check(&got[5], "may have run: limit");
@@ -168,7 +168,7 @@
     let packet = request(&granted, "availability", "nonsense", 1);
     let other = "10.9.0.2:5000".parse().unwrap();
     fleet.event(&home, Event::Datagram(other, encode_packet(&packet)));
-    check(&fleet.got(), "not run: unknown");
+    check(&fleet.take_replies(), "not run: unknown");
 }
 
 #[test]
@@ -177,7 +177,7 @@
     for index in 0..2 {
         fleet.join(&support::instance(index), 1);
     }
-    fleet.pass(Duration::from_secs(3));
+    fleet.advance(Duration::from_secs(3));
     let home = fleet.home("availability");
     let granted = fleet.open(&home, "availability");
     let packet = request(&granted, "availability", "hold", 1);
@@ -185,5 +185,5 @@
     let other = fleet.other(&home);
     fleet.send(&other, &packet);
     assert_eq!(fleet.calls.len(), 1);
-    check(&fleet.got(), "accepted 1");
+    check(&fleet.take_replies(), "accepted 1");
 }
--- a/crates/node/tests/polls.rs
+++ b/crates/node/tests/polls.rs
@@ -17,7 +17,7 @@
 use support::large_document;
 
 #[test]
-fn polls_stay_within_what_control_may_cost() {
+fn the_poll_rate_is_bounded() {
     // Up to four polls per second are sent in total; three upstreams are polled once per second each.
     let cases = [(0, 30), (5, 40), (40, 40), (97, 40)];
     for (more, expected) in cases {
@@ -26,9 +26,9 @@
             &instance(0),
             Event::DocumentLoaded(Revision(2), large_document(2, more)),
         );
-        fleet.pass(Duration::from_mins(1));
+        fleet.advance(Duration::from_mins(1));
         fleet.polls = 0;
-        fleet.pass(Duration::from_mins(2));
+        fleet.advance(Duration::from_mins(2));
         let in_ten_seconds = fleet.polls / 12;
         let tolerance = 6;
         assert!(
@@ -44,7 +44,7 @@
     let name = "more-0".parse::<UpstreamName>().unwrap();
     let check = |fleet: &mut Fleet, revision, text, expected| {
         fleet.event(&instance(0), Event::DocumentLoaded(Revision(revision), text));
-        fleet.pass(Duration::from_millis(20));
+        fleet.advance(Duration::from_millis(20));
         let status = fleet.nodes[&instance(0)].1.status(fleet.now);
         let line = status.upstreams.iter().find(|line| line.upstream == name);
         assert_eq!(line.map(|line| line.incarnation), expected, "at revision {revision}");
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -91,15 +91,15 @@
     pub cancelled: Vec<CallId>,
     pub stopped: Vec<InstanceName>,
     /// The timeline records about documents.
-    pub documents: Vec<String>,
+    pub document_records: Vec<String>,
     /// The number of polls of upstreams.
     pub polls: usize,
     /// Links on which frames from the first to the second instance are dropped.
-    pub cut: Vec<(InstanceName, InstanceName)>,
+    pub dropped_links: Vec<(InstanceName, InstanceName)>,
     /// The inherited incarnations in each part of a hand-over that was sent.
     pub inherited: Vec<Vec<Life>>,
     /// The maximum number of flows with a ledger at instances that join.
-    pub flows: usize,
+    pub max_flows: usize,
 }
 
 impl Fleet {
@@ -112,16 +112,16 @@
             calls: Vec::new(),
             cancelled: Vec::new(),
             stopped: Vec::new(),
-            documents: Vec::new(),
+            document_records: Vec::new(),
             polls: 0,
-            cut: Vec::new(),
+            dropped_links: Vec::new(),
             inherited: Vec::new(),
-            flows: Limits::default().flows,
+            max_flows: Limits::default().flows,
         };
         for index in 0..count {
             fleet.join(&instance(index), index + 1);
         }
-        fleet.pass(Duration::from_secs(3));
+        fleet.advance(Duration::from_secs(3));
         fleet.calls.clear();
         fleet.replies.clear();
         fleet
@@ -136,7 +136,7 @@
             address: address(name),
             keyring: token::Keyring::new(&secret, &[], Duration::from_hours(1)),
             limits: Limits {
-                flows: self.flows,
+                flows: self.max_flows,
                 max_timeout: Duration::from_secs(20),
                 ..Limits::default()
             },
@@ -167,12 +167,12 @@
             let mut out = Vec::new();
             node.handle(self.now, event, &mut out);
             for action in out {
-                self.carry_out(&from, action, &mut queue);
+                self.apply_action(&from, action, &mut queue);
             }
         }
     }
 
-    fn carry_out(&mut self, from: &Peer, action: Action, queue: &mut VecDeque<(InstanceName, Event)>) {
+    fn apply_action(&mut self, from: &Peer, action: Action, queue: &mut VecDeque<(InstanceName, Event)>) {
         match action {
             Action::Reply(_, reply) => self.replies.push_back(reply),
             Action::Send { to, frame, .. } => {
@@ -181,7 +181,8 @@
                 if let Frame::Handover(handover) = &frame {
                     self.inherited.push(handover.inherited.clone());
                 }
-                let lost = self.cut.contains(&(from.name.clone(), to.clone())) || !self.nodes.contains_key(&to);
+                let lost =
+                    self.dropped_links.contains(&(from.name.clone(), to.clone())) || !self.nodes.contains_key(&to);
                 if !lost {
                     queue.push_back((to, Event::Frame(from.clone(), frame)));
                 }
@@ -191,13 +192,13 @@
             Action::Stopped => self.stopped.push(from.name.clone()),
             Action::Poll(..) => self.polls += 1,
             Action::Record(record @ (Record::InForce(_) | Record::DocumentRejected(_))) => {
-                self.documents.push(format!("{}: {record}", from.name));
+                self.document_records.push(format!("{}: {record}", from.name));
             }
             Action::Watch(_) | Action::Record(_) => {}
         }
     }
 
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Duration::from_millis(10);
@@ -317,7 +318,7 @@
 
 impl Fleet {
     /// Returns the replies received since the previous call, formatted on one line.
-    pub fn got(&mut self) -> String {
+    pub fn take_replies(&mut self) -> String {
         let lines: Vec<String> = self.replies.drain(..).map(|reply| show(&reply)).collect();
         lines.join("; ")
     }
