--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -57,8 +57,8 @@
     };
     let mut pieces = vec![empty.clone()];
     let mut size = 0;
-    for line in ledger.entries {
-        let entry = match line.state {
+    for recorded in ledger.entries {
+        let entry = match recorded.state {
             RequestState::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(local), Entry::Queued),
             RequestState::RunningElsewhere(incarnation) => Entry::Running(incarnation),
             RequestState::Answered(answer) => Entry::Answered(*answer),
@@ -71,7 +71,7 @@
             pieces.push(empty.clone());
         }
         if let Some(piece) = pieces.last_mut() {
-            piece.entries.push((line.seq, entry));
+            piece.entries.push((recorded.seq, entry));
         }
     }
     pieces
--- a/crates/node/src/ledgers.rs
+++ b/crates/node/src/ledgers.rs
@@ -22,7 +22,7 @@
 /// The maximum time that a copy of a datagram may be in flight. The ledger of a closed flow is kept for this long.
 const MAX_PACKET_LIFETIME: Duration = Duration::from_mins(2);
 /// The spare capacity that a queue may keep regardless of its length.
-const MIN_QUEUE_CAPACITY: usize = 256;
+const SPARE_CAPACITY: usize = 256;
 /// How soon a ledger that is due but still in use is checked again.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -383,7 +383,7 @@
 
 /// Releases memory after a peak.
 fn shrink_queue<T>(queue: &mut VecDeque<T>) {
-    if queue.capacity() > 4 * queue.len() + MIN_QUEUE_CAPACITY {
-        queue.shrink_to(2 * queue.len() + MIN_QUEUE_CAPACITY);
+    if queue.capacity() > 4 * queue.len() + SPARE_CAPACITY {
+        queue.shrink_to(2 * queue.len() + SPARE_CAPACITY);
     }
 }
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -209,10 +209,10 @@
     }
 
     fn member_status(&self) -> Vec<MemberStatus> {
-        let mut lines = Vec::new();
+        let mut statuses = Vec::new();
         for member in self.membership.members() {
             let document = self.membership.document_of(&member.name);
-            lines.push(MemberStatus {
+            statuses.push(MemberStatus {
                 name: member.name.clone(),
                 incarnation: member.incarnation,
                 zone: member.zone.clone(),
@@ -221,30 +221,30 @@
                 digest: document.map(|(_, digest)| digest.to_string()),
             });
         }
-        lines.sort_by(|a, b| a.name.cmp(&b.name));
-        lines
+        statuses.sort_by(|a, b| a.name.cmp(&b.name));
+        statuses
     }
 
     fn home_status(&self) -> Vec<HomeStatus> {
-        let mut lines = Vec::new();
+        let mut statuses = Vec::new();
         for (service, home) in &self.home_cache {
             let home = home.as_ref().map(|(peer, _)| peer.name.clone());
-            lines.push(HomeStatus {
+            statuses.push(HomeStatus {
                 service: service.clone(),
                 home,
             });
         }
-        lines
+        statuses
     }
 
     fn upstream_status(&self) -> Vec<UpstreamStatus> {
-        let mut lines = Vec::new();
+        let mut statuses = Vec::new();
         for (service, home) in &self.homes {
             for status in home.pool.states() {
-                lines.push(self.upstream_status_of(service, status));
+                statuses.push(self.upstream_status_of(service, status));
             }
         }
-        lines
+        statuses
     }
 
     fn upstream_status_of(&self, service: &ServiceName, status: balance::UpstreamStatus) -> UpstreamStatus {
@@ -261,10 +261,10 @@
     }
 
     fn refused_counts(&self) -> Vec<RefusedCount> {
-        let mut lines = Vec::new();
+        let mut counts = Vec::new();
         for (&(verdict, reason), &count) in &self.counters.refused {
-            lines.push(RefusedCount { verdict, reason, count });
+            counts.push(RefusedCount { verdict, reason, count });
         }
-        lines
+        counts
     }
 }
