--- a/crates/node/src/pack.rs
+++ b/crates/node/src/handover.rs
@@ -1,4 +1,4 @@
-//! Ledgers in the form in which they are handed over.
+//! The form in which ledgers are handed over.
 
 use std::collections::BTreeMap;
 
@@ -12,22 +12,23 @@
 
 use crate::FlowKey;
 use crate::Ledger;
-use crate::State;
+use crate::RequestState;
 use crate::ticket::Ticket;
 
-/// About how many bytes of ledgers go into one frame: few enough frames for a session's queue, even with long answers.
+/// The approximate number of bytes of ledgers in one frame. Large enough that the frames of a hand-over fit into a
+/// session's queue, even with long answers.
 const PART_BYTES: usize = 1_024 * 1_024;
-/// About what a flow takes besides its entries.
+/// The approximate size of a flow without its entries.
 const FLOW_BYTES: usize = 64;
-/// About what a waiting request takes besides its body.
+/// The approximate size of a waiting request without its body.
 const REQUEST_BYTES: usize = 640;
-/// About what an answer takes besides its body.
+/// The approximate size of an answer without its body.
 const ANSWER_BYTES: usize = 64;
-/// About what any other entry takes.
-const LINE_BYTES: usize = 32;
+/// The approximate size of any other entry.
+const OTHER_ENTRY_BYTES: usize = 32;
 
-/// A waiting request, as it is handed over.
-pub(crate) fn body_of(ticket: Ticket, now: Time) -> Body {
+/// Converts a waiting request into the form in which it is handed over.
+pub(crate) fn handover_body(ticket: Ticket, now: Time) -> Body {
     let remaining = Millis::from(now.until(ticket.deadline));
     Body {
         caller: ticket.caller,
@@ -39,13 +40,13 @@
     }
 }
 
-/// Writes a ledger for the hand-over, in several pieces if it holds long answers. `bodies` are the requests that
-/// wait, `me` is where the others run.
-pub(crate) fn pack(
+/// Packs a ledger for the hand-over, in several pieces if it holds long answers. `bodies` holds the requests that
+/// wait for a slot; the other running ones are in progress at `local`.
+pub(crate) fn pack_ledger(
     key: FlowKey,
     ledger: Ledger,
     bodies: &mut BTreeMap<TicketId, Body>,
-    me: Incarnation,
+    local: Incarnation,
 ) -> Vec<HandoverFlow> {
     let empty = HandoverFlow {
         owner: key.owner,
@@ -56,13 +57,13 @@
     };
     let mut pieces = vec![empty.clone()];
     let mut size = 0;
-    for line in ledger.lines {
-        let entry = match line.state {
-            State::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(me), Entry::Queued),
-            State::Elsewhere(incarnation) => Entry::Running(incarnation),
-            State::Answered(answer) => Entry::Answered(*answer),
-            State::Forgotten => Entry::Forgotten,
-            State::Refused(verdict, reason) => Entry::Refused(verdict, reason),
+    for recorded in ledger.entries {
+        let entry = match recorded.state {
+            RequestState::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(local), Entry::Queued),
+            RequestState::RunningElsewhere(incarnation) => Entry::Running(incarnation),
+            RequestState::Answered(answer) => Entry::Answered(*answer),
+            RequestState::AnswerDiscarded => Entry::Forgotten,
+            RequestState::Refused(verdict, reason) => Entry::Refused(verdict, reason),
         };
         size += size_of_entry(&entry);
         if size > PART_BYTES {
@@ -70,16 +71,16 @@
             pieces.push(empty.clone());
         }
         if let Some(piece) = pieces.last_mut() {
-            piece.entries.push((line.seq, entry));
+            piece.entries.push((recorded.seq, entry));
         }
     }
     pieces
 }
 
-/// Cuts ledgers into parts of at most [`PART_BYTES`] or one piece. There is always at least one part.
+/// Splits ledgers into parts of at most [`PART_BYTES`] or a single piece. There is always at least one part.
 ///
-/// A piece of one entry fits a frame, since the daemon takes no longer answer than that from an upstream.
-pub(crate) fn split(flows: &[HandoverFlow]) -> Vec<&[HandoverFlow]> {
+/// A piece with one entry fits into a frame, since the daemon accepts no longer answer from an upstream.
+pub(crate) fn split_into_parts(flows: &[HandoverFlow]) -> Vec<&[HandoverFlow]> {
     let mut parts = Vec::new();
     let mut start = 0;
     let mut size = 0;
@@ -105,6 +106,6 @@
     match entry {
         Entry::Queued(body) => REQUEST_BYTES + body.request.body.len(),
         Entry::Answered(answer) => ANSWER_BYTES + answer.body.len(),
-        Entry::Running(_) | Entry::Forgotten | Entry::Refused(..) => LINE_BYTES,
+        Entry::Running(_) | Entry::Forgotten | Entry::Refused(..) => OTHER_ENTRY_BYTES,
     }
 }
--- a/crates/node/src/ledgers.rs
+++ b/crates/node/src/ledgers.rs
@@ -1,4 +1,4 @@
-//! The ledgers of all flows that an instance owns, and how long they are kept.
+//! The ledgers of all flows that an instance owns, and their expiry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,37 +14,37 @@
 
 use crate::FlowKey;
 use crate::Ledger;
-use crate::Line;
-use crate::State;
-use crate::flows::Flows;
-use crate::flows::Group;
-
-/// How long a copy of a datagram may be under way. A closed flow's ledger outlives its last packet by this.
-const PACKET_LIFE: Duration = Duration::from_mins(2);
-/// How many free places a queue may keep, however short it is.
-const SPARE: usize = 256;
-/// How soon a flow whose ledger is due but still in use is looked at again.
-const RECHECK: Duration = Duration::from_secs(1);
-
-/// Why a request that is looked up, begins or is refused has a ledger.
-const LOOKED_UP: &str = "looking a request up makes its flow's ledger";
-
-/// What a ledger says of a request that has just come.
+use crate::LedgerEntry;
+use crate::RequestState;
+use crate::flow_table::CallerGroup;
+use crate::flow_table::FlowTable;
+
+/// The maximum time that a copy of a datagram may be in flight. The ledger of a closed flow is kept for this long.
+const MAX_PACKET_LIFETIME: Duration = Duration::from_mins(2);
+/// The spare capacity that a queue may keep regardless of its length.
+const SPARE_CAPACITY: usize = 256;
+/// How soon a ledger that is due but still in use is checked again.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The panic message if a request that is looked up, started or refused has no ledger.
+const LEDGER_EXISTS: &str = "a request must be looked up first, which creates its flow's ledger";
+
+/// The result of looking up a request that has been received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Lookup<'a> {
-    /// It has not come before, and may begin.
+    /// It has not been received before and may start.
     New,
-    /// It is at or below the floor and no line tells what became of it.
+    /// It is at or below the floor, and there is no entry for it.
     TooOld,
-    /// It has come before.
-    Known(&'a State),
+    /// It has been received before.
+    Known(&'a RequestState),
     /// The ledger is full of requests in progress.
     Full,
 }
 
-/// When the line of a request that has ended sinks.
+/// When the entry of an ended request is evicted.
 #[derive(Debug, Clone)]
-struct LineExpiry {
+struct EntryExpiry {
     at: Time,
     key: FlowKey,
     seq: RequestSeq,
@@ -53,30 +53,32 @@
 /// The ledgers of all flows that an instance owns.
 #[derive(Debug, Clone)]
 pub struct Ledgers {
-    flows: Flows,
-    ended: VecDeque<LineExpiry>,
-    /// Answers that may be held, oldest first.
+    flows: FlowTable,
+    ended: VecDeque<EntryExpiry>,
+    /// Requests whose answers may still be held, oldest first.
     answers: VecDeque<(FlowKey, RequestSeq)>,
     answer_bytes: u64,
-    keep_flows: Duration,
-    keep_answers: Duration,
+    ledger_retention: Duration,
+    answer_retention: Duration,
 }
 
 impl Ledgers {
-    /// Ledgers that outlive their flow's last request by `keep_flows`, which must be longer than any token lives,
-    /// and that hold an answer for `keep_answers`.
-    pub fn new(keep_flows: Duration, keep_answers: Duration) -> Self {
+    /// Creates an empty set of ledgers.
+    ///
+    /// A ledger is kept for `ledger_retention` after its flow's last request, which must be longer than any token is
+    /// valid. An answer is held for `answer_retention`.
+    pub fn new(ledger_retention: Duration, answer_retention: Duration) -> Self {
         Self {
-            flows: Flows::default(),
+            flows: FlowTable::default(),
             ended: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
-            keep_flows,
-            keep_answers,
+            ledger_retention,
+            answer_retention,
         }
     }
 
-    /// How many flows have a ledger.
+    /// The number of flows with a ledger.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
@@ -86,12 +88,12 @@
         self.flows.len() == 0
     }
 
-    /// How many bytes of answers are held.
+    /// The number of bytes of answers that are held.
     pub fn answer_bytes(&self) -> u64 {
         self.answer_bytes
     }
 
-    /// How many times of expiry are queued for flows.
+    /// The number of expiry times that are queued for flows.
     pub fn expiries(&self) -> usize {
         self.flows.expiries()
     }
@@ -101,17 +103,18 @@
         self.flows.contains(key)
     }
 
-    /// Whether a group of callers may have one more flow, of `limit` in all.
+    /// Whether a group of callers may have one more flow, given a total limit of `limit` flows.
     ///
-    /// It may have as many as are free, so one caller gets half, two get a third each, and some are always left for
-    /// others. A fixed share would be too small for the only caller, or too large for the tenth.
-    pub(crate) fn has_room(&self, group: Group, limit: usize) -> bool {
-        self.flows.held(group) < limit.saturating_sub(self.len())
+    /// A group may have as many flows as are left free, so one group gets at most half of the limit, two get a third
+    /// each, and some are always left for others. A fixed share would be too small for a single caller or too large
+    /// for the tenth.
+    pub(crate) fn has_room(&self, group: CallerGroup, limit: usize) -> bool {
+        self.flows.group_size(group) < limit.saturating_sub(self.len())
     }
 
-    /// Counts a flow as one of this group's, unless it counts already. Flows that were handed over count for nobody.
-    pub(crate) fn charge(&mut self, key: FlowKey, group: Group) {
-        self.flows.charge(key, group);
+    /// Assigns a flow to this group unless it already belongs to one. Flows that were handed over belong to no group.
+    pub(crate) fn assign_group(&mut self, key: FlowKey, group: CallerGroup) {
+        self.flows.assign_group(key, group);
     }
 
     /// The ledger of a flow.
@@ -119,7 +122,7 @@
         self.flows.get(key)
     }
 
-    /// Notes that a request has come and tells how it stands. `floor` is the token's, `sent` the packet's.
+    /// Records the arrival of a request and returns its state. `floor` is taken from the token, `sent` from the packet.
     pub fn look_up(
         &mut self,
         key: FlowKey,
@@ -128,7 +131,7 @@
         sent: RequestSeq,
         now: Time,
     ) -> Lookup<'_> {
-        let keep_until = now + self.keep_flows;
+        let keep_until = now + self.ledger_retention;
         if !self.flows.contains(key) {
             let ledger = Ledger {
                 floor,
@@ -136,90 +139,96 @@
             };
             self.flows.insert(key, ledger, keep_until);
         }
-        let ledger = self.flows.get_mut(key).expect(LOOKED_UP);
+        let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
         ledger.keep_until = keep_until;
         ledger.sent = ledger.sent.max(sent).max(seq);
-        if let Some(index) = ledger.lines.iter().position(|line| line.seq == seq) {
-            return Lookup::Known(&ledger.lines[index].state);
+        if let Some(index) = ledger.entries.iter().position(|entry| entry.seq == seq) {
+            return Lookup::Known(&ledger.entries[index].state);
         }
-        // The token's floor holds for this packet, whatever floor the ledger was made with.
+        // The token's floor applies to this packet even if the ledger was created with a lower one.
         if seq <= ledger.floor.max(floor) {
             return Lookup::TooOld;
         }
         if !ledger.make_room() {
             return Lookup::Full;
         }
-        // Making room may have raised the floor.
+        // Making room may have raised the floor above this request.
         if seq <= ledger.floor {
             return Lookup::TooOld;
         }
         Lookup::New
     }
 
-    /// Writes the line of a request that begins. Only a [`Lookup::New`] may lead here.
+    /// Records that a request starts. May only follow a [`Lookup::New`].
     pub fn begin(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) {
-        self.write_new(key, seq, State::Running(ticket));
+        self.insert_new(key, seq, RequestState::Running(ticket));
     }
 
-    fn write_new(&mut self, key: FlowKey, seq: RequestSeq, state: State) {
-        let ledger = self.flows.get_mut(key).expect(LOOKED_UP);
-        assert!(ledger.line(seq).is_none(), "a request begins or is refused once");
-        assert!(seq > ledger.floor, "a request at or below the floor may have run");
-        ledger.lines.push(Line { seq, state });
+    fn insert_new(&mut self, key: FlowKey, seq: RequestSeq, state: RequestState) {
+        let ledger = self.flows.get_mut(key).expect(LEDGER_EXISTS);
+        assert!(
+            ledger.entry(seq).is_none(),
+            "a request must start or be refused at most once"
+        );
+        assert!(
+            seq > ledger.floor,
+            "a request at or below the floor may have run and must not start"
+        );
+        ledger.entries.push(LedgerEntry { seq, state });
     }
 
-    /// Writes how a request ended. A request that has ended before keeps its first end.
-    pub fn end(&mut self, key: FlowKey, seq: RequestSeq, state: State, now: Time) {
-        let Some(line) = line_mut(&mut self.flows, key, seq) else {
+    /// Records how a request ended. If it has ended before, its first final state is kept.
+    pub fn end(&mut self, key: FlowKey, seq: RequestSeq, state: RequestState, now: Time) {
+        let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return;
         };
-        if line.state.is_final() {
+        if entry.state.is_final() {
             return;
         }
-        if let State::Answered(answer) = &state {
+        if let RequestState::Answered(answer) = &state {
             self.answer_bytes += answer.body.len() as u64;
             self.answers.push_back((key, seq));
         }
         let ended = state.is_final();
-        line.state = state;
+        entry.state = state;
         if ended {
-            self.sink_later(key, seq, now);
+            self.schedule_eviction(key, seq, now);
         }
     }
 
-    /// Writes the final refusal of a request that never began. Only a [`Lookup::New`] may lead here.
+    /// Records the final refusal of a request that never started. May only follow a [`Lookup::New`].
     pub fn refuse(&mut self, key: FlowKey, seq: RequestSeq, reason: Reason, now: Time) {
-        self.write_new(key, seq, State::Refused(Verdict::NotRun, reason));
-        self.sink_later(key, seq, now);
+        self.insert_new(key, seq, RequestState::Refused(Verdict::NotRun, reason));
+        self.schedule_eviction(key, seq, now);
     }
 
-    /// Lets the line of a request that has ended sink when its answer needs to be kept no longer.
-    fn sink_later(&mut self, key: FlowKey, seq: RequestSeq, now: Time) {
-        let at = now + self.keep_answers;
-        self.ended.push_back(LineExpiry { at, key, seq });
+    /// Schedules the eviction of an ended request's entry for when its answer need no longer be kept.
+    fn schedule_eviction(&mut self, key: FlowKey, seq: RequestSeq, now: Time) {
+        let at = now + self.answer_retention;
+        self.ended.push_back(EntryExpiry { at, key, seq });
     }
 
     /// The answer of a request, if it is held.
     pub fn answer(&self, key: FlowKey, seq: RequestSeq) -> Option<&Answer> {
-        let line = self.get(key)?.line(seq)?;
-        match &line.state {
-            State::Answered(answer) => Some(answer),
+        let entry = self.get(key)?.entry(seq)?;
+        match &entry.state {
+            RequestState::Answered(answer) => Some(answer),
             _ => None,
         }
     }
 
-    /// Lets go of an answer that the caller has whole.
+    /// Discards an answer that the caller has received completely.
     pub fn forget_answer(&mut self, key: FlowKey, seq: RequestSeq) {
-        let Some(line) = line_mut(&mut self.flows, key, seq) else {
+        let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return;
         };
-        if let State::Answered(answer) = &line.state {
+        if let RequestState::Answered(answer) = &entry.state {
             self.answer_bytes -= answer.body.len() as u64;
-            line.state = State::Forgotten;
+            entry.state = RequestState::AnswerDiscarded;
         }
     }
 
-    /// Forgets what has been kept long enough, and the oldest answers beyond `max_bytes`.
+    /// Discards expired entries and ledgers, and the oldest answers beyond `max_bytes`.
     pub fn expire(&mut self, now: Time, max_bytes: u64) {
         while self.answer_bytes > max_bytes {
             let Some((key, seq)) = self.answers.pop_front() else {
@@ -231,18 +240,19 @@
             let Some(expiry) = self.ended.pop_front() else {
                 break;
             };
-            self.expire_line(&expiry);
+            self.expire_entry(&expiry);
         }
-        shrink(&mut self.ended);
-        shrink(&mut self.answers);
+        shrink_queue(&mut self.ended);
+        shrink_queue(&mut self.answers);
         while let Some(key) = self.flows.first_due(now) {
             self.expire_flow(key, now);
         }
     }
 
-    fn expire_line(&mut self, expiry: &LineExpiry) {
+    fn expire_entry(&mut self, expiry: &EntryExpiry) {
         self.forget_answer(expiry.key, expiry.seq);
-        // Answers end and expire in the same order, so the front of the queue is this one or an earlier one.
+        // Answers expire in the order in which they were added, so the front of the queue is this answer or an earlier
+        // one.
         while let Some((key, seq)) = self.answers.front() {
             if self.answer(*key, *seq).is_some() {
                 break;
@@ -252,15 +262,15 @@
         let Some(ledger) = self.flows.get_mut(expiry.key) else {
             return;
         };
-        let ended = |line: &Line| line.seq == expiry.seq && line.state.is_final();
-        let Some(index) = ledger.lines.iter().position(ended) else {
+        let ended = |entry: &LedgerEntry| entry.seq == expiry.seq && entry.state.is_final();
+        let Some(index) = ledger.entries.iter().position(ended) else {
             return;
         };
-        // What is still missing below this number is turned away from now on. It has been under way for so long
-        // that nobody waits for it.
-        ledger.sink(index);
-        if ledger.lines.is_empty() {
-            ledger.lines = ThinVec::new();
+        // Requests below this number that have not arrived yet are refused as too old from now on. They have been in
+        // flight for so long that no caller waits for them.
+        ledger.evict(index);
+        if ledger.entries.is_empty() {
+            ledger.entries = ThinVec::new();
         }
     }
 
@@ -268,21 +278,22 @@
         let Some(ledger) = self.flows.get(key) else {
             return;
         };
-        // What was in progress elsewhere has ended by now, and the word of that was lost.
-        let running = |line: &Line| matches!(line.state, State::Running(_));
-        if ledger.keep_until > now || ledger.lines.iter().any(running) {
-            let due = ledger.keep_until.max(now + RECHECK);
+        // Requests that were running at another instance have ended by now; the message that said so was lost.
+        let running = |entry: &LedgerEntry| matches!(entry.state, RequestState::Running(_));
+        if ledger.keep_until > now || ledger.entries.iter().any(running) {
+            let due = ledger.keep_until.max(now + RECHECK_INTERVAL);
             return self.flows.set_due(key, due);
         }
         self.remove(key);
     }
 
-    /// Notes that the caller has closed a flow. Its ledger stays for as long as copies of its packets may be under way.
+    /// Records that the caller has closed a flow. Its ledger is kept for as long as copies of its packets may be in
+    /// flight.
     pub fn close(&mut self, key: FlowKey, now: Time) {
         let Some(ledger) = self.flows.get_mut(key) else {
             return;
         };
-        let keep_until = now + PACKET_LIFE;
+        let keep_until = now + MAX_PACKET_LIFETIME;
         if ledger.keep_until <= keep_until {
             return;
         }
@@ -294,60 +305,61 @@
         let Some(ledger) = self.flows.remove(key) else {
             return;
         };
-        for line in ledger.lines {
-            if let State::Answered(answer) = line.state {
+        for entry in ledger.entries {
+            if let RequestState::Answered(answer) = entry.state {
                 self.answer_bytes -= answer.body.len() as u64;
             }
         }
     }
 
-    /// Takes over a ledger and keeps it as if a request had just come. One that is already there is left alone.
+    /// Installs a ledger that was handed over, retained as if a request had just arrived. An existing ledger of the
+    /// flow is left unchanged.
     pub fn install(&mut self, key: FlowKey, mut ledger: Ledger, now: Time) {
         if self.flows.contains(key) {
             return;
         }
-        ledger.keep_until = now + self.keep_flows;
-        for line in &ledger.lines {
-            if let State::Answered(answer) = &line.state {
+        ledger.keep_until = now + self.ledger_retention;
+        for entry in &ledger.entries {
+            if let RequestState::Answered(answer) = &entry.state {
                 self.answer_bytes += answer.body.len() as u64;
-                self.answers.push_back((key, line.seq));
+                self.answers.push_back((key, entry.seq));
             }
-            if line.state.is_final() {
-                self.sink_later(key, line.seq, now);
+            if entry.state.is_final() {
+                self.schedule_eviction(key, entry.seq, now);
             }
         }
         let due = ledger.keep_until;
         self.flows.insert(key, ledger, due);
     }
 
-    /// Lets a request that was in progress elsewhere begin here, because the other instance never ran it.
+    /// Marks a request that was in progress elsewhere as running here, because the other instance never ran it.
     pub fn resume(&mut self, key: FlowKey, seq: RequestSeq, ticket: TicketId) -> bool {
-        let Some(line) = line_mut(&mut self.flows, key, seq) else {
+        let Some(entry) = entry_mut(&mut self.flows, key, seq) else {
             return false;
         };
-        if !matches!(line.state, State::Elsewhere(_)) {
+        if !matches!(entry.state, RequestState::RunningElsewhere(_)) {
             return false;
         }
-        line.state = State::Running(ticket);
+        entry.state = RequestState::Running(ticket);
         true
     }
 
-    /// The incarnation at which a request is in progress, if that is not this one.
-    pub fn elsewhere_at(&self, key: FlowKey, seq: RequestSeq) -> Option<Incarnation> {
-        let line = self.get(key)?.line(seq)?;
-        match line.state {
-            State::Elsewhere(incarnation) => Some(incarnation),
+    /// The other incarnation at which a request is in progress, if any.
+    pub fn running_elsewhere_at(&self, key: FlowKey, seq: RequestSeq) -> Option<Incarnation> {
+        let entry = self.get(key)?.entry(seq)?;
+        match entry.state {
+            RequestState::RunningElsewhere(incarnation) => Some(incarnation),
             _ => None,
         }
     }
 
-    /// The requests that are in progress at another incarnation.
-    pub fn elsewhere(&self, incarnation: Incarnation) -> Vec<(FlowKey, RequestSeq)> {
+    /// The requests that are in progress at this other incarnation.
+    pub fn requests_running_at(&self, incarnation: Incarnation) -> Vec<(FlowKey, RequestSeq)> {
         let mut found = Vec::new();
         for (key, ledger) in self.flows.iter() {
-            for line in &ledger.lines {
-                if line.state == State::Elsewhere(incarnation) {
-                    found.push((key, line.seq));
+            for entry in &ledger.entries {
+                if entry.state == RequestState::RunningElsewhere(incarnation) {
+                    found.push((key, entry.seq));
                 }
             }
         }
@@ -355,23 +367,23 @@
         found
     }
 
-    /// Takes all ledgers out, in a fixed order.
-    pub fn take(&mut self) -> Vec<(FlowKey, Ledger)> {
+    /// Removes and returns all ledgers in a deterministic order.
+    pub fn drain(&mut self) -> Vec<(FlowKey, Ledger)> {
         self.ended.clear();
         self.answers.clear();
         self.answer_bytes = 0;
-        self.flows.take()
+        self.flows.drain()
     }
 }
 
-fn line_mut(flows: &mut Flows, key: FlowKey, seq: RequestSeq) -> Option<&mut Line> {
+fn entry_mut(flows: &mut FlowTable, key: FlowKey, seq: RequestSeq) -> Option<&mut LedgerEntry> {
     let ledger = flows.get_mut(key)?;
-    ledger.lines.iter_mut().find(|line| line.seq == seq)
+    ledger.entries.iter_mut().find(|entry| entry.seq == seq)
 }
 
-/// Gives memory back after a peak.
-fn shrink<T>(queue: &mut VecDeque<T>) {
-    if queue.capacity() > 4 * queue.len() + SPARE {
-        queue.shrink_to(2 * queue.len() + SPARE);
+/// Releases memory after a peak.
+fn shrink_queue<T>(queue: &mut VecDeque<T>) {
+    if queue.capacity() > 4 * queue.len() + SPARE_CAPACITY {
+        queue.shrink_to(2 * queue.len() + SPARE_CAPACITY);
     }
 }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,7 +1,9 @@
-//! A planned stop: the ledgers go to a successor, what is in progress ends here, late packets are passed on.
+//! Planned stops: the ledgers are handed over to a successor, calls in progress finish here, and late packets are
+//! forwarded.
 //!
-//! Once a ledger has been sent, this node begins nothing of its flows again, acknowledged or not. Only a refusal by
-//! the chosen successor, which promises that nothing was taken over, lets the node choose another.
+//! Once the ledgers have been sent, this node starts no further requests of their flows, even if the hand-over is
+//! not acknowledged. The node chooses another successor only if the first refuses, which guarantees that nothing was
+//! taken over.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,34 +28,34 @@
 use crate::Node;
 use crate::Peer;
 use crate::Record;
-use crate::State;
-use crate::fleet::Place;
-use crate::node::Cx;
-use crate::pack::body_of;
-use crate::pack::pack;
-use crate::pack::split;
+use crate::RequestState;
+use crate::handover::handover_body;
+use crate::handover::pack_ledger;
+use crate::handover::split_into_parts;
+use crate::node::Context;
+use crate::peers::OwnerLocation;
 
-/// How long the others get to hear of the stop before the ledgers move.
-const NOTICE: Duration = Duration::from_millis(300);
-/// How long packets are passed on after the ledgers have moved.
-const LINGER: Duration = Duration::from_millis(700);
-/// How long to wait for the successor's word before the ledgers are sent again.
-const SEND_AGAIN: Duration = Duration::from_millis(500);
+/// How long the other instances have to learn of the stop before the ledgers are handed over.
+const ANNOUNCEMENT_PERIOD: Duration = Duration::from_millis(300);
+/// How long packets are forwarded after the hand-over was acknowledged.
+const FORWARDING_PERIOD: Duration = Duration::from_millis(700);
+/// How long to wait for the successor's acknowledgement before sending the ledgers again.
+const HANDOVER_RETRY: Duration = Duration::from_millis(500);
 
-/// How far a planned stop has come.
+/// The progress of a planned stop.
 #[derive(Debug, Clone)]
-pub(crate) enum Stop {
-    /// None has begun.
+pub(crate) enum StopState {
+    /// No stop has started.
     Serving,
-    /// The others are told.
+    /// The stop has been announced to the other instances.
     Announced(Announced),
     /// The ledgers have been sent.
     HandedOver(HandedOver),
-    /// The process may end. The ledgers are with this successor, if there is one.
+    /// The process may exit. The ledgers are at this successor, if there is one.
     Ended(Option<Peer>),
 }
 
-/// A stop that the others are told of.
+/// A stop that has been announced.
 #[derive(Debug, Clone)]
 pub(crate) struct Announced {
     handover_at: Time,
@@ -69,11 +71,11 @@
     sent_at: Time,
     end_by: Time,
     acknowledged: Option<Time>,
-    /// Ends of requests that wait for the successor's word.
+    /// Ends of requests that are held back until the successor acknowledges the hand-over.
     resolved: Vec<Resolved>,
 }
 
-impl Stop {
+impl StopState {
     pub(crate) fn has_begun(&self) -> bool {
         !matches!(self, Self::Serving)
     }
@@ -82,12 +84,12 @@
         matches!(self, Self::HandedOver(_))
     }
 
-    /// Whether the process may end, so that nothing begins here any more.
+    /// Whether the process may exit, so that no request starts here any more.
     pub(crate) fn has_ended(&self) -> bool {
         matches!(self, Self::Ended(_))
     }
 
-    /// Who owns this node's flows, if that is no longer the node itself.
+    /// The owner of this node's flows, if that is no longer the node itself.
     pub(crate) fn successor(&self) -> Option<&Peer> {
         match self {
             Self::HandedOver(state) => Some(&state.successor),
@@ -98,40 +100,42 @@
 }
 
 impl Node {
-    pub(crate) fn begin_stop(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn begin_stop(&mut self, cx: &mut Context<'_>) {
         if self.stop.has_begun() {
             return;
         }
         cx.record(Record::Stopping);
-        let handover_at = cx.now + NOTICE.min(self.stop_within / 4);
+        let handover_at = cx.now + ANNOUNCEMENT_PERIOD.min(self.stop_within / 4);
         let end_by = cx.now + self.stop_within;
-        self.stop = Stop::Announced(Announced { handover_at, end_by });
+        self.stop = StopState::Announced(Announced { handover_at, end_by });
         let mut outputs = Vec::new();
         self.membership.leave(cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
-        self.rehome(cx);
+        self.apply_membership_outputs(cx, outputs);
+        self.recompute_homes(cx);
     }
 
-    pub(crate) fn tick_stop(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn tick_stop(&mut self, cx: &mut Context<'_>) {
         match &self.stop {
-            Stop::Serving | Stop::Ended(_) => {}
-            Stop::Announced(state) => {
+            StopState::Serving | StopState::Ended(_) => {}
+            StopState::Announced(state) => {
                 let end_by = state.end_by;
                 if cx.now >= end_by {
-                    return self.end_stop(cx);
+                    return self.finish_stop(cx);
                 }
                 if cx.now >= state.handover_at {
                     self.choose_successor(cx, end_by, BTreeSet::new());
                 }
             }
-            Stop::HandedOver(state) => {
-                let lingered = state.acknowledged.is_some_and(|at| cx.now.since(at) >= LINGER);
-                let lost = self.locate_successor_lost(&state.successor);
+            StopState::HandedOver(state) => {
+                let lingered = state
+                    .acknowledged
+                    .is_some_and(|at| cx.now.since(at) >= FORWARDING_PERIOD);
+                let lost = self.is_successor_gone(&state.successor);
                 let idle = self.tickets.is_empty();
                 if cx.now >= state.end_by || (idle && (lingered || lost)) {
-                    return self.end_stop(cx);
+                    return self.finish_stop(cx);
                 }
-                let silent = state.acknowledged.is_none() && cx.now.since(state.sent_at) >= SEND_AGAIN;
+                let silent = state.acknowledged.is_none() && cx.now.since(state.sent_at) >= HANDOVER_RETRY;
                 if silent {
                     self.send_ledgers(cx);
                 }
@@ -139,12 +143,12 @@
         }
     }
 
-    fn locate_successor_lost(&self, successor: &Peer) -> bool {
+    fn is_successor_gone(&self, successor: &Peer) -> bool {
         let standing = self.membership.standing(&successor.name, successor.incarnation);
         matches!(standing, membership::Standing::Gone)
     }
 
-    fn choose_successor(&mut self, cx: &mut Cx<'_>, end_by: Time, refused_by: BTreeSet<Peer>) {
+    fn choose_successor(&mut self, cx: &mut Context<'_>, end_by: Time, refused_by: BTreeSet<Peer>) {
         let candidate = self.membership.successor_candidate();
         let peer = candidate.map(|member| Peer {
             name: member.name.clone(),
@@ -152,18 +156,19 @@
         });
         let chosen = peer.filter(|peer| !refused_by.contains(peer));
         let Some(successor) = chosen else {
-            // Nobody can take the ledgers. The node goes on as owner until it is idle.
+            // No instance can take the ledgers. The node remains the owner until it is idle.
             if self.tickets.is_empty() && refused_by.is_empty() {
-                self.end_stop(cx);
+                self.finish_stop(cx);
             }
             return;
         };
-        // What has ended since the ledgers were packed is not in them, and goes along to the next successor.
-        let (flows, resolved) = match std::mem::replace(&mut self.stop, Stop::Serving) {
-            Stop::HandedOver(state) => (state.flows, state.resolved),
+        // Requests that have ended since the ledgers were packed are not in them; their ends go to the new successor
+        // too.
+        let (flows, resolved) = match std::mem::replace(&mut self.stop, StopState::Serving) {
+            StopState::HandedOver(state) => (state.flows, state.resolved),
             _ => (self.pack_ledgers(cx), Vec::new()),
         };
-        self.stop = Stop::HandedOver(HandedOver {
+        self.stop = StopState::HandedOver(HandedOver {
             successor,
             refused_by,
             flows,
@@ -175,8 +180,8 @@
         self.send_ledgers(cx);
     }
 
-    /// Takes the ledgers out, with the requests that still wait.
-    fn pack_ledgers(&mut self, cx: &mut Cx<'_>) -> Vec<HandoverFlow> {
+    /// Removes all ledgers and the requests that wait for a slot, and packs them for the hand-over.
+    fn pack_ledgers(&mut self, cx: &mut Context<'_>) -> Vec<HandoverFlow> {
         let waiting: Vec<TicketId> = self
             .tickets
             .iter()
@@ -185,29 +190,29 @@
             .collect();
         let mut bodies = BTreeMap::new();
         for id in waiting {
-            self.withdraw(cx, id);
+            self.withdraw_slot_request(cx, id);
             if let Some(ticket) = self.remove_ticket(id) {
-                bodies.insert(id, body_of(ticket, cx.now));
+                bodies.insert(id, handover_body(ticket, cx.now));
             }
         }
-        let me = self.me.incarnation;
+        let local = self.local.incarnation;
         let mut flows = Vec::new();
-        for (key, ledger) in self.ledgers.take() {
-            flows.extend(pack(key, ledger, &mut bodies, me));
+        for (key, ledger) in self.ledgers.drain() {
+            flows.extend(pack_ledger(key, ledger, &mut bodies, local));
         }
         flows
     }
 
-    fn send_ledgers(&mut self, cx: &mut Cx<'_>) {
-        self.forget_inherited(cx.now);
-        let Stop::HandedOver(state) = &mut self.stop else {
+    fn send_ledgers(&mut self, cx: &mut Context<'_>) {
+        self.expire_inherited(cx.now);
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
         state.sent_at = cx.now;
         let peer = state.successor.clone();
-        let successor = record_of(&self.me, &peer);
+        let successor = successor_record(&self.local, &peer);
         let inherited: Vec<Life> = self.inherited.keys().cloned().collect();
-        let chunks = split(&state.flows);
+        let chunks = split_into_parts(&state.flows);
         let parts = chunks.len() as u32;
         let mut frames = Vec::new();
         for (part, flows) in chunks.into_iter().enumerate() {
@@ -224,45 +229,45 @@
         }
     }
 
-    /// The session with an instance broke. Parts of the ledgers may be lost.
-    pub(crate) fn repeat_handover(&mut self, cx: &mut Cx<'_>, name: &InstanceName) {
-        let Stop::HandedOver(state) = &self.stop else {
+    /// Sends the ledgers again if the session with the successor broke, as parts of them may be lost.
+    pub(crate) fn resend_handover(&mut self, cx: &mut Context<'_>, name: &InstanceName) {
+        let StopState::HandedOver(state) = &self.stop else {
             return;
         };
-        // A session that can't be made at once must not be tried at once again and again.
-        let due = cx.now.since(state.sent_at) >= SEND_AGAIN / 2;
+        // If the session can't be established, do not retry in a tight loop.
+        let due = cx.now.since(state.sent_at) >= HANDOVER_RETRY / 2;
         if &state.successor.name == name && state.acknowledged.is_none() && due {
             self.send_ledgers(cx);
         }
     }
 
-    /// The successor has taken over.
-    pub(crate) fn end_handover(&mut self, cx: &mut Cx<'_>, peer: &Peer, incarnation: Incarnation) {
-        let Stop::HandedOver(state) = &mut self.stop else {
+    /// Handles the successor's acknowledgement that it has taken over.
+    pub(crate) fn handle_handover_done(&mut self, cx: &mut Context<'_>, peer: &Peer, incarnation: Incarnation) {
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
-        if peer != &state.successor || incarnation != self.me.incarnation || state.acknowledged.is_some() {
+        if peer != &state.successor || incarnation != self.local.incarnation || state.acknowledged.is_some() {
             return;
         }
         state.acknowledged = Some(cx.now);
         state.flows.clear();
         let resolved = std::mem::take(&mut state.resolved);
-        for one in resolved {
-            self.send(cx, peer, Frame::Resolved(one));
+        for message in resolved {
+            self.send(cx, peer, Frame::Resolved(message));
         }
-        let record = record_of(&self.me, peer);
+        let record = successor_record(&self.local, peer);
         cx.record(Record::HandedOver(record.from.clone(), record.to.clone()));
         let mut outputs = Vec::new();
         self.membership.add_successor(record, cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
+        self.apply_membership_outputs(cx, outputs);
     }
 
-    /// The chosen successor stops too, and has taken over nothing.
-    pub(crate) fn refuse_handover(&mut self, cx: &mut Cx<'_>, peer: &Peer, incarnation: Incarnation) {
-        let Stop::HandedOver(state) = &mut self.stop else {
+    /// Handles the refusal of the chosen successor, which is stopping too and has taken over nothing.
+    pub(crate) fn handle_handover_refused(&mut self, cx: &mut Context<'_>, peer: &Peer, incarnation: Incarnation) {
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
-        if peer != &state.successor || incarnation != self.me.incarnation || state.acknowledged.is_some() {
+        if peer != &state.successor || incarnation != self.local.incarnation || state.acknowledged.is_some() {
             return;
         }
         let mut refused_by = std::mem::take(&mut state.refused_by);
@@ -271,41 +276,49 @@
         self.choose_successor(cx, end_by, refused_by);
     }
 
-    /// Tells the successor how a request ended that was in progress here.
-    pub(crate) fn resolve(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, state: &State) {
+    /// Sends the successor the final state of a request that was in progress here.
+    pub(crate) fn send_final_state(
+        &mut self,
+        cx: &mut Context<'_>,
+        key: FlowKey,
+        seq: RequestSeq,
+        state: &RequestState,
+    ) {
         let entry = match state {
-            State::Answered(answer) => Entry::Answered((**answer).clone()),
-            State::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
-            State::Forgotten | State::Running(_) | State::Elsewhere(_) => Entry::Forgotten,
+            RequestState::Answered(answer) => Entry::Answered((**answer).clone()),
+            RequestState::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
+            RequestState::AnswerDiscarded | RequestState::Running(_) | RequestState::RunningElsewhere(_) => {
+                Entry::Forgotten
+            }
         };
-        self.tell_end(cx, key, seq, entry);
+        self.send_request_end(cx, key, seq, entry);
     }
 
-    /// Gives the successor a request that was in progress here but has not run to an end.
-    pub(crate) fn pass_on(&mut self, cx: &mut Cx<'_>, id: TicketId) {
+    /// Hands a request that was in progress here and may be retried over to the successor.
+    pub(crate) fn hand_over_request(&mut self, cx: &mut Context<'_>, id: TicketId) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
-        let entry = Entry::Queued(body_of(ticket, cx.now));
-        self.tell_end(cx, key, seq, entry);
+        let entry = Entry::Queued(handover_body(ticket, cx.now));
+        self.send_request_end(cx, key, seq, entry);
     }
 
-    fn tell_end(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, entry: Entry) {
+    fn send_request_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, entry: Entry) {
         let resolved = Resolved {
-            at: self.me.incarnation,
+            at: self.local.incarnation,
             owner: key.owner,
             flow: key.flow,
             seq,
             entry,
         };
-        self.tell_resolved(cx, resolved);
+        self.send_resolved(cx, resolved);
     }
 
-    /// Sends the end of a request to whoever holds its ledger by now.
-    pub(crate) fn tell_resolved(&mut self, cx: &mut Cx<'_>, resolved: Resolved) {
-        let Stop::HandedOver(state) = &mut self.stop else {
+    /// Sends the end of a request to the current holder of its ledger.
+    pub(crate) fn send_resolved(&mut self, cx: &mut Context<'_>, resolved: Resolved) {
+        let StopState::HandedOver(state) = &mut self.stop else {
             return;
         };
         if state.acknowledged.is_none() {
@@ -313,25 +326,25 @@
             return;
         }
         let successor = state.successor.clone();
-        if let Place::There(peer, _) = self.locate_successor(&successor) {
+        if let OwnerLocation::Remote(peer, _) = self.locate_successor(&successor) {
             self.send(cx, &peer, Frame::Resolved(resolved));
         }
     }
 
-    fn end_stop(&mut self, cx: &mut Cx<'_>) {
+    fn finish_stop(&mut self, cx: &mut Context<'_>) {
         let left: Vec<TicketId> = self.tickets.keys().copied().collect();
         let count = left.len() as u32;
         for id in left {
-            self.give_up(cx, id, Reason::Deadline);
+            self.abort_request(cx, id, Reason::Deadline);
         }
-        self.stop = Stop::Ended(self.stop.successor().cloned());
+        self.stop = StopState::Ended(self.stop.successor().cloned());
         cx.record(Record::Stopped(count));
         cx.push(Action::Stopped);
     }
 }
 
-/// The record that the ledgers of one incarnation are at another.
-fn record_of(from: &Peer, to: &Peer) -> Successor {
+/// The successor record that states that the ledgers of `from` are at `to`.
+fn successor_record(from: &Peer, to: &Peer) -> Successor {
     Successor {
         from: from.name.clone(),
         from_incarnation: from.incarnation,
--- a/crates/node/tests/ledger.rs
+++ b/crates/node/tests/ledger.rs
@@ -1,11 +1,11 @@
-//! What a ledger says of a request, whatever came before.
+//! Tests of the state that a ledger reports for a request, depending on the preceding events.
 
 use std::time::Duration;
 
 use node::FlowKey;
 use node::Ledgers;
 use node::Lookup;
-use node::State;
+use node::RequestState;
 use units::FlowId;
 use units::Incarnation;
 use units::RequestSeq;
@@ -35,11 +35,11 @@
         Lookup::New => "new".to_owned(),
         Lookup::TooOld => "too old".to_owned(),
         Lookup::Full => "full".to_owned(),
-        Lookup::Known(State::Running(_)) => "running".to_owned(),
-        Lookup::Known(State::Elsewhere(_)) => "elsewhere".to_owned(),
-        Lookup::Known(State::Answered(_)) => "answered".to_owned(),
-        Lookup::Known(State::Forgotten) => "forgotten".to_owned(),
-        Lookup::Known(State::Refused(verdict, _)) => verdict.to_string(),
+        Lookup::Known(RequestState::Running(_)) => "running".to_owned(),
+        Lookup::Known(RequestState::RunningElsewhere(_)) => "elsewhere".to_owned(),
+        Lookup::Known(RequestState::Answered(_)) => "answered".to_owned(),
+        Lookup::Known(RequestState::AnswerDiscarded) => "forgotten".to_owned(),
+        Lookup::Known(RequestState::Refused(verdict, _)) => verdict.to_string(),
     };
     assert_eq!(got, expected);
 }
@@ -48,11 +48,11 @@
     check(ledgers, seq, now, "new");
     ledgers.begin(KEY, RequestSeq(seq), TicketId(seq));
     let answer = Answer::new(vec![7; 100]);
-    ledgers.end(KEY, RequestSeq(seq), State::Answered(Box::new(answer)), now);
+    ledgers.end(KEY, RequestSeq(seq), RequestState::Answered(Box::new(answer)), now);
 }
 
 #[test]
-fn a_number_begins_once() {
+fn a_sequence_number_starts_only_once() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     check(&mut ledgers, 1, START, "answered");
@@ -75,16 +75,16 @@
 }
 
 #[test]
-fn a_first_end_stays() {
+fn the_first_final_state_is_kept() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
-    let refused = State::Refused(Verdict::NotRun, Reason::Deadline);
+    let refused = RequestState::Refused(Verdict::NotRun, Reason::Deadline);
     ledgers.end(KEY, RequestSeq(1), refused, START);
     check(&mut ledgers, 1, START, "answered");
 }
 
 #[test]
-fn numbers_may_come_out_of_order() {
+fn requests_may_arrive_out_of_order() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 3, START);
     run(&mut ledgers, 1, START);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_window_is_bounded_and_its_lower_end_never_begins_again() {
+fn the_window_is_bounded_and_evicted_requests_never_start_again() {
     let mut ledgers = ledgers();
     for seq in 2..=66 {
         run(&mut ledgers, seq, START);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn requests_in_progress_are_never_pushed_out() {
+fn requests_in_progress_are_never_evicted() {
     let mut ledgers = ledgers();
     for seq in 1..=64 {
         check(&mut ledgers, seq, START, "new");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn answers_beyond_the_limit_go_and_their_lines_still_sink() {
+fn answers_beyond_the_limit_are_discarded_and_their_entries_still_expire() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     run(&mut ledgers, 2, START);
@@ -125,12 +125,12 @@
     check(&mut ledgers, 2, START, "answered");
     ledgers.expire(START + KEEP_ANSWERS, PLENTY);
     assert_eq!(ledgers.answer_bytes(), 0);
-    let lines = ledgers.get(KEY).map(|ledger| ledger.lines.len());
+    let lines = ledgers.get(KEY).map(|ledger| ledger.entries.len());
     assert_eq!(lines, Some(0));
 }
 
 #[test]
-fn a_ledger_outlives_its_last_request_and_a_closed_one_its_packets() {
+fn a_ledger_is_retained_after_its_last_request_and_after_closing() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     ledgers.expire(START + Duration::from_secs(3_599), PLENTY);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_flow_that_is_closed_again_and_again_costs_no_more_than_one() {
+fn a_flow_that_is_closed_repeatedly_has_a_single_expiry() {
     let mut ledgers = ledgers();
     run(&mut ledgers, 1, START);
     for second in 0..100 {
@@ -163,12 +163,12 @@
 }
 
 #[test]
-fn a_request_whose_end_is_never_told_does_not_keep_its_ledger_for_ever() {
+fn a_request_whose_end_is_lost_does_not_keep_its_ledger_forever() {
     let mut old = ledgers();
     check(&mut old, 1, START, "new");
     old.begin(KEY, RequestSeq(1), TicketId(1));
-    let (key, mut ledger) = old.take().remove(0);
-    ledger.lines[0].state = State::Elsewhere(Incarnation(1));
+    let (key, mut ledger) = old.drain().remove(0);
+    ledger.entries[0].state = RequestState::RunningElsewhere(Incarnation(1));
     let mut ledgers = ledgers();
     ledgers.install(key, ledger, START);
     check(&mut ledgers, 1, START, "elsewhere");
