--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -47,25 +47,25 @@
 use units::Weight;
 
 /// How many bytes a request has.
-const REQUEST: u16 = 100;
+const REQUEST_LEN: u16 = 100;
 /// How many bytes an answer has.
-const ANSWER: u32 = 1_000;
+const RESPONSE_LEN: u32 = 1_000;
 /// How many bytes an error has.
-const SHORT: u32 = 150;
+const SHORT_RESPONSE_LEN: u32 = 150;
 
 /// A client's end of a flow.
 #[derive(Debug, Clone, Copy)]
-struct End {
+struct ClientEnd {
     client: SocketAddrV4,
     route: SocketAddrV4,
-    copies: u32,
+    transmissions: u32,
     echo: Echo,
     seq: u32,
     ack: u32,
 }
 
 /// How a word of an upstream is shown.
-fn place(status: Status) -> &'static str {
+fn status_name(status: Status) -> &'static str {
     match status {
         Status::Failing => "out",
         Status::Serving => "in",
@@ -75,10 +75,10 @@
 }
 
 /// A word as it stands in a scenario.
-fn word_of(text: &str) -> Status {
-    let (place, ago) = text.split_once(':').unwrap_or((text, "0"));
+fn parse_status(text: &str) -> Status {
+    let (name, ago) = text.split_once(':').unwrap_or((text, "0"));
     let ago = Duration::from_millis(millis(ago));
-    match place {
+    match name {
         "out" => Status::Failing,
         "in" => Status::Serving,
         "silent" => Status::Silent {
@@ -92,15 +92,15 @@
 }
 
 /// What an instance is called in reports.
-fn reporter(name: &str) -> ReporterId {
+fn reporter_id(name: &str) -> ReporterId {
     ReporterId(name.bytes().map(u64::from).sum())
 }
 
-struct World {
+struct Harness {
     core: Core,
     now: Time,
     revision: u64,
-    ends: BTreeMap<String, End>,
+    clients: BTreeMap<String, ClientEnd>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
 }
 
@@ -108,11 +108,11 @@
     text.parse().unwrap()
 }
 
-fn route(port: &str) -> SocketAddrV4 {
+fn route_address(port: &str) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port.parse().unwrap())
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let options = Options {
             zone: "zone-a".parse().unwrap(),
@@ -124,13 +124,13 @@
             core: Core::new(options),
             now: Time(1_000_000_000),
             revision: 1,
-            ends: BTreeMap::new(),
+            clients: BTreeMap::new(),
             upstreams: BTreeMap::new(),
         }
     }
 
     fn run(&mut self, case: &TestCase) -> String {
-        let words: Vec<&str> = case.input.lines().collect();
+        let lines: Vec<&str> = case.input.lines().collect();
         let argument = |index: usize| case.args.keys().nth(index).cloned().unwrap_or_default();
         match case.directive.as_str() {
             "at" => {
@@ -138,50 +138,51 @@
                 self.core.tick(self.now);
                 String::new()
             }
-            "document" => self.document(&words),
-            "upstreams" => self.list(&words),
-            "evacuated" => self.evacuate(&words),
-            "keep" => self.keep(&words),
-            "packets" => self.packets(&words),
+            "document" => self.apply_document(&lines),
+            "upstreams" => self.update_upstreams(&lines),
+            "evacuated" => self.evacuate(&lines),
+            "keep" => self.assign_cold(&lines),
+            "packets" => self.run_packets(&lines),
             "repeat" => {
                 let times = millis(&argument(0));
-                (0..times).map(|_| self.packets(&words)).collect()
+                (0..times).map(|_| self.run_packets(&lines)).collect()
             }
             "quietly" => {
                 let times = millis(&argument(0));
-                let out: String = (0..times).map(|_| self.packets(&words)).collect();
-                let decided = out.split_inclusive('\n');
-                decided.filter(|line| line.starts_with("  ")).collect()
+                let output: String = (0..times).map(|_| self.run_packets(&lines)).collect();
+                let decisions = output.split_inclusive('\n');
+                decisions.filter(|line| line.starts_with("  ")).collect()
             }
-            "waits" => self.waits(),
+            "waits" => self.show_waits(),
             "stats" => format!("{:?}\n", self.core.stats()),
             other => panic!("no such command: {other}"),
         }
     }
 
     /// What clients have waited for since the last time.
-    fn waits(&mut self) -> String {
+    fn show_waits(&mut self) -> String {
         let mut out = String::new();
         for wait in self.core.take_waits() {
-            let place = if wait.is_local_zone { "here" } else { "elsewhere" };
-            writeln!(out, "{:?} {place}: {} ms", wait.kind, wait.time.as_millis()).unwrap();
+            let zone = if wait.is_local_zone { "here" } else { "elsewhere" };
+            writeln!(out, "{:?} {zone}: {} ms", wait.kind, wait.time.as_millis()).unwrap();
         }
         out
     }
 
-    fn document(&mut self, lines: &[&str]) -> String {
+    fn apply_document(&mut self, lines: &[&str]) -> String {
         let revision = Revision(millis(lines[0]));
-        let (cold, routes): (Vec<&str>, Vec<&str>) = lines[1..].iter().partition(|line| line.starts_with("cold "));
-        let cold_starts = cold.iter().map(|line| {
+        let (cold_lines, route_lines): (Vec<&str>, Vec<&str>) =
+            lines[1..].iter().partition(|line| line.starts_with("cold "));
+        let cold_starts = cold_lines.iter().map(|line| {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let cold = ColdStart {
+            let cold_start = ColdStart {
                 lasts: Duration::from_millis(millis(words[3])),
                 rate: Some(words[2].parse().unwrap()),
             };
-            (words[1].to_owned(), cold)
+            (words[1].to_owned(), cold_start)
         });
         let cold_starts = cold_starts.collect();
-        let routes = routes.iter().map(|line| {
+        let routes = route_lines.iter().map(|line| {
             let (port, shares) = line.split_once(' ').unwrap();
             let shares = shares.split_whitespace().map(|share| {
                 let (service, weight) = share.split_once(':').unwrap_or((share, "1"));
@@ -191,7 +192,7 @@
                 }
             });
             let route = Route {
-                address: route(port),
+                address: route_address(port),
                 shares: shares.collect(),
                 idempotent: true,
                 aim: Duration::from_millis(100),
@@ -221,7 +222,7 @@
     }
 
     /// This instance keeps these cold upstreams. Shows all that are cold.
-    fn keep(&mut self, ids: &[&str]) -> String {
+    fn assign_cold(&mut self, ids: &[&str]) -> String {
         let kept = ids.iter().map(|id| id.parse().unwrap());
         self.core.set_assigned_cold(kept.collect());
         let mut out = String::new();
@@ -243,14 +244,14 @@
         self.core
             .learn(now, |knowledge| knowledge.apply_evacuations(read, &none, now));
         let mut out = String::new();
-        self.show(&mut out);
+        self.show_decisions(&mut out);
         for (zone, flows) in self.core.evacuated() {
             writeln!(out, "  {zone} has {flows} open flows").unwrap();
         }
         out
     }
 
-    fn list(&mut self, lines: &[&str]) -> String {
+    fn update_upstreams(&mut self, lines: &[&str]) -> String {
         let mut changes = Vec::new();
         self.revision += 1;
         for line in lines {
@@ -285,12 +286,12 @@
         self.core
             .learn(now, |knowledge| knowledge.apply_watched(at, changes, now));
         let mut out = String::new();
-        self.show(&mut out);
+        self.show_decisions(&mut out);
         out
     }
 
     /// Lines of `WHAT CLIENT [PORT]`, or `+MS`.
-    fn packets(&mut self, lines: &[&str]) -> String {
+    fn run_packets(&mut self, lines: &[&str]) -> String {
         let mut out = String::new();
         for line in lines {
             if let Some(span) = line.strip_prefix('+') {
@@ -299,14 +300,14 @@
             }
             let words: Vec<&str> = line.split_whitespace().collect();
             let port = words.get(2).copied().unwrap_or("443");
-            self.packet(words[0], words[1], port, &mut out);
+            self.run_packet(words[0], words[1], port, &mut out);
         }
         out
     }
 
-    fn tell(&mut self, what: &str, name: &str, report: &str, out: &mut String) {
+    fn exchange_reports(&mut self, what: &str, name: &str, report: &str, out: &mut String) {
         if what == "hear" {
-            return self.hear(name, report, out);
+            return self.receive_report(name, report, out);
         }
         for report in self.core.take_reports(self.now) {
             writeln!(
@@ -319,78 +320,79 @@
     }
 
     /// This instance sums up what it has to report itself, as one of `instances`, and shows what others are to follow.
-    fn sum(&mut self, instances: &str, out: &mut String) {
+    fn evaluate_failures(&mut self, instances: &str, out: &mut String) {
         for report in self.core.take_failures(self.now) {
             let FailureReport { upstream, failed, .. } = report;
             writeln!(out, "  reports {failed} at {:x}", upstream.0).unwrap();
             self.core
                 .receive_failure_report(&report, instances.parse().unwrap(), self.now);
         }
-        self.show_standings(out);
-        self.show(out);
+        self.show_status_updates(out);
+        self.show_decisions(out);
     }
 
-    fn show_standings(&mut self, out: &mut String) {
-        for standing in self.core.take_status_updates() {
-            let place = place(standing.status);
+    fn show_status_updates(&mut self, out: &mut String) {
+        for update in self.core.take_status_updates() {
+            let status = status_name(update.status);
             writeln!(
                 out,
-                "  tells: {:x} is {place}, word {}",
-                standing.upstream.0, standing.round
+                "  tells: {:x} is {status}, word {}",
+                update.upstream.0, update.round
             )
             .unwrap();
         }
     }
 
     /// This instance asks so many others about upstreams that enough flows wait for.
-    fn asks(&mut self, others: &str, out: &mut String) {
+    fn start_inquiries(&mut self, others: &str, out: &mut String) {
         let others = others.parse().unwrap();
         for id in self.core.take_due_inquiries(self.now) {
             writeln!(out, "  asks {others} others about {:x}", id.0).unwrap();
             self.core.start_inquiry(id, others, self.now);
         }
-        self.show_standings(out);
-        self.show(out);
+        self.show_status_updates(out);
+        self.show_decisions(out);
     }
 
     /// Another instance, `name`, tells what it has seen: `UPSTREAM/SIGNS/WAITING_MS/SILENT_MS`.
-    fn view(&mut self, name: &str, view: &str, out: &mut String) {
-        let fields: Vec<&str> = view.split('/').collect();
-        let signs = fields[1].parse().unwrap();
-        let view = Report {
+    fn receive_inquiry_reply(&mut self, name: &str, reply: &str, out: &mut String) {
+        let fields: Vec<&str> = reply.split('/').collect();
+        let retransmissions = fields[1].parse().unwrap();
+        let report = Report {
             upstream: fields[0].parse().unwrap(),
-            stalled: signs,
-            signs,
+            stalled: retransmissions,
+            signs: retransmissions,
             waiting_for: Duration::from_millis(millis(fields[2])),
             silent_for: Duration::from_millis(millis(fields[3])),
             loss: Sample::default(),
             is_in_doubt: false,
         };
-        self.core.receive_inquiry_replies(reporter(name), &[view], self.now);
-        self.show_standings(out);
-        self.show(out);
+        self.core
+            .receive_inquiry_replies(reporter_id(name), &[report], self.now);
+        self.show_status_updates(out);
+        self.show_decisions(out);
     }
 
     /// Another instance tells where an upstream stands: `ROUND/out`, `ROUND/in`, `ROUND/silent:MS` or `ROUND/alive:MS`.
-    fn told(&mut self, id: &str, word: &str, out: &mut String) {
-        let (round, place) = word.split_once('/').unwrap();
-        let standing = StatusUpdate {
+    fn receive_status_update(&mut self, id: &str, update: &str, out: &mut String) {
+        let (round, status) = update.split_once('/').unwrap();
+        let update = StatusUpdate {
             upstream: id.parse().unwrap(),
             round: round.parse().unwrap(),
-            status: word_of(place),
+            status: parse_status(status),
         };
-        for answer in self.core.receive_status_updates(&[standing], self.now) {
+        for answer in self.core.receive_status_updates(&[update], self.now) {
             let silent = answer.silent_for.as_millis();
             writeln!(out, "  knows better: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
         }
-        for heard in self.core.take_received_updates(self.now) {
-            writeln!(out, "  passes on word {} of {:x}", heard.round, heard.upstream.0).unwrap();
+        for update in self.core.take_received_updates(self.now) {
+            writeln!(out, "  passes on word {} of {:x}", update.round, update.upstream.0).unwrap();
         }
-        self.show(out);
+        self.show_decisions(out);
     }
 
     /// Another instance, `name`, reports `UPSTREAM/STALLED/SILENT_MS`. Its flows began to wait right after the last answer.
-    fn hear(&mut self, name: &str, report: &str, out: &mut String) {
+    fn receive_report(&mut self, name: &str, report: &str, out: &mut String) {
         let mut fields = report.split('/');
         let mut field = || fields.next().unwrap();
         let upstream = field().parse().unwrap();
@@ -405,29 +407,29 @@
             loss: Sample::default(),
             is_in_doubt: false,
         };
-        for answer in self.core.receive_reports(reporter(name), &[report], self.now) {
+        for answer in self.core.receive_reports(reporter_id(name), &[report], self.now) {
             let silent = answer.silent_for.as_millis();
             writeln!(out, "  tells {name}: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
         }
-        self.show(out);
+        self.show_decisions(out);
     }
 
-    fn packet(&mut self, what: &str, name: &str, port: &str, out: &mut String) {
+    fn run_packet(&mut self, what: &str, name: &str, port: &str, out: &mut String) {
         match what {
-            "sum" => return self.sum(name, out),
-            "told" => return self.told(name, port, out),
-            "asks" => return self.asks(name, out),
-            "view" => return self.view(name, port, out),
+            "sum" => return self.evaluate_failures(name, out),
+            "told" => return self.receive_status_update(name, port, out),
+            "asks" => return self.start_inquiries(name, out),
+            "view" => return self.receive_inquiry_reply(name, port, out),
             _ => {}
         }
         if matches!(what, "hear" | "reports") {
-            return self.tell(what, name, port, out);
+            return self.exchange_reports(what, name, port, out);
         }
-        let number = u16::try_from(self.ends.len()).unwrap();
-        let end = self.ends.entry(name.to_owned()).or_insert(End {
+        let number = u16::try_from(self.clients.len()).unwrap();
+        let end = self.clients.entry(name.to_owned()).or_insert(ClientEnd {
             client: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), 40_000 + number),
-            route: route(port),
-            copies: 0,
+            route: route_address(port),
+            transmissions: 0,
             echo: Echo::NONE,
             seq: 500,
             ack: 9_000,
@@ -444,27 +446,27 @@
         match what {
             "syn" => {
                 packet.flags = Flags::SYN;
-                packet.ack = end.copies;
+                packet.ack = end.transmissions;
                 packet.echo = Echo::NONE;
-                end.copies += 1;
+                end.transmissions += 1;
             }
             // The answer has come.
             "ack" => {
-                end.ack += ANSWER;
+                end.ack += RESPONSE_LEN;
                 packet.ack = end.ack;
             }
             "short" => {
-                end.ack += SHORT;
+                end.ack += SHORT_RESPONSE_LEN;
                 packet.ack = end.ack;
             }
             "open" => packet.ack = end.ack,
             "data" => {
-                packet.len = REQUEST;
-                end.seq += u32::from(REQUEST);
+                packet.len = REQUEST_LEN;
+                end.seq += u32::from(REQUEST_LEN);
             }
             "copy" => {
-                packet.len = REQUEST;
-                packet.seq = end.seq - u32::from(REQUEST);
+                packet.len = REQUEST_LEN;
+                packet.seq = end.seq - u32::from(REQUEST_LEN);
             }
             "fin" => packet.flags = Flags::FIN | Flags::ACK,
             "rst" => packet.flags = Flags::RST,
@@ -473,7 +475,7 @@
             other => panic!("no such packet: {other}"),
         }
         let verdict = self.core.handle_packet(&packet, self.now);
-        let end = self.ends.get_mut(name).unwrap();
+        let end = self.clients.get_mut(name).unwrap();
         match verdict {
             Verdict::Forward { upstream, echo, .. } => {
                 assert_eq!(echo, upstream.echo());
@@ -486,13 +488,13 @@
             }
             Verdict::Drop(cause) => writeln!(out, "{what} {name}: dropped, {cause}").unwrap(),
         }
-        self.show(out);
+        self.show_decisions(out);
     }
 
     /// Shows what was decided beside the verdict.
-    fn show(&mut self, out: &mut String) {
+    fn show_decisions(&mut self, out: &mut String) {
         for reset in self.core.take_resets() {
-            let (name, _) = self.ends.iter().find(|(_, end)| end.client == reset.client).unwrap();
+            let (name, _) = self.clients.iter().find(|(_, end)| end.client == reset.client).unwrap();
             writeln!(out, "  {name} is reset, {}", reset.cause).unwrap();
         }
         for decision in self.core.take_decisions() {
@@ -527,7 +529,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |file| {
-        let mut world = World::new();
-        file.run(|case| world.run(case));
+        let mut harness = Harness::new();
+        file.run(|case| harness.run(case));
     });
 }
