--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -1,15 +1,32 @@
-//! Scenarios in a small language: what one instance is told, what packets come, and what becomes of them.
+//! Data-driven scenarios for one instance: its inputs, the packets that arrive, and the resulting decisions.
 //!
-//! `at MS` sets the time. `document REVISION ROUTE=SERVICE[:WEIGHT],... ...` (with lines `cold SERVICE RATE MS`) and `upstreams` (one a line: `ID SERVICE ZONE
-//! [leaving] [slots=N] [cold=MS] [started=MS]`, `ID unreadable`
-//! or `ID gone`) tell what is known, `evacuated` the zones that operators ask to be emptied (one a line),
-//! `keep` the cold upstreams that this instance keeps (one a line; it shows all that are cold). `syn`, `ack`, `data`, `copy`, `fin` and `rst` send a
-//! packet of a client's flow; `+MS` lets time pass. `hear` is another instance's report, `reports` shows one's own. `short`
-//! acknowledges a short answer, `sum N` has this instance sum up failed tries as one of N, `told ID ROUND/out` is
-//! another instance's word of an upstream. `asks N` has this instance ask N others about upstreams that flows wait for, `view`
-//! is what one of them has seen. `quietly N` repeats packets
-//! and shows only what was decided. `waits`
-//! shows what clients have waited for.
+//! Directives:
+//!
+//! - `at MS` sets the time.
+//! - `document` applies a document: its revision, then a line `PORT SERVICE[:WEIGHT]...` for each route, and lines
+//!   `cold SERVICE RATE MS`.
+//! - `upstreams` applies changes of the list of upstreams, one a line: `ID SERVICE ZONE [leaving] [slots=N] [cold=MS]
+//!   [started=MS]`, `ID unreadable` or `ID gone`.
+//! - `evacuations` sets the availability zones that operators are evacuating, one a line.
+//! - `assign-cold` sets the cold upstreams that are assigned to this instance, one a line, and shows all upstreams that
+//!   are cold.
+//! - `packets` processes packets and messages, one a line. `repeat N` does so N times, and `repeat-quietly N` shows only
+//!   the decisions.
+//! - `waits` shows the client wait times recorded since the last `waits`.
+//! - `stats` shows the counters of the core.
+//!
+//! Lines of `packets`:
+//!
+//! - `+MS` advances the time.
+//! - `WHAT CLIENT [PORT]` sends a packet of the client's flow: `syn`, `open` (completes the handshake), `data`,
+//!   `retransmit`, `ack` (acknowledges a response), `short-ack` (acknowledges a short response), `fin`, `rst`, or
+//!   `lost-echo` (carries an unknown echo).
+//! - `send-reports INSTANCE` shows the reports of this instance that are due.
+//! - `report-from INSTANCE UPSTREAM/STALLED/SILENT_MS` receives another instance's report.
+//! - `evaluate-failures N` evaluates the failed attempts of this instance as one of N reporting instances.
+//! - `status-update UPSTREAM ROUND/STATUS` receives another instance's status update.
+//! - `inquire N` starts the inquiries that are due, each to N other instances.
+//! - `inquiry-reply INSTANCE UPSTREAM/RETRANSMISSIONS/WAITING_MS/SILENT_MS` receives the reply of one of them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -46,14 +63,14 @@
 use units::Time;
 use units::Weight;
 
-/// How many bytes a request has.
+/// Request length in bytes.
 const REQUEST_LEN: u16 = 100;
-/// How many bytes an answer has.
+/// Length of a normal response in bytes.
 const RESPONSE_LEN: u32 = 1_000;
-/// How many bytes an error has.
+/// Length of an error response in bytes.
 const SHORT_RESPONSE_LEN: u32 = 150;
 
-/// A client's end of a flow.
+/// The client side of a flow.
 #[derive(Debug, Clone, Copy)]
 struct ClientEnd {
     client: SocketAddrV4,
@@ -64,34 +81,34 @@
     ack: u32,
 }
 
-/// How a word of an upstream is shown.
+/// The name of a status in scenarios.
 fn status_name(status: Status) -> &'static str {
     match status {
-        Status::Failing => "out",
-        Status::Serving => "in",
+        Status::Failing => "failing",
+        Status::Serving => "serving",
         Status::Silent { .. } => "silent",
         Status::Alive { .. } => "alive",
     }
 }
 
-/// A word as it stands in a scenario.
+/// Parses a status as scenarios write it: `failing`, `serving`, `silent[:MS]` or `alive[:MS]`.
 fn parse_status(text: &str) -> Status {
     let (name, ago) = text.split_once(':').unwrap_or((text, "0"));
     let ago = Duration::from_millis(millis(ago));
     match name {
-        "out" => Status::Failing,
-        "in" => Status::Serving,
+        "failing" => Status::Failing,
+        "serving" => Status::Serving,
         "silent" => Status::Silent {
             silent_for: ago,
             signs: 3,
             instances: 2,
         },
         "alive" => Status::Alive { answered_ago: ago },
-        other => panic!("no such word: {other}"),
+        other => panic!("unknown status: {other}"),
     }
 }
 
-/// What an instance is called in reports.
+/// Derives a reporter id from the name of an instance.
 fn reporter_id(name: &str) -> ReporterId {
     ReporterId(name.bytes().map(u64::from).sum())
 }
@@ -140,14 +157,14 @@
             }
             "document" => self.apply_document(&lines),
             "upstreams" => self.update_upstreams(&lines),
-            "evacuated" => self.evacuate(&lines),
-            "keep" => self.assign_cold(&lines),
+            "evacuations" => self.evacuate(&lines),
+            "assign-cold" => self.assign_cold(&lines),
             "packets" => self.run_packets(&lines),
             "repeat" => {
                 let times = millis(&argument(0));
                 (0..times).map(|_| self.run_packets(&lines)).collect()
             }
-            "quietly" => {
+            "repeat-quietly" => {
                 let times = millis(&argument(0));
                 let output: String = (0..times).map(|_| self.run_packets(&lines)).collect();
                 let decisions = output.split_inclusive('\n');
@@ -155,15 +172,15 @@
             }
             "waits" => self.show_waits(),
             "stats" => format!("{:?}\n", self.core.stats()),
-            other => panic!("no such command: {other}"),
+            other => panic!("unknown directive: {other}"),
         }
     }
 
-    /// What clients have waited for since the last time.
+    /// Shows the client wait times recorded since the last call.
     fn show_waits(&mut self) -> String {
         let mut out = String::new();
         for wait in self.core.take_waits() {
-            let zone = if wait.is_local_zone { "here" } else { "elsewhere" };
+            let zone = if wait.is_local_zone { "local zone" } else { "other zone" };
             writeln!(out, "{:?} {zone}: {} ms", wait.kind, wait.time.as_millis()).unwrap();
         }
         out
@@ -221,7 +238,7 @@
         }
     }
 
-    /// This instance keeps these cold upstreams. Shows all that are cold.
+    /// Assigns these cold upstreams to this instance and shows all upstreams that are cold.
     fn assign_cold(&mut self, ids: &[&str]) -> String {
         let kept = ids.iter().map(|id| id.parse().unwrap());
         self.core.set_assigned_cold(kept.collect());
@@ -232,7 +249,7 @@
         out
     }
 
-    /// Operators ask for these zones to be emptied, and for no others.
+    /// Sets the availability zones under evacuation; any others are no longer evacuated.
     fn evacuate(&mut self, zones: &[&str]) -> String {
         self.revision += 1;
         let read = Evacuations {
@@ -290,7 +307,7 @@
         out
     }
 
-    /// Lines of `WHAT CLIENT [PORT]`, or `+MS`.
+    /// Processes the lines of a `packets` directive.
     fn run_packets(&mut self, lines: &[&str]) -> String {
         let mut out = String::new();
         for line in lines {
@@ -306,24 +323,24 @@
     }
 
     fn exchange_reports(&mut self, what: &str, name: &str, report: &str, out: &mut String) {
-        if what == "hear" {
+        if what == "report-from" {
             return self.receive_report(name, report, out);
         }
         for report in self.core.take_reports(self.now) {
             writeln!(
                 out,
-                "  {name} hears: {} wait for {:x}",
+                "  reports to {name}: {} flows stalled at {:x}",
                 report.stalled, report.upstream.0
             )
             .unwrap();
         }
     }
 
-    /// This instance sums up what it has to report itself, as one of `instances`, and shows what others are to follow.
+    /// Evaluates the failure reports of this instance, as one of `instances`, and shows the status updates for others.
     fn evaluate_failures(&mut self, instances: &str, out: &mut String) {
         for report in self.core.take_failures(self.now) {
             let FailureReport { upstream, failed, .. } = report;
-            writeln!(out, "  reports {failed} at {:x}", upstream.0).unwrap();
+            writeln!(out, "  reports {failed} failed attempts at {:x}", upstream.0).unwrap();
             self.core
                 .receive_failure_report(&report, instances.parse().unwrap(), self.now);
         }
@@ -336,14 +353,14 @@
             let status = status_name(update.status);
             writeln!(
                 out,
-                "  tells: {:x} is {status}, word {}",
+                "  announces: {:x} is {status}, round {}",
                 update.upstream.0, update.round
             )
             .unwrap();
         }
     }
 
-    /// This instance asks so many others about upstreams that enough flows wait for.
+    /// Asks `others` other instances about each upstream that enough flows wait for.
     fn start_inquiries(&mut self, others: &str, out: &mut String) {
         let others = others.parse().unwrap();
         for id in self.core.take_due_inquiries(self.now) {
@@ -354,7 +371,7 @@
         self.show_decisions(out);
     }
 
-    /// Another instance, `name`, tells what it has seen: `UPSTREAM/SIGNS/WAITING_MS/SILENT_MS`.
+    /// Receives the reply of instance `name` to an inquiry: `UPSTREAM/RETRANSMISSIONS/WAITING_MS/SILENT_MS`.
     fn receive_inquiry_reply(&mut self, name: &str, reply: &str, out: &mut String) {
         let fields: Vec<&str> = reply.split('/').collect();
         let retransmissions = fields[1].parse().unwrap();
@@ -373,7 +390,7 @@
         self.show_decisions(out);
     }
 
-    /// Another instance tells where an upstream stands: `ROUND/out`, `ROUND/in`, `ROUND/silent:MS` or `ROUND/alive:MS`.
+    /// Receives a status update: `ROUND/failing`, `ROUND/serving`, `ROUND/silent:MS` or `ROUND/alive:MS`.
     fn receive_status_update(&mut self, id: &str, update: &str, out: &mut String) {
         let (round, status) = update.split_once('/').unwrap();
         let update = StatusUpdate {
@@ -383,15 +400,16 @@
         };
         for answer in self.core.receive_status_updates(&[update], self.now) {
             let silent = answer.silent_for.as_millis();
-            writeln!(out, "  knows better: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
+            writeln!(out, "  replies: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
         }
         for update in self.core.take_received_updates(self.now) {
-            writeln!(out, "  passes on word {} of {:x}", update.round, update.upstream.0).unwrap();
+            writeln!(out, "  forwards round {} of {:x}", update.round, update.upstream.0).unwrap();
         }
         self.show_decisions(out);
     }
 
-    /// Another instance, `name`, reports `UPSTREAM/STALLED/SILENT_MS`. Its flows began to wait right after the last answer.
+    /// Receives a report `UPSTREAM/STALLED/SILENT_MS` of instance `name`. The flows there have been waiting since 10 ms
+    /// after the last response.
     fn receive_report(&mut self, name: &str, report: &str, out: &mut String) {
         let mut fields = report.split('/');
         let mut field = || fields.next().unwrap();
@@ -409,20 +427,25 @@
         };
         for answer in self.core.receive_reports(reporter_id(name), &[report], self.now) {
             let silent = answer.silent_for.as_millis();
-            writeln!(out, "  tells {name}: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
+            writeln!(
+                out,
+                "  replies to {name}: {:x} answered {silent} ms ago",
+                answer.upstream.0
+            )
+            .unwrap();
         }
         self.show_decisions(out);
     }
 
     fn run_packet(&mut self, what: &str, name: &str, port: &str, out: &mut String) {
         match what {
-            "sum" => return self.evaluate_failures(name, out),
-            "told" => return self.receive_status_update(name, port, out),
-            "asks" => return self.start_inquiries(name, out),
-            "view" => return self.receive_inquiry_reply(name, port, out),
+            "evaluate-failures" => return self.evaluate_failures(name, out),
+            "status-update" => return self.receive_status_update(name, port, out),
+            "inquire" => return self.start_inquiries(name, out),
+            "inquiry-reply" => return self.receive_inquiry_reply(name, port, out),
             _ => {}
         }
-        if matches!(what, "hear" | "reports") {
+        if matches!(what, "report-from" | "send-reports") {
             return self.exchange_reports(what, name, port, out);
         }
         let number = u16::try_from(self.clients.len()).unwrap();
@@ -450,12 +473,12 @@
                 packet.echo = Echo::NONE;
                 end.transmissions += 1;
             }
-            // The answer has come.
+            // The client acknowledges a response.
             "ack" => {
                 end.ack += RESPONSE_LEN;
                 packet.ack = end.ack;
             }
-            "short" => {
+            "short-ack" => {
                 end.ack += SHORT_RESPONSE_LEN;
                 packet.ack = end.ack;
             }
@@ -464,7 +487,7 @@
                 packet.len = REQUEST_LEN;
                 end.seq += u32::from(REQUEST_LEN);
             }
-            "copy" => {
+            "retransmit" => {
                 packet.len = REQUEST_LEN;
                 packet.seq = end.seq - u32::from(REQUEST_LEN);
             }
@@ -472,7 +495,7 @@
             "rst" => packet.flags = Flags::RST,
 
             "lost-echo" => packet.echo = Echo(0x0bad_0bad),
-            other => panic!("no such packet: {other}"),
+            other => panic!("unknown packet line: {other}"),
         }
         let verdict = self.core.handle_packet(&packet, self.now);
         let end = self.clients.get_mut(name).unwrap();
@@ -491,7 +514,7 @@
         self.show_decisions(out);
     }
 
-    /// Shows what was decided beside the verdict.
+    /// Shows the decisions and resets other than the verdict on the packet.
     fn show_decisions(&mut self, out: &mut String) {
         for reset in self.core.take_resets() {
             let (name, _) = self.clients.iter().find(|(_, end)| end.client == reset.client).unwrap();
@@ -501,22 +524,24 @@
             match decision {
                 Decision::MarkedDead { upstream, evidence, .. } => {
                     let waiting = evidence.waiting;
-                    writeln!(out, "  {:x} is taken for dead, {waiting} wait", upstream.0).unwrap();
+                    writeln!(out, "  {:x} is marked dead, {waiting} flows waiting", upstream.0).unwrap();
                 }
                 Decision::Revived(upstream) => writeln!(out, "  {:x} answers again", upstream.0).unwrap(),
                 Decision::Ejected {
                     upstream,
                     usual_percent,
                 } => writeln!(out, "  {:x} is ejected, {usual_percent}% is usual", upstream.0).unwrap(),
-                Decision::EjectedElsewhere(upstream) => writeln!(out, "  {:x} is ejected as told", upstream.0).unwrap(),
+                Decision::EjectedElsewhere(upstream) => {
+                    writeln!(out, "  {:x} is ejected elsewhere", upstream.0).unwrap();
+                }
                 Decision::Readmitted(upstream) => writeln!(out, "  {:x} is readmitted", upstream.0).unwrap(),
                 Decision::Restarted { upstream, flows } => {
-                    writeln!(out, "  {:x} has started again, {flows} flows are over", upstream.0).unwrap();
+                    writeln!(out, "  {:x} has restarted, {flows} flows ended", upstream.0).unwrap();
                 }
                 Decision::Evacuated { zone, flows, .. } => {
-                    writeln!(out, "  {zone} is to be emptied, {flows} flows are open there").unwrap();
+                    writeln!(out, "  {zone} is being evacuated, {flows} open flows").unwrap();
                 }
-                Decision::Restored { zone, .. } => writeln!(out, "  {zone} is taken back").unwrap(),
+                Decision::Restored { zone, .. } => writeln!(out, "  {zone} is no longer evacuated").unwrap(),
                 Decision::DocumentWarning { .. }
                 | Decision::Placed { .. }
                 | Decision::Reset { .. }
