--- a/crates/flow/examples/silence_rates.rs
+++ b/crates/flow/examples/silence_rates.rs
@@ -12,79 +12,79 @@
 use std::thread;
 use std::time::Duration;
 
+use crate::fleet::FleetConfig;
 use crate::fleet::Outcome;
-use crate::fleet::Plan;
-use crate::fleet::play;
+use crate::fleet::simulate;
 
 /// The sizes of the fleets.
-const SIZES: [u64; 4] = [9, 67, 195, 300];
+const FLEET_SIZES: [u64; 4] = [9, 67, 195, 300];
 /// How long each run lasts.
-const SPAN: Duration = Duration::from_secs(40);
+const DURATION: Duration = Duration::from_secs(40);
 /// How many runs each row sums up, unless told otherwise.
-const SEEDS: u64 = 3;
+const DEFAULT_SEEDS: u64 = 3;
 /// Every how many-th upstream falls silent where they do.
-const DARK_EACH: u64 = 7;
+const SILENT_EVERY: u64 = 7;
 
 /// Every so many-th of a number of things.
-fn each(count: u64, step: u64) -> Vec<u64> {
+fn every_nth(count: u64, step: u64) -> Vec<u64> {
     (0..count).filter(|index| index.is_multiple_of(step)).collect()
 }
 
 /// The rows, each with its name.
-fn rows(size: u64) -> Vec<(&'static str, Plan)> {
-    let plan = Plan {
-        span: SPAN,
-        ..Plan::new(size, 0)
+fn cases(size: u64) -> Vec<(&'static str, FleetConfig)> {
+    let config = FleetConfig {
+        duration: DURATION,
+        ..FleetConfig::new(size, 0)
     };
-    let lossy = |loss, lossy_each| Plan {
+    let lossy = |loss, lossy_every| FleetConfig {
         loss,
-        lossy_each,
-        ..plan.clone()
+        lossy_every,
+        ..config.clone()
     };
-    let quiet = plan.clone();
-    let dark = Plan {
-        dark: each(plan.upstreams, DARK_EACH),
-        ..plan.clone()
+    let quiet = config.clone();
+    let silent = FleetConfig {
+        silent: every_nth(config.upstreams, SILENT_EVERY),
+        ..config.clone()
     };
-    let slow = Plan {
-        response: 0.15,
+    let slow = FleetConfig {
+        mean_response_secs: 0.15,
         ..lossy(0.03, 1)
     };
-    let deaf = Plan {
-        deaf: each(size, 5),
-        ..plan.clone()
+    let partitioned = FleetConfig {
+        partitioned: every_nth(size, 5),
+        ..config.clone()
     };
-    let frozen = Plan {
-        frozen: each(size, 2),
+    let suspended = FleetConfig {
+        suspended: every_nth(size, 2),
         ..lossy(0.03, 1)
     };
     vec![
         ("nothing", quiet),
-        ("a seventh of the upstreams silent", dark),
+        ("a seventh of the upstreams silent", silent),
         ("0.3% lost", lossy(0.003, 1)),
         ("3% lost", lossy(0.03, 1)),
         ("10% lost", lossy(0.1, 1)),
         ("30% lost", lossy(0.3, 1)),
         ("30% lost at each tenth instance", lossy(0.3, 10)),
         ("upstreams five times as slow, 3% lost", slow),
-        ("each fifth instance hears nothing", deaf),
-        ("half of the instances stand still, 3% lost", frozen),
+        ("each fifth instance hears nothing", partitioned),
+        ("half of the instances stand still, 3% lost", suspended),
     ]
 }
 
-fn show(size: u64, name: &str, outcomes: &[Outcome]) {
+fn print_row(size: u64, name: &str, outcomes: &[Outcome]) {
     let sum = |field: fn(&Outcome) -> u64| outcomes.iter().map(field).sum::<u64>();
-    let found = outcomes.iter().flat_map(|outcome| outcome.found.values());
-    let mut found: Vec<Duration> = found.copied().collect();
-    found.sort_unstable();
-    let median = found.get(found.len() / 2).copied().unwrap_or_default();
+    let detected = outcomes.iter().flat_map(|outcome| outcome.detected.values());
+    let mut detected: Vec<Duration> = detected.copied().collect();
+    detected.sort_unstable();
+    let median = detected.get(detected.len() / 2).copied().unwrap_or_default();
     println!(
         "{size:>4} {name:44} requests {:>7} late {:>6} found {:>3} median {:>4} ms, living: told silent {}, flows reset {}",
         sum(|outcome| outcome.requests),
-        sum(|outcome| outcome.late),
-        found.len(),
+        sum(|outcome| outcome.retransmitted),
+        detected.len(),
         median.as_millis(),
-        sum(|outcome| outcome.false_words),
+        sum(|outcome| outcome.false_detections),
         sum(|outcome| outcome.false_resets),
     );
 }
@@ -93,14 +93,14 @@
     let seeds = std::env::args()
         .nth(1)
         .and_then(|text| text.parse().ok())
-        .unwrap_or(SEEDS);
+        .unwrap_or(DEFAULT_SEEDS);
     thread::scope(|scope| {
-        for size in SIZES {
+        for size in FLEET_SIZES {
             scope.spawn(move || {
-                for (name, plan) in rows(size) {
-                    let runs = (1..=seeds).map(|seed| play(&Plan { seed, ..plan.clone() }));
+                for (name, config) in cases(size) {
+                    let runs = (1..=seeds).map(|seed| simulate(&FleetConfig { seed, ..config.clone() }));
                     let outcomes: Vec<Outcome> = runs.collect();
-                    show(size, name, &outcomes);
+                    print_row(size, name, &outcomes);
                 }
             });
         }
--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -30,56 +30,56 @@
 /// How often instances look at what is due.
 const TICK: Duration = Duration::from_millis(100);
 /// How long a message to another instance, or a handshake, takes.
-const HOP: Duration = Duration::from_millis(1);
+const LATENCY: Duration = Duration::from_millis(1);
 /// The mean pause between a flow's requests, in seconds.
-const PAUSE: f64 = 1.5;
+const MEAN_PAUSE_SECS: f64 = 1.5;
 /// When a client sends once more what was not answered, after the first time.
-const COPIES: [Duration; 3] = [
+const RETRANSMIT_AFTER: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1_400),
 ];
 /// When a client gives a flow up.
-const GIVEN_UP: Duration = Duration::from_secs(2);
+const GIVE_UP_AFTER: Duration = Duration::from_secs(2);
 /// How many instances hear of a standing from whoever decides it, and from whoever hears it first, by zone: own, others.
-const DECIDED: (usize, usize) = (8, 4);
-const PASSED_ON: (usize, usize) = (3, 3);
+const OWN_FANOUT: (usize, usize) = (8, 4);
+const FORWARD_FANOUT: (usize, usize) = (3, 3);
 
 /// How a fleet is, and what happens to it.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     pub seed: u64,
     pub instances: u64,
     pub zones: u64,
     pub upstreams: u64,
     pub flows: u64,
-    /// How long it lasts. Faults begin after [`CALM`].
-    pub span: Duration,
+    /// How long it lasts. Faults begin after [`WARMUP`].
+    pub duration: Duration,
     /// The share of packets and messages that are lost, at every how many-th instance; 1 is all.
     pub loss: f64,
-    pub lossy_each: u64,
+    pub lossy_every: u64,
     /// The mean time to an answer, in seconds.
-    pub response: f64,
+    pub mean_response_secs: f64,
     /// Of how many answers one is its flow's last: then the client closes it and opens another. None is, if this is 0.
-    pub last: u32,
+    pub requests_per_flow: u32,
     /// Upstreams that fall silent, and when they are back.
-    pub dark: Vec<u64>,
-    pub dark_for: Duration,
+    pub silent: Vec<u64>,
+    pub silence_duration: Duration,
     /// Instances whose packets to upstreams are all lost: no message to them arrives either, but theirs do.
-    pub deaf: Vec<u64>,
-    /// Instances whose own link is full: what they send arrives so much later.
-    pub full: Vec<u64>,
-    pub full_for: Duration,
-    pub delay: Duration,
+    pub partitioned: Vec<u64>,
+    /// Instances whose own link is congested: what they send arrives so much later.
+    pub congested: Vec<u64>,
+    pub congestion_duration: Duration,
+    pub congestion_delay: Duration,
     /// Instances that stand still.
-    pub frozen: Vec<u64>,
-    pub frozen_for: Duration,
+    pub suspended: Vec<u64>,
+    pub suspension_duration: Duration,
 }
 
 /// How long all is well at first.
-pub const CALM: Duration = Duration::from_secs(4);
+pub const WARMUP: Duration = Duration::from_secs(4);
 
-impl Plan {
+impl FleetConfig {
     /// A fleet of so many instances with half as many upstreams again, at the rates of a busy service: five requests a second
     /// at an upstream.
     pub fn new(instances: u64, seed: u64) -> Self {
@@ -90,19 +90,19 @@
             zones: if instances < 100 { 3 } else { 5 },
             upstreams,
             flows: upstreams * 8,
-            span: Duration::from_secs(8),
+            duration: Duration::from_secs(8),
             loss: 0.0,
-            lossy_each: 1,
-            response: 0.03,
-            last: 0,
-            dark: Vec::new(),
-            dark_for: Duration::from_mins(1),
-            deaf: Vec::new(),
-            full: Vec::new(),
-            full_for: Duration::from_secs(2),
-            delay: Duration::from_millis(450),
-            frozen: Vec::new(),
-            frozen_for: Duration::from_secs(3),
+            lossy_every: 1,
+            mean_response_secs: 0.03,
+            requests_per_flow: 0,
+            silent: Vec::new(),
+            silence_duration: Duration::from_mins(1),
+            partitioned: Vec::new(),
+            congested: Vec::new(),
+            congestion_duration: Duration::from_secs(2),
+            congestion_delay: Duration::from_millis(450),
+            suspended: Vec::new(),
+            suspension_duration: Duration::from_secs(3),
         }
     }
 }
@@ -112,24 +112,24 @@
 pub struct Outcome {
     pub requests: u64,
     /// Requests answered after the first copy or never.
-    pub late: u64,
+    pub retransmitted: u64,
     /// Open flows reset whose upstream lived.
     pub false_resets: u64,
     /// Words that a living upstream is silent.
-    pub false_words: u64,
+    pub false_detections: u64,
     /// When the first word of each dark upstream came, and the last reset of a flow of its, after its end.
-    pub found: BTreeMap<u64, Duration>,
+    pub detected: BTreeMap<u64, Duration>,
     pub last_reset: BTreeMap<u64, Duration>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Open(usize),
-    OpenCopy(usize, u32, usize),
+    RetransmitSyn(usize, u32, usize),
     Handshake(usize, u32),
     Request(usize, u32),
-    Copy(usize, u32, u32, usize),
-    Answer(usize, u32, u32),
+    Retransmit(usize, u32, u32, usize),
+    Response(usize, u32, u32),
     Message(u64, u64, Box<Message>),
     Tick(u64),
 }
@@ -137,9 +137,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Message {
     Reports(Vec<Report>),
-    Questions(Vec<UpstreamId>),
-    Views(Vec<Report>),
-    Standings(Vec<StatusUpdate>),
+    Inquiries(Vec<UpstreamId>),
+    InquiryReplies(Vec<Report>),
+    StatusUpdates(Vec<StatusUpdate>),
 }
 
 // Events of one time are taken in the order in which they were added; their contents tell nothing.
@@ -158,7 +158,7 @@
 /// A client's flow. Each time that it is opened anew it has another life.
 struct Flow {
     instance: u64,
-    life: u32,
+    generation: u32,
     client: SocketAddrV4,
     echo: Echo,
     upstream: u64,
@@ -166,7 +166,7 @@
     seq: u32,
     ack: u32,
     request: u32,
-    asked_at: Time,
+    requested_at: Time,
     is_waiting: bool,
 }
 
@@ -185,11 +185,11 @@
 }
 
 pub struct Fleet {
-    plan: Plan,
+    config: FleetConfig,
     rng: SmallRng,
     now: Time,
-    queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    added: u64,
+    events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    event_count: u64,
     cores: Vec<Core>,
     flows: Vec<Flow>,
     by_client: BTreeMap<SocketAddrV4, usize>,
@@ -198,37 +198,43 @@
 }
 
 /// Plays a plan to its end.
-pub fn play(plan: &Plan) -> Outcome {
-    let mut fleet = Fleet::new(plan);
+pub fn simulate(config: &FleetConfig) -> Outcome {
+    let mut fleet = Fleet::new(config);
     fleet.run();
     fleet.outcome
 }
 
 impl Fleet {
-    fn new(plan: &Plan) -> Self {
-        let cores =
-            (0..plan.instances).map(|index| core_in(index % plan.zones, plan.upstreams, plan.zones, plan.seed + index));
+    fn new(config: &FleetConfig) -> Self {
+        let cores = (0..config.instances).map(|index| {
+            core_in(
+                index % config.zones,
+                config.upstreams,
+                config.zones,
+                config.seed + index,
+            )
+        });
         let mut fleet = Self {
-            plan: plan.clone(),
-            rng: SmallRng::seed_from_u64(plan.seed),
+            config: config.clone(),
+            rng: SmallRng::seed_from_u64(config.seed),
             now: START,
-            queue: BinaryHeap::new(),
-            added: 0,
+            events: BinaryHeap::new(),
+            event_count: 0,
             cores: cores.collect(),
             flows: Vec::new(),
             by_client: BTreeMap::new(),
             next_client: 0,
             outcome: Outcome::default(),
         };
-        for index in 0..plan.instances {
+        for index in 0..config.instances {
             let offset = Duration::from_micros(fleet.rng.random_range(0..100_000));
-            fleet.add(offset, Event::Tick(index));
+            fleet.schedule(offset, Event::Tick(index));
         }
-        for index in 0..plan.flows {
-            let instance = index % plan.instances;
+        for index in 0..config.flows {
+            let instance = index % config.instances;
             fleet.flows.push(Flow {
                 instance,
-                life: 0,
+                generation: 0,
                 client: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
                 echo: Echo::NONE,
                 upstream: 0,
@@ -236,59 +242,67 @@
                 seq: 500,
                 ack: 0,
                 request: 0,
-                asked_at: START,
+                requested_at: START,
                 is_waiting: false,
             });
             let offset = Duration::from_micros(fleet.rng.random_range(0..1_000_000));
-            fleet.add(offset, Event::Open(index as usize));
+            fleet.schedule(offset, Event::Open(index as usize));
         }
         fleet
     }
 
     fn run(&mut self) {
-        let end = START + self.plan.span;
-        while let Some(Reverse((at, _, event))) = self.queue.pop() {
+        let end = START + self.config.duration;
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 return;
             }
             self.now = at;
-            self.take(event);
+            self.handle(event);
         }
     }
 
-    fn add(&mut self, after: Duration, event: Event) {
-        self.added += 1;
-        self.queue.push(Reverse((self.now + after, self.added, event)));
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((self.now + after, self.event_count, event)));
     }
 
-    fn is_faulty(&self) -> bool {
-        self.now >= START + CALM
+    fn has_fault_begun(&self) -> bool {
+        self.now >= START + WARMUP
     }
 
-    fn is_dark(&self, upstream: u64) -> bool {
-        let begin = START + CALM;
-        self.now >= begin && self.now < begin + self.plan.dark_for && self.plan.dark.contains(&upstream)
+    fn is_silent(&self, upstream: u64) -> bool {
+        let begin = START + WARMUP;
+        self.now >= begin && self.now < begin + self.config.silence_duration && self.config.silent.contains(&upstream)
     }
 
-    fn is_frozen(&self, instance: u64) -> bool {
-        let begin = START + CALM;
-        self.now >= begin && self.now < begin + self.plan.frozen_for && self.plan.frozen.contains(&instance)
+    fn is_suspended(&self, instance: u64) -> bool {
+        let begin = START + WARMUP;
+        self.now >= begin
+            && self.now < begin + self.config.suspension_duration
+            && self.config.suspended.contains(&instance)
     }
 
-    fn is_deaf(&self, instance: u64) -> bool {
-        self.is_faulty() && self.plan.deaf.contains(&instance)
+    fn is_partitioned(&self, instance: u64) -> bool {
+        self.has_fault_begun() && self.config.partitioned.contains(&instance)
     }
 
     /// How long what an instance sends waits in its own link.
-    fn queued(&self, instance: u64) -> Duration {
-        let begin = START + CALM;
-        let is_full = self.now >= begin && self.now < begin + self.plan.full_for && self.plan.full.contains(&instance);
-        if is_full { self.plan.delay } else { Duration::ZERO }
+    fn link_delay(&self, instance: u64) -> Duration {
+        let begin = START + WARMUP;
+        let is_congested = self.now >= begin
+            && self.now < begin + self.config.congestion_duration
+            && self.config.congested.contains(&instance);
+        if is_congested {
+            self.config.congestion_delay
+        } else {
+            Duration::ZERO
+        }
     }
 
     /// Whether a packet or message at an instance is lost.
     fn is_lost(&mut self, instance: u64) -> bool {
-        instance.is_multiple_of(self.plan.lossy_each) && self.rng.random_bool(self.plan.loss)
+        instance.is_multiple_of(self.config.lossy_every) && self.rng.random_bool(self.config.loss)
     }
 
     fn exponential(&mut self, mean: f64) -> Duration {
@@ -297,37 +311,39 @@
     }
 
     /// An event at an instance that stands still waits for its end.
-    fn held(&mut self, event: &Event) -> bool {
+    fn postpone_if_suspended(&mut self, event: &Event) -> bool {
         let instance = match event {
             Event::Open(flow)
-            | Event::OpenCopy(flow, ..)
+            | Event::RetransmitSyn(flow, ..)
             | Event::Handshake(flow, _)
             | Event::Request(flow, _)
-            | Event::Copy(flow, ..)
-            | Event::Answer(flow, ..) => self.flows[*flow].instance,
+            | Event::Retransmit(flow, ..)
+            | Event::Response(flow, ..) => self.flows[*flow].instance,
             Event::Message(_, to, _) => *to,
             Event::Tick(instance) => *instance,
         };
-        if !self.is_frozen(instance) {
+        if !self.is_suspended(instance) {
             return false;
         }
-        let wake = START + CALM + self.plan.frozen_for;
-        self.add(self.now.until(wake), event.clone());
+        let wake = START + WARMUP + self.config.suspension_duration;
+        self.schedule(self.now.until(wake), event.clone());
         true
     }
 
-    fn take(&mut self, event: Event) {
-        if self.held(&event) {
+    fn handle(&mut self, event: Event) {
+        if self.postpone_if_suspended(&event) {
             return;
         }
         match event {
             Event::Open(flow) => self.open(flow),
-            Event::OpenCopy(flow, life, copy) => self.open_copy(flow, life, copy),
-            Event::Handshake(flow, life) => self.handshake(flow, life),
-            Event::Request(flow, life) => self.request(flow, life),
-            Event::Copy(flow, life, request, copy) => self.copy(flow, life, request, copy),
-            Event::Answer(flow, life, request) => self.answer(flow, life, request),
-            Event::Message(from, to, message) => self.message(from, to, &message),
+            Event::RetransmitSyn(flow, generation, attempt) => self.send_syn(flow, generation, attempt),
+            Event::Handshake(flow, generation) => self.handshake(flow, generation),
+            Event::Request(flow, generation) => self.request(flow, generation),
+            Event::Retransmit(flow, generation, request, attempt) => {
+                self.retransmit(flow, generation, request, attempt);
+            }
+            Event::Response(flow, generation, request) => self.receive_response(flow, generation, request),
+            Event::Message(from, to, message) => self.receive_message(from, to, &message),
             Event::Tick(instance) => self.tick(instance),
         }
     }
@@ -337,125 +353,131 @@
         let client = crate::support::packet(self.next_client).client;
         let flow = &mut self.flows[index];
         self.by_client.remove(&flow.client);
-        flow.life += 1;
+        flow.generation += 1;
         flow.client = client;
         flow.echo = Echo::NONE;
         flow.is_open = false;
         flow.is_waiting = false;
         flow.ack = 0;
         self.by_client.insert(client, index);
-        self.open_copy(index, self.flows[index].life, 0);
+        self.send_syn(index, self.flows[index].generation, 0);
     }
 
-    fn open_copy(&mut self, index: usize, life: u32, copy: usize) {
-        if self.flows[index].life != life || self.flows[index].is_open {
+    fn send_syn(&mut self, index: usize, generation: u32, attempt: usize) {
+        if self.flows[index].generation != generation || self.flows[index].is_open {
             return;
         }
         let packet = self.flows[index].packet(Flags::SYN, 500, 0);
-        let Some(upstream) = self.send(index, &packet) else {
-            self.add(COPIES[0], Event::Open(index));
+        let Some(upstream) = self.forward(index, &packet) else {
+            self.schedule(RETRANSMIT_AFTER[0], Event::Open(index));
             return;
         };
         self.flows[index].upstream = upstream;
-        if self.arrives(index) {
-            let queued = self.queued(self.flows[index].instance);
-            self.add(queued + HOP, Event::Handshake(index, life));
+        if self.round_trip_succeeds(index) {
+            let link_delay = self.link_delay(self.flows[index].instance);
+            self.schedule(link_delay + LATENCY, Event::Handshake(index, generation));
         }
-        if copy < 2 {
-            self.add(COPIES[copy], Event::OpenCopy(index, life, copy + 1));
+        if attempt < 2 {
+            self.schedule(
+                RETRANSMIT_AFTER[attempt],
+                Event::RetransmitSyn(index, generation, attempt + 1),
+            );
         } else {
-            self.add(COPIES[1], Event::Open(index));
+            self.schedule(RETRANSMIT_AFTER[1], Event::Open(index));
         }
     }
 
-    fn handshake(&mut self, index: usize, life: u32) {
+    fn handshake(&mut self, index: usize, generation: u32) {
         let flow = &mut self.flows[index];
-        if flow.life != life || flow.is_open {
+        if flow.generation != generation || flow.is_open {
             return;
         }
         flow.is_open = true;
         flow.ack = 9_000;
         let packet = flow.packet(Flags::ACK, flow.seq, 0);
-        self.send(index, &packet);
-        let pause = self.exponential(PAUSE);
-        self.add(pause, Event::Request(index, life));
+        self.forward(index, &packet);
+        let pause = self.exponential(MEAN_PAUSE_SECS);
+        self.schedule(pause, Event::Request(index, generation));
     }
 
-    fn request(&mut self, index: usize, life: u32) {
-        if self.flows[index].life != life {
+    fn request(&mut self, index: usize, generation: u32) {
+        if self.flows[index].generation != generation {
             return;
         }
         self.outcome.requests += 1;
         let now = self.now;
         let flow = &mut self.flows[index];
         flow.request += 1;
-        flow.asked_at = now;
+        flow.requested_at = now;
         flow.is_waiting = true;
         let request = flow.request;
         let packet = flow.packet(Flags::ACK, flow.seq, 100);
         flow.seq += 100;
-        self.ask(index, life, request, &packet);
-        self.add(COPIES[0], Event::Copy(index, life, request, 0));
+        self.send_request(index, generation, request, &packet);
+        self.schedule(RETRANSMIT_AFTER[0], Event::Retransmit(index, generation, request, 0));
     }
 
-    fn copy(&mut self, index: usize, life: u32, request: u32, copy: usize) {
+    fn retransmit(&mut self, index: usize, generation: u32, request: u32, attempt: usize) {
         let flow = &self.flows[index];
-        if flow.life != life || flow.request != request || !flow.is_waiting {
+        if flow.generation != generation || flow.request != request || !flow.is_waiting {
             return;
         }
-        if copy == 0 {
-            self.outcome.late += 1;
+        if attempt == 0 {
+            self.outcome.retransmitted += 1;
         }
         let packet = self.flows[index].packet(Flags::ACK, self.flows[index].seq - 100, 100);
-        self.ask(index, life, request, &packet);
-        let asked_at = self.flows[index].asked_at;
-        match COPIES.get(copy + 1) {
-            Some(next) => self.add(
-                self.now.until(asked_at + *next),
-                Event::Copy(index, life, request, copy + 1),
+        self.send_request(index, generation, request, &packet);
+        let requested_at = self.flows[index].requested_at;
+        match RETRANSMIT_AFTER.get(attempt + 1) {
+            Some(next) => self.schedule(
+                self.now.until(requested_at + *next),
+                Event::Retransmit(index, generation, request, attempt + 1),
             ),
-            None => self.add(self.now.until(asked_at + GIVEN_UP), Event::Open(index)),
+            None => self.schedule(self.now.until(requested_at + GIVE_UP_AFTER), Event::Open(index)),
         }
     }
 
     /// Sends a request's packet, and has the answer come if nothing is lost.
-    fn ask(&mut self, index: usize, life: u32, request: u32, packet: &Packet) {
-        if self.send(index, packet).is_none() || !self.arrives(index) {
+    fn send_request(&mut self, index: usize, generation: u32, request: u32, packet: &Packet) {
+        if self.forward(index, packet).is_none() || !self.round_trip_succeeds(index) {
             return;
         }
-        let wait = self.exponential(self.plan.response) + HOP;
-        let queued = self.queued(self.flows[index].instance);
-        self.add(queued + wait, Event::Answer(index, life, request));
+        let wait = self.exponential(self.config.mean_response_secs) + LATENCY;
+        let link_delay = self.link_delay(self.flows[index].instance);
+        self.schedule(link_delay + wait, Event::Response(index, generation, request));
     }
 
-    fn answer(&mut self, index: usize, life: u32, request: u32) {
+    fn receive_response(&mut self, index: usize, generation: u32, request: u32) {
         let flow = &mut self.flows[index];
-        if flow.life != life || flow.request != request || !flow.is_waiting {
+        if flow.generation != generation || flow.request != request || !flow.is_waiting {
             return;
         }
         flow.is_waiting = false;
         flow.ack += 1_000;
-        let is_last = self.plan.last > 0 && flow.request.is_multiple_of(self.plan.last);
+        let is_last = self.config.requests_per_flow > 0 && flow.request.is_multiple_of(self.config.requests_per_flow);
         let flags = if is_last { Flags::FIN | Flags::ACK } else { Flags::ACK };
         let packet = flow.packet(flags, flow.seq, 0);
-        self.send(index, &packet);
-        let pause = self.exponential(PAUSE);
+        self.forward(index, &packet);
+        let pause = self.exponential(MEAN_PAUSE_SECS);
         let next = if is_last {
             Event::Open(index)
         } else {
-            Event::Request(index, life)
+            Event::Request(index, generation)
         };
-        self.add(pause, next);
+        self.schedule(pause, next);
     }
 
     /// Whether what was forwarded for a flow reaches its upstream, and what that sends reaches the client.
-    fn arrives(&mut self, index: usize) -> bool {
+    fn round_trip_succeeds(&mut self, index: usize) -> bool {
         let Flow { instance, upstream, .. } = self.flows[index];
-        !self.is_dark(upstream) && !self.is_deaf(instance) && !self.is_lost(instance) && !self.is_lost(instance)
+        !self.is_silent(upstream)
+            && !self.is_partitioned(instance)
+            && !self.is_lost(instance)
+            && !self.is_lost(instance)
     }
 
     /// Hands a packet to the flow's instance. Gives the upstream that it is forwarded to.
-    fn send(&mut self, index: usize, packet: &Packet) -> Option<u64> {
+    fn forward(&mut self, index: usize, packet: &Packet) -> Option<u64> {
         let instance = self.flows[index].instance;
         let verdict = self.cores[instance as usize].handle_packet(packet, self.now);
         let forwarded = match verdict {
@@ -464,7 +486,7 @@
                 Some(upstream.0)
             }
             Verdict::Reset(_) => {
-                self.end(index);
+                self.reset(index);
                 None
             }
             Verdict::Drop(_) => None,
@@ -478,149 +500,149 @@
             let Some(index) = self.by_client.get(&reset.client) else {
                 continue;
             };
-            self.end(*index);
+            self.reset(*index);
         }
         self.cores[instance as usize].take_decisions();
         self.cores[instance as usize].take_waits();
     }
 
     /// A client's flow is reset, so it opens another.
-    fn end(&mut self, index: usize) {
+    fn reset(&mut self, index: usize) {
         let Flow {
             upstream,
             is_open,
-            life,
+            generation,
             ..
         } = self.flows[index];
-        if is_open && !self.is_dark(upstream) {
+        if is_open && !self.is_silent(upstream) {
             self.outcome.false_resets += 1;
         }
-        if is_open && self.is_dark(upstream) {
-            let after = self.now.since(START + CALM);
+        if is_open && self.is_silent(upstream) {
+            let after = self.now.since(START + WARMUP);
             self.outcome.last_reset.insert(upstream, after);
         }
         // Whatever was on its way for this life comes to nothing.
-        self.flows[index].life = life + 1;
+        self.flows[index].generation = generation + 1;
         self.flows[index].is_open = false;
-        self.add(HOP, Event::Open(index));
+        self.schedule(LATENCY, Event::Open(index));
     }
 
     fn zone_of(&self, upstream: u64) -> u64 {
-        upstream % self.plan.zones
+        upstream % self.config.zones
     }
 
     /// The instances of a zone, in an order of the upstream's own. The first two sum up.
-    fn witnesses(&self, upstream: u64) -> Vec<u64> {
+    fn observers(&self, upstream: u64) -> Vec<u64> {
         let zone = self.zone_of(upstream);
-        let mut here: Vec<u64> = (0..self.plan.instances)
-            .filter(|index| index % self.plan.zones == zone)
+        let mut here: Vec<u64> = (0..self.config.instances)
+            .filter(|index| index % self.config.zones == zone)
             .collect();
         let turn = upstream as usize % here.len();
         here.rotate_left(turn);
-        let others = (0..self.plan.instances).filter(|index| index % self.plan.zones != zone);
+        let others = (0..self.config.instances).filter(|index| index % self.config.zones != zone);
         let missing = 13_usize.saturating_sub(here.len());
         here.extend(others.take(missing));
         here
     }
 
-    fn tell(&mut self, from: u64, to: u64, message: Message) {
-        if self.is_deaf(to) || self.is_lost(from) || self.is_lost(to) {
+    fn send_message(&mut self, from: u64, to: u64, message: Message) {
+        if self.is_partitioned(to) || self.is_lost(from) || self.is_lost(to) {
             return;
         }
-        let queued = self.queued(from);
-        self.add(queued + HOP, Event::Message(from, to, Box::new(message)));
+        let link_delay = self.link_delay(from);
+        self.schedule(link_delay + LATENCY, Event::Message(from, to, Box::new(message)));
     }
 
     fn tick(&mut self, instance: u64) {
         let reports = self.cores[instance as usize].take_reports(self.now);
         for report in reports {
-            for to in self.witnesses(report.upstream.0).into_iter().take(2) {
+            for to in self.observers(report.upstream.0).into_iter().take(2) {
                 if to != instance {
-                    self.tell(instance, to, Message::Reports(vec![report]));
+                    self.send_message(instance, to, Message::Reports(vec![report]));
                 }
             }
         }
         self.inquire(instance);
-        self.tell_standings(instance);
+        self.spread_status_updates(instance);
         self.carry_out_resets(instance);
-        self.add(TICK, Event::Tick(instance));
+        self.schedule(TICK, Event::Tick(instance));
     }
 
     fn inquire(&mut self, instance: u64) {
         for id in self.cores[instance as usize].take_due_inquiries(self.now) {
-            let mut witnesses = self.witnesses(id.0);
-            if !witnesses[..2].contains(&instance) {
+            let mut observers = self.observers(id.0);
+            if !observers[..2].contains(&instance) {
                 continue;
             }
-            witnesses.retain(|witness| *witness != instance);
-            self.cores[instance as usize].start_inquiry(id, witnesses.len(), self.now);
-            for to in witnesses {
-                self.tell(instance, to, Message::Questions(vec![id]));
+            observers.retain(|observer| *observer != instance);
+            self.cores[instance as usize].start_inquiry(id, observers.len(), self.now);
+            for to in observers {
+                self.send_message(instance, to, Message::Inquiries(vec![id]));
             }
         }
     }
 
-    fn message(&mut self, from: u64, to: u64, message: &Message) {
+    fn receive_message(&mut self, from: u64, to: u64, message: &Message) {
         let core = &mut self.cores[to as usize];
         match message {
             Message::Reports(reports) => {
                 let answers = core.receive_reports(ReporterId(from), reports, self.now);
                 if !answers.is_empty() {
-                    self.tell(to, from, Message::Reports(answers));
+                    self.send_message(to, from, Message::Reports(answers));
                 }
                 self.inquire(to);
             }
-            Message::Questions(ids) => {
-                let views = core.reports_on(ids, self.now);
-                self.tell(to, from, Message::Views(views));
+            Message::Inquiries(ids) => {
+                let replies = core.reports_on(ids, self.now);
+                self.send_message(to, from, Message::InquiryReplies(replies));
             }
-            Message::Views(views) => core.receive_inquiry_replies(ReporterId(from), views, self.now),
-            Message::Standings(standings) => {
-                let answers = core.receive_status_updates(standings, self.now);
+            Message::InquiryReplies(replies) => core.receive_inquiry_replies(ReporterId(from), replies, self.now),
+            Message::StatusUpdates(updates) => {
+                let answers = core.receive_status_updates(updates, self.now);
                 if !answers.is_empty() {
-                    self.tell(to, from, Message::Reports(answers));
+                    self.send_message(to, from, Message::Reports(answers));
                 }
             }
         }
-        self.tell_standings(to);
+        self.spread_status_updates(to);
         self.carry_out_resets(to);
     }
 
-    fn tell_standings(&mut self, instance: u64) {
+    fn spread_status_updates(&mut self, instance: u64) {
         let core = &mut self.cores[instance as usize];
-        let (decided, heard) = (core.take_status_updates(), core.take_received_updates(self.now));
-        for standing in &decided {
-            self.note_word(standing);
+        let (own, received) = (core.take_status_updates(), core.take_received_updates(self.now));
+        for update in &own {
+            self.record_status_update(update);
         }
-        self.spread(instance, &decided, DECIDED);
-        self.spread(instance, &heard, PASSED_ON);
+        self.spread(instance, &own, OWN_FANOUT);
+        self.spread(instance, &received, FORWARD_FANOUT);
     }
 
-    fn note_word(&mut self, standing: &StatusUpdate) {
-        let Status::Silent { .. } = standing.status else {
+    fn record_status_update(&mut self, update: &StatusUpdate) {
+        let Status::Silent { .. } = update.status else {
             return;
         };
-        let upstream = standing.upstream.0;
-        if self.is_dark(upstream) {
-            let after = self.now.since(START + CALM);
-            self.outcome.found.entry(upstream).or_insert(after);
+        let upstream = update.upstream.0;
+        if self.is_silent(upstream) {
+            let after = self.now.since(START + WARMUP);
+            self.outcome.detected.entry(upstream).or_insert(after);
         } else {
-            self.outcome.false_words += 1;
+            self.outcome.false_detections += 1;
         }
     }
 
-    fn spread(&mut self, instance: u64, standings: &[StatusUpdate], (near, far): (usize, usize)) {
-        if standings.is_empty() {
+    fn spread(&mut self, instance: u64, updates: &[StatusUpdate], (near, far): (usize, usize)) {
+        if updates.is_empty() {
             return;
         }
         for _ in 0..near {
-            let to = instance % self.plan.zones
-                + self.plan.zones * self.rng.random_range(0..self.plan.instances / self.plan.zones);
-            self.tell(instance, to, Message::Standings(standings.to_vec()));
+            let to = instance % self.config.zones
+                + self.config.zones * self.rng.random_range(0..self.config.instances / self.config.zones);
+            self.send_message(instance, to, Message::StatusUpdates(updates.to_vec()));
         }
         for _ in 0..far {
-            let to = self.rng.random_range(0..self.plan.instances);
-            self.tell(instance, to, Message::Standings(standings.to_vec()));
+            let to = self.rng.random_range(0..self.config.instances);
+            self.send_message(instance, to, Message::StatusUpdates(updates.to_vec()));
         }
     }
 }
--- a/crates/flow/tests/silence.rs
+++ b/crates/flow/tests/silence.rs
@@ -16,21 +16,21 @@
 use flow::StatusUpdate;
 use flow::UpstreamId;
 
+use crate::fleet::FleetConfig;
 use crate::fleet::Outcome;
-use crate::fleet::Plan;
-use crate::fleet::play;
+use crate::fleet::simulate;
 use crate::support::START;
 use crate::support::core_in;
 
 /// Every how many-th upstream falls silent.
-const DARK_EACH: u64 = 7;
-
-fn darkened(instances: u64) -> Plan {
-    let plan = Plan::new(instances, 1);
-    let dark = (1..=plan.upstreams).filter(|upstream| upstream.is_multiple_of(DARK_EACH));
-    Plan {
-        dark: dark.collect(),
-        ..plan
+const SILENT_EVERY: u64 = 7;
+
+fn with_silent_upstreams(instances: u64) -> FleetConfig {
+    let config = FleetConfig::new(instances, 1);
+    let silent = (1..=config.upstreams).filter(|upstream| upstream.is_multiple_of(SILENT_EVERY));
+    FleetConfig {
+        silent: silent.collect(),
+        ..config
     }
 }
 
@@ -41,62 +41,62 @@
 }
 
 /// All dark upstreams are found, half of them within a second, and all of their flows are reset at once.
-fn assert_found_soon(instances: u64) {
-    let plan = darkened(instances);
+fn assert_detected_soon(instances: u64) {
+    let config = with_silent_upstreams(instances);
     let Outcome {
-        found,
+        detected,
         last_reset,
         false_resets,
-        false_words,
+        false_detections,
         ..
-    } = play(&plan);
-    assert_eq!((false_resets, false_words), (0, 0));
-    assert_eq!(found.len(), plan.dark.len(), "{found:?}");
-    let times: Vec<Duration> = found.values().copied().collect();
+    } = simulate(&config);
+    assert_eq!((false_resets, false_detections), (0, 0));
+    assert_eq!(detected.len(), config.silent.len(), "{detected:?}");
+    let times: Vec<Duration> = detected.values().copied().collect();
     assert!(median(&times) < Duration::from_secs(1), "{times:?}");
-    for (upstream, found) in found {
+    for (upstream, detected) in detected {
         let reset = last_reset.get(&upstream).copied().unwrap_or_default();
         assert!(
-            reset <= found + Duration::from_millis(300),
-            "{upstream}: {found:?}, {reset:?}"
+            reset <= detected + Duration::from_millis(300),
+            "{upstream}: {detected:?}, {reset:?}"
         );
     }
 }
 
 #[test]
 fn nine_instances_find_silent_upstreams_within_a_second() {
-    assert_found_soon(9);
+    assert_detected_soon(9);
 }
 
 #[test]
 fn sixty_seven_instances_find_silent_upstreams_within_a_second() {
-    assert_found_soon(67);
+    assert_detected_soon(67);
 }
 
 #[test]
 fn two_hundred_instances_find_silent_upstreams_within_a_second() {
-    assert_found_soon(195);
+    assert_detected_soon(195);
 }
 
 #[test]
 fn three_hundred_instances_find_silent_upstreams_within_a_second() {
-    assert_found_soon(300);
+    assert_detected_soon(300);
 }
 
-fn assert_nothing_false(plan: &Plan) {
-    let outcome = play(plan);
+fn assert_no_false_detections(config: &FleetConfig) {
+    let outcome = simulate(config);
     assert!(outcome.requests > 1_000);
-    assert_eq!((outcome.false_words, outcome.false_resets), (0, 0), "{plan:?}");
+    assert_eq!((outcome.false_detections, outcome.false_resets), (0, 0), "{config:?}");
 }
 
 #[test]
-fn loss_alone_is_no_silence() {
+fn packet_loss_alone_is_not_silence() {
     for (seed, loss) in [(2, 0.003), (3, 0.03), (4, 0.1), (5, 0.3)] {
-        for lossy_each in [1, 10] {
-            assert_nothing_false(&Plan {
+        for lossy_every in [1, 10] {
+            assert_no_false_detections(&FleetConfig {
                 loss,
-                lossy_each,
-                ..Plan::new(67, seed)
+                lossy_every,
+                ..FleetConfig::new(67, seed)
             });
         }
     }
@@ -105,72 +105,72 @@
 /// Each of many instances sees little of an upstream, so that a flow whose packets were lost three times in a row looks there as
 /// if its upstream were silent.
 #[test]
-fn a_flow_of_a_large_fleet_that_loses_packets_is_left_alone() {
-    assert_nothing_false(&Plan {
+fn a_flow_of_a_large_fleet_that_loses_packets_is_not_reset() {
+    assert_no_false_detections(&FleetConfig {
         loss: 0.03,
-        span: Duration::from_secs(20),
-        ..Plan::new(300, 1)
+        duration: Duration::from_secs(20),
+        ..FleetConfig::new(300, 1)
     });
 }
 
 #[test]
 fn slow_upstreams_are_not_silent() {
-    assert_nothing_false(&Plan {
-        response: 0.15,
-        ..Plan::new(67, 6)
+    assert_no_false_detections(&FleetConfig {
+        mean_response_secs: 0.15,
+        ..FleetConfig::new(67, 6)
     });
 }
 
 #[test]
-fn instances_whose_packets_are_lost_convince_nobody() {
-    assert_nothing_false(&Plan {
-        deaf: (0..67).filter(|index| index % 5 == 0).collect(),
-        ..Plan::new(67, 7)
+fn partitioned_instances_cause_no_false_detections() {
+    assert_no_false_detections(&FleetConfig {
+        partitioned: (0..67).filter(|index| index % 5 == 0).collect(),
+        ..FleetConfig::new(67, 7)
     });
 }
 
 /// Documents of thousands of routes, handed from one instance to the next, fill small links for a second or two, and what an
 /// instance forwards meanwhile arrives after its client has sent it again.
 #[test]
-fn instances_whose_own_links_are_full_believe_no_upstream_silent() {
+fn congested_instances_cause_no_false_detections() {
     for (instances, seed) in [(9, 11), (9, 12), (67, 13)] {
         for delay_ms in [250, 900] {
-            let plan = Plan::new(instances, seed);
-            assert_nothing_false(&Plan {
-                flows: plan.flows * 3,
-                full: (0..instances).filter(|index| index % 3 == 1).collect(),
-                delay: Duration::from_millis(delay_ms),
-                full_for: Duration::from_secs(6),
-                last: 2,
-                span: Duration::from_secs(12),
-                ..plan
+            let config = FleetConfig::new(instances, seed);
+            assert_no_false_detections(&FleetConfig {
+                flows: config.flows * 3,
+                congested: (0..instances).filter(|index| index % 3 == 1).collect(),
+                congestion_delay: Duration::from_millis(delay_ms),
+                congestion_duration: Duration::from_secs(6),
+                requests_per_flow: 2,
+                duration: Duration::from_secs(12),
+                ..config
             });
         }
     }
 }
 
 #[test]
-fn instances_that_wake_convince_nobody() {
-    assert_nothing_false(&Plan {
-        frozen: (0..67).filter(|index| index % 7 == 0).collect(),
-        ..Plan::new(67, 8)
+fn resumed_instances_cause_no_false_detections() {
+    assert_no_false_detections(&FleetConfig {
+        suspended: (0..67).filter(|index| index % 7 == 0).collect(),
+        ..FleetConfig::new(67, 8)
     });
 }
 
 #[test]
-fn upstreams_that_return_get_flows_again() {
-    let plan = Plan {
-        dark_for: Duration::from_secs(3),
-        span: Duration::from_secs(16),
-        ..darkened(67)
+fn upstreams_that_respond_again_cause_no_false_detections() {
+    let config = FleetConfig {
+        silence_duration: Duration::from_secs(3),
+        duration: Duration::from_secs(16),
+        ..with_silent_upstreams(67)
     };
-    let outcome = play(&plan);
-    assert_eq!((outcome.false_words, outcome.false_resets), (0, 0));
+    let outcome = simulate(&config);
+    assert_eq!((outcome.false_detections, outcome.false_resets), (0, 0));
 }
 
 /// What another instance says may be any number.
 #[test]
-fn any_number_from_other_instances_harms_nothing() {
+fn extreme_values_from_other_instances_are_accepted() {
     let mut core = core_in(0, 3, 1, 1);
     let id = UpstreamId(1);
     let report = Report {
@@ -212,6 +212,6 @@
             later,
         );
     }
-    let heard = core.take_received_updates(later + Duration::from_secs(1));
-    assert_eq!(heard.len(), 2);
+    let received = core.take_received_updates(later + Duration::from_secs(1));
+    assert_eq!(received.len(), 2);
 }
