--- a/crates/flow/examples/silence_rates.rs
+++ b/crates/flow/examples/silence_rates.rs
@@ -1,6 +1,8 @@
-//! How soon a fleet finds upstreams that fall silent, and how often it takes living ones for silent, by what is lost on the way.
+//! Measures how fast a fleet detects upstreams that stop responding, and how often it takes live ones for silent, under
+//! various faults.
 //!
-//! `cargo run --release -p flow --example silence_rates [SEEDS]`: three runs of 40 virtual seconds a row by default.
+//! `cargo run --release -p flow --example silence_rates [SEEDS]`: each row sums up three runs of 40 virtual seconds by
+//! default.
 
 #[expect(dead_code, reason = "each program uses a part of it")]
 #[path = "../benches/support/mod.rs"]
@@ -16,21 +18,21 @@
 use crate::fleet::Outcome;
 use crate::fleet::simulate;
 
-/// The sizes of the fleets.
+/// Numbers of instances in the fleets.
 const FLEET_SIZES: [u64; 4] = [9, 67, 195, 300];
-/// How long each run lasts.
+/// Virtual duration of each run.
 const DURATION: Duration = Duration::from_secs(40);
-/// How many runs each row sums up, unless told otherwise.
+/// Number of runs that each row sums up by default.
 const DEFAULT_SEEDS: u64 = 3;
-/// Every how many-th upstream falls silent where they do.
+/// One in this many upstreams stops responding, in the case with silent upstreams.
 const SILENT_EVERY: u64 = 7;
 
-/// Every so many-th of a number of things.
+/// Every `step`-th index below `count`.
 fn every_nth(count: u64, step: u64) -> Vec<u64> {
     (0..count).filter(|index| index.is_multiple_of(step)).collect()
 }
 
-/// The rows, each with its name.
+/// The cases to run, each with its name.
 fn cases(size: u64) -> Vec<(&'static str, FleetConfig)> {
     let config = FleetConfig {
         duration: DURATION,
@@ -59,16 +61,16 @@
         ..lossy(0.03, 1)
     };
     vec![
-        ("nothing", quiet),
+        ("no fault", quiet),
         ("a seventh of the upstreams silent", silent),
         ("0.3% lost", lossy(0.003, 1)),
         ("3% lost", lossy(0.03, 1)),
         ("10% lost", lossy(0.1, 1)),
         ("30% lost", lossy(0.3, 1)),
-        ("30% lost at each tenth instance", lossy(0.3, 10)),
+        ("30% lost at every tenth instance", lossy(0.3, 10)),
         ("upstreams five times as slow, 3% lost", slow),
-        ("each fifth instance hears nothing", partitioned),
-        ("half of the instances stand still, 3% lost", suspended),
+        ("every fifth instance partitioned", partitioned),
+        ("half of the instances suspended, 3% lost", suspended),
     ]
 }
 
@@ -79,7 +81,7 @@
     detected.sort_unstable();
     let median = detected.get(detected.len() / 2).copied().unwrap_or_default();
     println!(
-        "{size:>4} {name:44} requests {:>7} late {:>6} found {:>3} median {:>4} ms, living: told silent {}, flows reset {}",
+        "{size:>4} {name:44} requests {:>7} retransmitted {:>6} detected {:>3} median {:>4} ms, false: silent {}, resets {}",
         sum(|outcome| outcome.requests),
         sum(|outcome| outcome.retransmitted),
         detected.len(),
--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: instances that share the flows of many upstreams and tell one another what they see, clients that
-//! ask, send again and open new flows, and faults. The same seed gives the same run.
+//! A simulated fleet in virtual time: instances that forward the flows of many upstreams and exchange reports, clients that
+//! send requests, retransmit and open new flows, and injected faults. Runs with the same seed are identical.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -27,25 +27,26 @@
 use crate::support::core_in;
 use crate::support::route;
 
-/// How often instances look at what is due.
+/// Interval at which instances send reports, inquiries and status updates that are due.
 const TICK: Duration = Duration::from_millis(100);
-/// How long a message to another instance, or a handshake, takes.
+/// Latency of a message to another instance, and of a handshake.
 const LATENCY: Duration = Duration::from_millis(1);
-/// The mean pause between a flow's requests, in seconds.
+/// Mean pause between a flow's requests, in seconds.
 const MEAN_PAUSE_SECS: f64 = 1.5;
-/// When a client sends once more what was not answered, after the first time.
+/// Times after the first transmission at which a client retransmits an unanswered packet.
 const RETRANSMIT_AFTER: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1_400),
 ];
-/// When a client gives a flow up.
+/// Time after a request at which the client abandons the flow and opens another.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(2);
-/// How many instances hear of a standing from whoever decides it, and from whoever hears it first, by zone: own, others.
+/// Number of instances that the issuer of a status update sends it to, and that each first-time receiver forwards it to:
+/// in its own zone, and in the whole fleet.
 const OWN_FANOUT: (usize, usize) = (8, 4);
 const FORWARD_FANOUT: (usize, usize) = (3, 3);
 
-/// How a fleet is, and what happens to it.
+/// Parameters of a fleet and of the faults injected into it.
 #[derive(Debug, Clone)]
 pub struct FleetConfig {
     pub seed: u64,
@@ -53,35 +54,35 @@
     pub zones: u64,
     pub upstreams: u64,
     pub flows: u64,
-    /// How long it lasts. Faults begin after [`WARMUP`].
+    /// Duration of the run. Faults begin after [`WARMUP`].
     pub duration: Duration,
-    /// The share of packets and messages that are lost, at every how many-th instance; 1 is all.
+    /// Probability that a packet or message is lost, and the interval of the instances it applies to; 1 is every instance.
     pub loss: f64,
     pub lossy_every: u64,
-    /// The mean time to an answer, in seconds.
+    /// Mean response time in seconds.
     pub mean_response_secs: f64,
-    /// Of how many answers one is its flow's last: then the client closes it and opens another. None is, if this is 0.
+    /// Number of requests after which a client closes its flow and opens another. 0 means no limit.
     pub requests_per_flow: u32,
-    /// Upstreams that fall silent, and when they are back.
+    /// Upstreams that stop responding, and for how long.
     pub silent: Vec<u64>,
     pub silence_duration: Duration,
-    /// Instances whose packets to upstreams are all lost: no message to them arrives either, but theirs do.
+    /// Instances whose packets to upstreams are all lost. Messages to them are lost too, but messages from them arrive.
     pub partitioned: Vec<u64>,
-    /// Instances whose own link is congested: what they send arrives so much later.
+    /// Instances whose own link is congested, for how long, and the delay that this adds to whatever they send.
     pub congested: Vec<u64>,
     pub congestion_duration: Duration,
     pub congestion_delay: Duration,
-    /// Instances that stand still.
+    /// Instances that are suspended, and for how long.
     pub suspended: Vec<u64>,
     pub suspension_duration: Duration,
 }
 
-/// How long all is well at first.
+/// Time before the first fault.
 pub const WARMUP: Duration = Duration::from_secs(4);
 
 impl FleetConfig {
-    /// A fleet of so many instances with half as many upstreams again, at the rates of a busy service: five requests a second
-    /// at an upstream.
+    /// A fleet of `instances` with one and a half times as many upstreams, at the rates of a busy service: five requests a
+    /// second at each upstream.
     pub fn new(instances: u64, seed: u64) -> Self {
         let upstreams = instances * 3 / 2;
         Self {
@@ -107,17 +108,18 @@
     }
 }
 
-/// What became of it.
+/// Results of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub requests: u64,
-    /// Requests answered after the first copy or never.
+    /// Requests that were retransmitted: answered after the first retransmission or never.
     pub retransmitted: u64,
-    /// Open flows reset whose upstream lived.
+    /// Open flows that were reset although their upstream was alive.
     pub false_resets: u64,
-    /// Words that a living upstream is silent.
+    /// Status updates that declare a live upstream silent.
     pub false_detections: u64,
-    /// When the first word of each dark upstream came, and the last reset of a flow of its, after its end.
+    /// For each silent upstream, the time from the fault to the first status update on it, and to the last reset of one of
+    /// its flows.
     pub detected: BTreeMap<u64, Duration>,
     pub last_reset: BTreeMap<u64, Duration>,
 }
@@ -142,7 +144,7 @@
     StatusUpdates(Vec<StatusUpdate>),
 }
 
-// Events of one time are taken in the order in which they were added; their contents tell nothing.
+// Events at the same time are processed in the order in which they were scheduled, regardless of their contents.
 impl PartialOrd for Message {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
@@ -155,7 +157,8 @@
     }
 }
 
-/// A client's flow. Each time that it is opened anew it has another life.
+/// A client's flow. Each time it is opened again, its generation increases, so that events of earlier generations are
+/// ignored.
 struct Flow {
     instance: u64,
     generation: u32,
@@ -197,7 +200,7 @@
     pub outcome: Outcome,
 }
 
-/// Plays a plan to its end.
+/// Runs the simulation to its end.
 pub fn simulate(config: &FleetConfig) -> Outcome {
     let mut fleet = Fleet::new(config);
     fleet.run();
@@ -287,7 +290,7 @@
         self.has_fault_begun() && self.config.partitioned.contains(&instance)
     }
 
-    /// How long what an instance sends waits in its own link.
+    /// Queueing delay of whatever an instance sends on its own link.
     fn link_delay(&self, instance: u64) -> Duration {
         let begin = START + WARMUP;
         let is_congested = self.now >= begin
@@ -300,7 +303,7 @@
         }
     }
 
-    /// Whether a packet or message at an instance is lost.
+    /// Draws whether a packet or message at an instance is lost.
     fn is_lost(&mut self, instance: u64) -> bool {
         instance.is_multiple_of(self.config.lossy_every) && self.rng.random_bool(self.config.loss)
     }
@@ -310,7 +313,7 @@
         Duration::from_secs_f64(-draw.ln() * mean)
     }
 
-    /// An event at an instance that stands still waits for its end.
+    /// Postpones an event at a suspended instance until the suspension ends. Returns whether it did.
     fn postpone_if_suspended(&mut self, event: &Event) -> bool {
         let instance = match event {
             Event::Open(flow)
@@ -437,7 +440,7 @@
         }
     }
 
-    /// Sends a request's packet, and has the answer come if nothing is lost.
+    /// Sends the packet of a request and schedules the response if nothing is lost.
     fn send_request(&mut self, index: usize, generation: u32, request: u32, packet: &Packet) {
         if self.forward(index, packet).is_none() || !self.round_trip_succeeds(index) {
             return;
@@ -467,7 +470,7 @@
         self.schedule(pause, next);
     }
 
-    /// Whether what was forwarded for a flow reaches its upstream, and what that sends reaches the client.
+    /// Draws whether a packet forwarded for a flow reaches its upstream and the response reaches the client.
     fn round_trip_succeeds(&mut self, index: usize) -> bool {
         let Flow { instance, upstream, .. } = self.flows[index];
         !self.is_silent(upstream)
@@ -476,7 +479,7 @@
             && !self.is_lost(instance)
     }
 
-    /// Hands a packet to the flow's instance. Gives the upstream that it is forwarded to.
+    /// Passes a packet to the flow's instance. Returns the upstream that it is forwarded to.
     fn forward(&mut self, index: usize, packet: &Packet) -> Option<u64> {
         let instance = self.flows[index].instance;
         let verdict = self.cores[instance as usize].handle_packet(packet, self.now);
@@ -506,7 +509,7 @@
         self.cores[instance as usize].take_waits();
     }
 
-    /// A client's flow is reset, so it opens another.
+    /// Resets a client's flow. The client opens another.
     fn reset(&mut self, index: usize) {
         let Flow {
             upstream,
@@ -521,7 +524,7 @@
             let after = self.now.since(START + WARMUP);
             self.outcome.last_reset.insert(upstream, after);
         }
-        // Whatever was on its way for this life comes to nothing.
+        // Events that are still scheduled for this generation have no effect.
         self.flows[index].generation = generation + 1;
         self.flows[index].is_open = false;
         self.schedule(LATENCY, Event::Open(index));
@@ -531,7 +534,8 @@
         upstream % self.config.zones
     }
 
-    /// The instances of a zone, in an order of the upstream's own. The first two sum up.
+    /// The instances that take part in inquiries about an upstream: those of its zone, rotated by the upstream's id, and
+    /// others if the zone has fewer than 13. The first two collect the reports.
     fn observers(&self, upstream: u64) -> Vec<u64> {
         let zone = self.zone_of(upstream);
         let mut here: Vec<u64> = (0..self.config.instances)
--- a/crates/flow/tests/silence.rs
+++ b/crates/flow/tests/silence.rs
@@ -1,5 +1,5 @@
-//! Upstreams that fall silent are found by all instances together, as soon in a large fleet as in a small one, and living ones
-//! are left alone whatever is lost on the way.
+//! The instances together detect upstreams that stop responding, as fast in a large fleet as in a small one, and never take
+//! a live upstream for silent, whatever packets are lost.
 
 #[expect(dead_code, reason = "each program uses a part of it")]
 #[path = "../benches/support/mod.rs"]
@@ -22,7 +22,7 @@
 use crate::support::START;
 use crate::support::core_in;
 
-/// Every how many-th upstream falls silent.
+/// One in this many upstreams stops responding.
 const SILENT_EVERY: u64 = 7;
 
 fn with_silent_upstreams(instances: u64) -> FleetConfig {
@@ -40,7 +40,8 @@
     times[times.len() / 2]
 }
 
-/// All dark upstreams are found, half of them within a second, and all of their flows are reset at once.
+/// Checks that all silent upstreams are detected, half of them within a second, and that their flows are reset within 300
+/// ms of detection.
 fn assert_detected_soon(instances: u64) {
     let config = with_silent_upstreams(instances);
     let Outcome {
@@ -102,8 +103,8 @@
     }
 }
 
-/// Each of many instances sees little of an upstream, so that a flow whose packets were lost three times in a row looks there as
-/// if its upstream were silent.
+/// In a large fleet each instance sees few flows of an upstream, so a flow whose packets were lost three times in a row looks
+/// like one of a silent upstream.
 #[test]
 fn a_flow_of_a_large_fleet_that_loses_packets_is_not_reset() {
     assert_no_false_detections(&FleetConfig {
@@ -129,8 +130,8 @@
     });
 }
 
-/// Documents of thousands of routes, handed from one instance to the next, fill small links for a second or two, and what an
-/// instance forwards meanwhile arrives after its client has sent it again.
+/// Documents of thousands of routes, passed between instances, congest small links for a second or two. What an instance
+/// forwards meanwhile arrives after the client has retransmitted it.
 #[test]
 fn congested_instances_cause_no_false_detections() {
     for (instances, seed) in [(9, 11), (9, 12), (67, 13)] {
@@ -168,7 +169,7 @@
     assert_eq!((outcome.false_detections, outcome.false_resets), (0, 0));
 }
 
-/// What another instance says may be any number.
+/// Other instances may send arbitrary numbers; arithmetic on them must not overflow.
 #[test]
 fn extreme_values_from_other_instances_are_accepted() {
     let mut core = core_in(0, 3, 1, 1);
