--- a/crates/flow/tests/knowledge.rs
+++ b/crates/flow/tests/knowledge.rs
@@ -27,60 +27,60 @@
 use units::Time;
 use units::ZoneName;
 
-const HOLDERS: usize = 4;
-const UPSTREAMS: u64 = 5;
+const INSTANCES: usize = 4;
+const UPSTREAM_COUNT: u64 = 5;
 const ZONES: [&str; 2] = ["zone-a", "zone-b"];
 
 /// One thing that happens.
 #[derive(Debug, Clone)]
 enum Step {
     /// An upstream writes its entry.
-    Put(u64, bool),
+    WriteEntry(u64, bool),
     /// An upstream starts again under its id, and writes its entry.
     Restart(u64),
     /// An entry is removed.
-    Remove(u64),
+    RemoveEntry(u64),
     /// Operators write the next document.
-    Document,
+    WriteDocument,
     /// Operators ask for a zone to be emptied, or take that back.
     Evacuate(usize, bool),
     /// A holder reads which zones are to be emptied.
-    Zones(usize),
+    ReadEvacuations(usize),
     /// A holder reads the whole list.
-    List(usize),
+    ReadList(usize),
     /// A holder's watch answers. It has seen the changes up to its last answer.
     Watch(usize),
     /// A holder reads the document.
-    Read(usize),
+    ReadDocument(usize),
     /// A holder asks another.
     Pull(usize, usize),
     /// The answer to an earlier question comes once more, late.
-    Repeat(usize, usize),
+    RepeatPull(usize, usize),
     /// A holder gets what the platform held some changes ago, late.
-    Late(usize, usize),
+    ReadStale(usize, usize),
     /// The platform comes back as it was some changes ago.
-    Return(usize),
+    Restore(usize),
     /// Its writers write again what was lost by that.
-    WriteAgain,
+    RewriteLost,
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let holder = 0..HOLDERS;
+fn step_strategy() -> impl Strategy<Value = Step> {
+    let instance = 0..INSTANCES;
     prop_oneof![
-        (0..UPSTREAMS, any::<bool>()).prop_map(|(id, leaving)| Step::Put(id, leaving)),
-        (0..UPSTREAMS).prop_map(Step::Restart),
-        (0..UPSTREAMS).prop_map(Step::Remove),
-        any::<bool>().prop_map(|_| Step::Document),
+        (0..UPSTREAM_COUNT, any::<bool>()).prop_map(|(id, leaving)| Step::WriteEntry(id, leaving)),
+        (0..UPSTREAM_COUNT).prop_map(Step::Restart),
+        (0..UPSTREAM_COUNT).prop_map(Step::RemoveEntry),
+        any::<bool>().prop_map(|_| Step::WriteDocument),
         (0..ZONES.len(), any::<bool>()).prop_map(|(zone, asked)| Step::Evacuate(zone, asked)),
-        holder.clone().prop_map(Step::Zones),
-        holder.clone().prop_map(Step::List),
-        holder.clone().prop_map(Step::Watch),
-        holder.clone().prop_map(Step::Read),
-        (holder.clone(), 0..HOLDERS).prop_map(|(to, from)| Step::Pull(to, from)),
-        (holder.clone(), any::<usize>()).prop_map(|(to, index)| Step::Repeat(to, index)),
-        (holder, 0..8_usize).prop_map(|(to, age)| Step::Late(to, age)),
-        (0..8_usize).prop_map(Step::Return),
-        any::<bool>().prop_map(|_| Step::WriteAgain),
+        instance.clone().prop_map(Step::ReadEvacuations),
+        instance.clone().prop_map(Step::ReadList),
+        instance.clone().prop_map(Step::Watch),
+        instance.clone().prop_map(Step::ReadDocument),
+        (instance.clone(), 0..INSTANCES).prop_map(|(to, from)| Step::Pull(to, from)),
+        (instance.clone(), any::<usize>()).prop_map(|(to, index)| Step::RepeatPull(to, index)),
+        (instance, 0..8_usize).prop_map(|(to, age)| Step::ReadStale(to, age)),
+        (0..8_usize).prop_map(Step::Restore),
+        any::<bool>().prop_map(|_| Step::RewriteLost),
     ]
 }
 
@@ -104,11 +104,11 @@
     document: Option<(Revision, Document)>,
     evacuated: BTreeSet<ZoneName>,
     entries: BTreeMap<UpstreamId, (Revision, Upstream)>,
-    history: Vec<(Revision, UpstreamId, Option<Upstream>)>,
+    changes: Vec<(Revision, UpstreamId, Option<Upstream>)>,
 }
 
 impl State {
-    fn at(&self) -> Position {
+    fn position(&self) -> Position {
         Position::new(Epoch(self.epoch), Revision(self.revision))
     }
 
@@ -116,7 +116,7 @@
         self.revision += 1;
         let revision = Revision(self.revision);
         self.entries.insert(id, (revision, upstream.clone()));
-        self.history.push((revision, id, Some(upstream)));
+        self.changes.push((revision, id, Some(upstream)));
     }
 
     fn remove(&mut self, id: UpstreamId) {
@@ -124,7 +124,7 @@
             return;
         }
         self.revision += 1;
-        self.history.push((Revision(self.revision), id, None));
+        self.changes.push((Revision(self.revision), id, None));
     }
 
     fn document(&self) -> Option<(Position, Document)> {
@@ -132,8 +132,8 @@
         Some((Position::new(Epoch(self.epoch), revision), document))
     }
 
-    fn evacuate(&mut self, zone: &ZoneName, is_asked: bool) {
-        let has_changed = if is_asked {
+    fn evacuate(&mut self, zone: &ZoneName, is_requested: bool) {
+        let has_changed = if is_requested {
             self.evacuated.insert(zone.clone())
         } else {
             self.evacuated.remove(zone)
@@ -143,7 +143,7 @@
 
     fn evacuations(&self) -> Evacuations {
         Evacuations {
-            at: self.at(),
+            at: self.position(),
             zones: self.evacuated.clone(),
         }
     }
@@ -158,8 +158,9 @@
     /// What a watch tells. A removal carries the revision of the entry's last write, so that it says nothing.
     fn since(&self, since: Revision) -> Vec<(UpstreamId, Revision, Option<Upstream>)> {
         let at = Revision(self.revision);
-        let new = self.history.iter().filter(|(revision, _, _)| *revision > since);
-        new.map(|(revision, id, upstream)| (*id, if upstream.is_some() { *revision } else { at }, upstream.clone()))
+        let changes = self.changes.iter().filter(|(revision, _, _)| *revision > since);
+        changes
+            .map(|(revision, id, upstream)| (*id, if upstream.is_some() { *revision } else { at }, upstream.clone()))
             .collect()
     }
 }
@@ -168,38 +169,38 @@
 #[derive(Default)]
 struct Platform {
     state: State,
-    past: Vec<State>,
+    snapshots: Vec<State>,
     /// What it would hold if it had never lost anything.
     written: State,
     /// How often each upstream has started again.
     starts: BTreeMap<u64, u64>,
     /// How many documents operators have written, and how many entries upstreams have.
-    documents: u64,
-    puts: u16,
+    documents_written: u64,
+    entries_written: u16,
 }
 
 impl Platform {
     /// Changes what it holds and what its writers have written.
     fn change(&mut self, change: impl Fn(&mut State)) {
-        self.past.push(self.state.clone());
+        self.snapshots.push(self.state.clone());
         change(&mut self.state);
         change(&mut self.written);
     }
 
-    fn put(&mut self, id: u64, leaving: bool) {
-        self.puts += 1;
+    fn write_entry(&mut self, id: u64, leaving: bool) {
+        self.entries_written += 1;
         let upstream = Upstream {
             started: self.starts.get(&id).copied().map(StartTime),
-            ..upstream(leaving, self.puts)
+            ..upstream(leaving, self.entries_written)
         };
         self.change(|state| state.put(UpstreamId(id), upstream.clone()));
     }
 
     fn write_document(&mut self) {
-        self.documents += 1;
+        self.documents_written += 1;
         let mut routes = self.written.document.take();
         let mut routes = routes.take().map(|(_, document)| document.routes).unwrap_or_default();
-        let port = u16::try_from(self.documents).unwrap();
+        let port = u16::try_from(self.documents_written).unwrap();
         routes.remove(&format!("r-{}", port % 3));
         let route = Route {
             address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
@@ -209,7 +210,7 @@
         };
         routes.insert(format!("r-{}", port % 7), route);
         let document = Document {
-            revision: Revision(self.documents * 10),
+            revision: Revision(self.documents_written * 10),
             routes,
             idle_timeout: Duration::from_secs(1),
             cold_starts: BTreeMap::new(),
@@ -222,21 +223,21 @@
     }
 
     /// Comes back as it was some changes ago. It has held something at all times.
-    fn come_back(&mut self, age: usize) {
-        let Some(index) = self.past.len().checked_sub(age + 1) else {
+    fn restore(&mut self, age: usize) {
+        let Some(index) = self.snapshots.len().checked_sub(age + 1) else {
             return;
         };
         let epoch = self.state.epoch + 1;
-        self.past.push(self.state.clone());
+        self.snapshots.push(self.state.clone());
         self.state = State {
             epoch,
-            ..self.past[index].clone()
+            ..self.snapshots[index].clone()
         };
     }
 
     /// Writes again what is lost: entries that are missing or older, removals, the document, and what operators ask for.
-    fn write_again(&mut self) {
-        self.past.push(self.state.clone());
+    fn rewrite_lost(&mut self) {
+        self.snapshots.push(self.state.clone());
         let Self { state, written, .. } = self;
         for (id, (_, upstream)) in &written.entries {
             if state.entries.get(id).map(|(_, held)| held) != Some(upstream) {
@@ -260,78 +261,78 @@
     }
 }
 
-fn run(steps: Vec<Step>) {
+fn run_steps(steps: Vec<Step>) {
     let mut platform = Platform::default();
     platform.change(|state| state.revision = 1);
-    let mut holders = vec![Knowledge::default(); HOLDERS];
-    let mut cursors: [Option<Position>; HOLDERS] = [None; HOLDERS];
-    let mut changes = Vec::new();
+    let mut instances = vec![Knowledge::default(); INSTANCES];
+    let mut cursors: [Option<Position>; INSTANCES] = [None; INSTANCES];
+    let mut sent_changes = Vec::new();
     for (index, step) in steps.into_iter().enumerate() {
         let now = Time(index as u64);
-        let before: Vec<_> = holders.iter().map(Knowledge::positions).collect();
+        let before: Vec<_> = instances.iter().map(Knowledge::positions).collect();
         let state = &platform.state;
         match step {
-            Step::Put(id, leaving) => platform.put(id, leaving),
+            Step::WriteEntry(id, leaving) => platform.write_entry(id, leaving),
             Step::Restart(id) => {
                 *platform.starts.entry(id).or_default() += 1;
-                platform.put(id, false);
+                platform.write_entry(id, false);
             }
-            Step::Remove(id) => platform.change(|state| state.remove(UpstreamId(id))),
-            Step::Document => platform.write_document(),
-            Step::Evacuate(zone, is_asked) => {
+            Step::RemoveEntry(id) => platform.change(|state| state.remove(UpstreamId(id))),
+            Step::WriteDocument => platform.write_document(),
+            Step::Evacuate(zone, is_requested) => {
                 let zone: ZoneName = ZONES[zone].parse().unwrap();
-                platform.change(|state| state.evacuate(&zone, is_asked));
+                platform.change(|state| state.evacuate(&zone, is_requested));
             }
-            Step::Zones(holder) => {
-                holders[holder].apply_evacuations(state.evacuations(), &BTreeSet::new(), now);
+            Step::ReadEvacuations(instance) => {
+                instances[instance].apply_evacuations(state.evacuations(), &BTreeSet::new(), now);
             }
-            Step::List(holder) => {
-                holders[holder].apply_list(state.at(), state.list(), now);
-                cursors[holder] = Some(state.at());
+            Step::ReadList(instance) => {
+                instances[instance].apply_list(state.position(), state.list(), now);
+                cursors[instance] = Some(state.position());
             }
-            Step::Watch(holder) => {
+            Step::Watch(instance) => {
                 // A place of an earlier epoch is none of this one, and what has changed since then is not known.
-                let since = cursors[holder].filter(|since| since.epoch == state.at().epoch);
-                cursors[holder] = since.and(Some(state.at()));
+                let since = cursors[instance].filter(|since| since.epoch == state.position().epoch);
+                cursors[instance] = since.and(Some(state.position()));
                 if let Some(since) = since {
-                    holders[holder].apply_watched(state.at(), state.since(since.revision), now);
+                    instances[instance].apply_watched(state.position(), state.since(since.revision), now);
                 }
             }
-            Step::Read(holder) => {
+            Step::ReadDocument(instance) => {
                 if let Some((at, document)) = state.document() {
-                    holders[holder].apply_document(at, document);
+                    instances[instance].apply_document(at, document);
                 }
             }
             Step::Pull(to, from) => {
-                let held = holders[to].positions();
-                let change = holders[from].since(&held);
-                changes.push((held.upstreams_at, change.clone()));
-                holders[to].apply(change, now);
+                let held = instances[to].positions();
+                let change = instances[from].since(&held);
+                sent_changes.push((held.upstreams_at, change.clone()));
+                instances[to].apply(change, now);
             }
-            Step::Repeat(to, index) => {
-                let Some((since, change)) = changes.get(index % changes.len().max(1)).cloned() else {
+            Step::RepeatPull(to, index) => {
+                let Some((since, change)) = sent_changes.get(index % sent_changes.len().max(1)).cloned() else {
                     continue;
                 };
                 // Only whoever asked gets the answer, so it has what came before.
-                if since <= holders[to].upstreams_at() {
-                    holders[to].apply(change, now);
+                if since <= instances[to].upstreams_at() {
+                    instances[to].apply(change, now);
                 }
             }
-            Step::Late(holder, age) => {
-                let Some(index) = platform.past.len().checked_sub(age + 1) else {
+            Step::ReadStale(instance, age) => {
+                let Some(index) = platform.snapshots.len().checked_sub(age + 1) else {
                     continue;
                 };
-                let state = &platform.past[index];
-                holders[holder].apply_list(state.at(), state.list(), now);
-                holders[holder].apply_evacuations(state.evacuations(), &BTreeSet::new(), now);
+                let state = &platform.snapshots[index];
+                instances[instance].apply_list(state.position(), state.list(), now);
+                instances[instance].apply_evacuations(state.evacuations(), &BTreeSet::new(), now);
                 if let Some((at, document)) = state.document() {
-                    holders[holder].apply_document(at, document);
+                    instances[instance].apply_document(at, document);
                 }
             }
-            Step::Return(age) => platform.come_back(age),
-            Step::WriteAgain => platform.write_again(),
+            Step::Restore(age) => platform.restore(age),
+            Step::RewriteLost => platform.rewrite_lost(),
         }
-        for (held, before) in holders.iter().zip(before) {
+        for (held, before) in instances.iter().zip(before) {
             let after = held.positions();
             assert!(after.document >= before.document, "never an older document");
             assert!(after.document_at >= before.document_at);
@@ -339,28 +340,28 @@
             assert!(after.evacuations_at >= before.evacuations_at);
         }
     }
-    platform.write_again();
-    settle(&platform.state, &mut holders);
+    platform.rewrite_lost();
+    assert_convergence(&platform.state, &mut instances);
 }
 
 /// One holder reads everything, the others ask it. Then all hold what the platform holds.
-fn settle(platform: &State, holders: &mut [Knowledge]) {
+fn assert_convergence(platform: &State, instances: &mut [Knowledge]) {
     let now = Time(10_000_000);
-    let (first, others) = holders.split_first_mut().unwrap();
-    first.apply_list(platform.at(), platform.list(), now);
+    let (first, others) = instances.split_first_mut().unwrap();
+    first.apply_list(platform.position(), platform.list(), now);
     if let Some((at, document)) = platform.document() {
         first.apply_document(at, document);
     }
     first.apply_evacuations(platform.evacuations(), &BTreeSet::new(), now);
     for other in others.iter_mut() {
-        ask(other, first, now);
+        pull(other, first, now);
         // Whoever knows more of one part tells so, and is asked in turn.
-        ask(first, other, now);
-        ask(other, first, now);
+        pull(first, other, now);
+        pull(other, first, now);
         assert_eq!(other.level(), first.level());
         assert_eq!(other.positions(), first.positions());
     }
-    for held in holders {
+    for held in instances {
         held.end_grace(now + Duration::from_secs(2));
         let document = held.document().map(|(_, document)| document);
         assert_eq!(document, platform.document.as_ref().map(|(_, document)| document));
@@ -377,64 +378,68 @@
 }
 
 /// A holder that knows less in any part asks another one.
-fn ask(holder: &mut Knowledge, other: &Knowledge, now: Time) {
-    if holder.positions() != other.positions() {
-        holder.apply(other.since(&holder.positions()), now);
+fn pull(instance: &mut Knowledge, other: &Knowledge, now: Time) {
+    if instance.positions() != other.positions() {
+        instance.apply(other.since(&instance.positions()), now);
     }
 }
 
 /// A holder that has read the list after an upstream went does not know that it was ever there. Another one, which does,
 /// must still learn from it that it went.
 #[test]
-fn who_never_knew_an_upstream_can_tell_that_it_went() {
-    run(vec![Step::Put(3, false), Step::List(1), Step::Remove(3)]);
+fn an_instance_that_never_knew_an_upstream_propagates_its_removal() {
+    run_steps(vec![
+        Step::WriteEntry(3, false),
+        Step::ReadList(1),
+        Step::RemoveEntry(3),
+    ]);
 }
 
 /// So can one whose watch told of an upstream's coming and going at once.
 #[test]
-fn who_saw_an_upstream_come_and_go_at_once_can_tell_that_it_went() {
+fn a_watch_response_with_both_addition_and_removal_propagates_the_removal() {
     let steps = [
-        Step::List(0),
-        Step::List(1),
-        Step::Put(4, false),
+        Step::ReadList(0),
+        Step::ReadList(1),
+        Step::WriteEntry(4, false),
         Step::Watch(1),
-        Step::Remove(4),
+        Step::RemoveEntry(4),
         Step::Watch(0),
     ];
-    run([steps.to_vec(), vec![Step::Pull(1, 0), Step::Put(1, false)]].concat());
+    run_steps([steps.to_vec(), vec![Step::Pull(1, 0), Step::WriteEntry(1, false)]].concat());
 }
 
 /// An upstream that went, came back and went again is gone, though the teller knows only of the first time.
 #[test]
-fn an_upstream_that_went_twice_is_gone() {
+fn an_upstream_that_was_removed_twice_is_gone() {
     let before = [
-        Step::Put(4, false),
-        Step::List(2),
-        Step::List(0),
-        Step::Remove(4),
+        Step::WriteEntry(4, false),
+        Step::ReadList(2),
+        Step::ReadList(0),
+        Step::RemoveEntry(4),
         Step::Watch(0),
     ];
-    let after = [Step::Put(4, false), Step::List(1), Step::Remove(4)];
-    run([before.to_vec(), after.to_vec()].concat());
+    let after = [Step::WriteEntry(4, false), Step::ReadList(1), Step::RemoveEntry(4)];
+    run_steps([before.to_vec(), after.to_vec()].concat());
 }
 
 /// A wish that was taken back and made again within a moment stands, though another holder has only heard that it was taken
 /// back: it hears of a later state than that.
 #[test]
-fn a_zone_that_is_to_be_emptied_again_stays_so() {
+fn an_evacuation_that_is_requested_again_stays() {
     let steps = [
         Step::Evacuate(0, true),
-        Step::Zones(0),
+        Step::ReadEvacuations(0),
         Step::Evacuate(0, false),
-        Step::Zones(1),
+        Step::ReadEvacuations(1),
         Step::Evacuate(0, true),
-        Step::Zones(0),
+        Step::ReadEvacuations(0),
     ];
-    run([steps.to_vec(), vec![Step::Pull(0, 1), Step::Pull(1, 0)]].concat());
+    run_steps([steps.to_vec(), vec![Step::Pull(0, 1), Step::Pull(1, 0)]].concat());
 }
 
 #[test]
-fn a_wish_that_becomes_unreadable_stays_and_a_new_one_that_is_unreadable_is_none() {
+fn an_unreadable_evacuation_stays_if_known_and_is_ignored_if_new() {
     let zones: Vec<ZoneName> = ZONES.iter().map(|zone| zone.parse().unwrap()).collect();
     let read = |at, zones: &[ZoneName]| Evacuations {
         at: Revision(at).into(),
@@ -455,27 +460,27 @@
 /// Right after a return the copy's wish can't be read: the zone goes on being emptied, and does so once the moment has passed in which
 /// what was lost is written again.
 #[test]
-fn a_wish_that_is_unreadable_right_after_a_return_stays() {
+fn an_evacuation_that_is_unreadable_right_after_a_restore_stays() {
     let zones: BTreeSet<ZoneName> = ZONES.iter().map(|zone| zone.parse().unwrap()).collect();
-    let emptied: ZoneName = ZONES[0].parse().unwrap();
-    let place = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
+    let zone: ZoneName = ZONES[0].parse().unwrap();
+    let position = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
     let mut knowledge = Knowledge::awaiting_evacuations();
-    let asked = Evacuations {
-        at: place(0, 9),
-        zones: BTreeSet::from([emptied.clone()]),
+    let requested = Evacuations {
+        at: position(0, 9),
+        zones: BTreeSet::from([zone.clone()]),
     };
-    knowledge.apply_evacuations(asked, &BTreeSet::new(), Time(0));
-    let returned = |revision| Evacuations {
-        at: place(1, revision),
+    knowledge.apply_evacuations(requested, &BTreeSet::new(), Time(0));
+    let restored = |revision| Evacuations {
+        at: position(1, revision),
         zones: BTreeSet::new(),
     };
-    knowledge.apply_evacuations(returned(3), &zones, Time(0));
+    knowledge.apply_evacuations(restored(3), &zones, Time(0));
     let evacuated = |knowledge: &Knowledge| knowledge.evacuated();
-    assert_eq!(evacuated(&knowledge), BTreeSet::from([emptied.clone()]));
+    assert_eq!(evacuated(&knowledge), BTreeSet::from([zone.clone()]));
     let later = Time(0) + Duration::from_secs(5);
     knowledge.end_grace(later);
-    assert_eq!(evacuated(&knowledge), BTreeSet::from([emptied]));
-    knowledge.apply_evacuations(returned(4), &BTreeSet::new(), later);
+    assert_eq!(evacuated(&knowledge), BTreeSet::from([zone]));
+    knowledge.apply_evacuations(restored(4), &BTreeSet::new(), later);
     assert_eq!(
         evacuated(&knowledge),
         BTreeSet::new(),
@@ -486,75 +491,75 @@
 /// A copy of the store lacks an upstream that serves and a zone to be emptied, and shows an upstream that has left, one that has gone,
 /// and a zone that was taken back. Their writers write that again within two seconds. Until then what was known before counts.
 #[test]
-fn what_a_copy_has_lost_stays_in_force_for_a_moment() {
-    let listed = |id: u64, leaving| (UpstreamId(id), Revision(id), Some(upstream(leaving, 1)));
+fn state_that_a_restored_copy_lacks_stays_in_force_for_the_grace_period() {
+    let entry = |id: u64, leaving| (UpstreamId(id), Revision(id), Some(upstream(leaving, 1)));
     let zones = |zones: &[&str]| zones.iter().map(|zone| zone.parse().unwrap()).collect();
     let evacuations = |at, named: &[&str]| Evacuations {
         at,
         zones: zones(named),
     };
-    let place = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
+    let position = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
     let none = BTreeSet::new();
     let second = Time(1_000_000);
     let mut before = Knowledge::default();
     before.apply_list(
-        place(0, 10),
-        vec![listed(1, false), listed(2, true), listed(4, false)],
+        position(0, 10),
+        vec![entry(1, false), entry(2, true), entry(4, false)],
         Time(0),
     );
-    before.apply_watched(place(0, 11), vec![listed(3, false)], Time(0));
-    before.apply_watched(place(0, 12), vec![(UpstreamId(3), Revision(12), None)], Time(0));
-    before.apply_evacuations(evacuations(place(0, 12), &["zone-a"]), &none, Time(0));
-    let copy = vec![listed(2, false), listed(3, false), listed(4, true)];
-    let shown = |knowledge: &Knowledge| {
+    before.apply_watched(position(0, 11), vec![entry(3, false)], Time(0));
+    before.apply_watched(position(0, 12), vec![(UpstreamId(3), Revision(12), None)], Time(0));
+    before.apply_evacuations(evacuations(position(0, 12), &["zone-a"]), &none, Time(0));
+    let restored_list = vec![entry(2, false), entry(3, false), entry(4, true)];
+    let contents = |knowledge: &Knowledge| {
         let upstreams = knowledge.upstreams();
         let upstreams = upstreams.map(|(id, entry)| (id.0, entry.gone, entry.upstream.leaving));
         let zones: Vec<String> = knowledge.evacuated().iter().map(ToString::to_string).collect();
         (upstreams.collect::<Vec<_>>(), zones)
     };
     let mut read = before.clone();
-    assert!(read.apply_list(place(1, 9), copy, second));
-    assert!(read.apply_evacuations(evacuations(place(1, 9), &["zone-b"]), &none, second));
+    assert!(read.apply_list(position(1, 9), restored_list, second));
+    assert!(read.apply_evacuations(evacuations(position(1, 9), &["zone-b"]), &none, second));
     // Whoever knew nothing before takes the copy's word, whoever did hears of the copy by others.
     let mut newcomer = Knowledge::default();
     newcomer.apply(read.since(&newcomer.positions()), second);
-    let mut told = before.clone();
-    assert!(told.apply(read.since(&told.positions()), second));
+    let mut informed = before.clone();
+    assert!(informed.apply(read.since(&informed.positions()), second));
     let as_copied = (
         vec![(1, true, false), (2, false, false), (3, false, false), (4, false, true)],
         vec!["zone-b".to_owned()],
     );
-    assert_eq!(shown(&newcomer), as_copied);
-    for mut held in [read, told] {
+    assert_eq!(contents(&newcomer), as_copied);
+    for mut held in [read, informed] {
         let as_before = (
             vec![(1, false, false), (2, false, true), (3, true, false), (4, false, true)],
             vec!["zone-a".to_owned()],
         );
-        assert_eq!(shown(&held), as_before);
+        assert_eq!(contents(&held), as_before);
         assert!(held.gone_since(UpstreamId(3)).is_some());
         assert!(!held.end_grace(Time(2_999_999)));
         // Another one has read a later list of the same copy.
         let mut other = before.clone();
-        let copy = vec![listed(2, false), listed(3, false), listed(4, true)];
-        other.apply_list(place(1, 11), copy, second);
+        let restored_list = vec![entry(2, false), entry(3, false), entry(4, true)];
+        other.apply_list(position(1, 11), restored_list, second);
         held.apply(other.since(&held.positions()), second);
-        assert_eq!(shown(&held), as_before);
+        assert_eq!(contents(&held), as_before);
         // What is written in the new epoch counts at once.
         let leaving = (UpstreamId(2), Revision(13), Some(upstream(true, 1)));
         let gone = (UpstreamId(3), Revision(13), None);
-        held.apply_watched(place(1, 13), vec![leaving, gone], second);
-        held.apply_evacuations(evacuations(place(1, 14), &[]), &none, second);
+        held.apply_watched(position(1, 13), vec![leaving, gone], second);
+        held.apply_evacuations(evacuations(position(1, 14), &[]), &none, second);
         let written = (
             vec![(1, false, false), (2, false, true), (3, true, false), (4, false, true)],
             vec!["zone-a".to_owned()],
         );
-        assert_eq!(shown(&held), written);
+        assert_eq!(contents(&held), written);
         assert!(held.end_grace(Time(3_000_000)));
         let settled = (
             vec![(1, true, false), (2, false, true), (3, true, false), (4, false, true)],
             Vec::new(),
         );
-        assert_eq!(shown(&held), settled);
+        assert_eq!(contents(&held), settled);
         assert!(!held.end_grace(Time(9_000_000)));
     }
 }
@@ -562,8 +567,8 @@
 /// An instance that started after the return has read an older document from the copy, at a later position than others hold theirs at. It
 /// still learns the newer one from them, and they learn from it that the store shows nothing newer.
 #[test]
-fn whoever_has_read_an_older_document_from_a_copy_learns_the_newer_one_from_others() {
-    let place = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
+fn an_instance_with_an_older_document_from_a_restored_copy_gets_the_newer_one_from_others() {
+    let position = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
     let document = |number| Document {
         revision: Revision(number),
         routes: BTreeMap::new(),
@@ -571,18 +576,18 @@
         cold_starts: BTreeMap::new(),
         warnings: Vec::new(),
     };
-    for has_read_the_copy_too in [false, true] {
+    for has_read_the_restored_copy in [false, true] {
         let mut newcomer = Knowledge::default();
-        newcomer.apply_document(place(1, 40), document(73));
+        newcomer.apply_document(position(1, 40), document(73));
         let mut other = Knowledge::default();
-        other.apply_document(place(0, 46), document(73));
-        other.apply_document(place(0, 47), document(76));
-        if has_read_the_copy_too {
-            other.apply_document(place(1, 40), document(73));
+        other.apply_document(position(0, 46), document(73));
+        other.apply_document(position(0, 47), document(76));
+        if has_read_the_restored_copy {
+            other.apply_document(position(1, 40), document(73));
         }
-        ask(&mut other, &newcomer, Time(1));
-        assert_eq!(other.document(), Some(&(place(1, 40), document(76))));
-        ask(&mut newcomer, &other, Time(1));
+        pull(&mut other, &newcomer, Time(1));
+        assert_eq!(other.document(), Some(&(position(1, 40), document(76))));
+        pull(&mut newcomer, &other, Time(1));
         assert_eq!(newcomer.document(), other.document());
         assert_eq!(newcomer.positions(), other.positions());
     }
@@ -592,13 +597,13 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn knowledge_never_steps_down_and_ends_as_the_platform_has_it(steps in vec(step(), 0..80)) {
-        run(steps);
+    fn knowledge_never_regresses_and_converges_to_the_platform_state(steps in vec(step_strategy(), 0..80)) {
+        run_steps(steps);
     }
 }
 
 #[test]
-fn what_went_long_ago_is_forgotten() {
+fn removals_are_forgotten_after_a_while() {
     let mut knowledge = Knowledge::default();
     let id = UpstreamId(1);
     knowledge.apply_watched(Revision(2), vec![(id, Revision(2), Some(upstream(false, 1)))], Time(0));
