--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -33,7 +33,7 @@
 const LATENCY: Duration = Duration::from_millis(1);
 /// Mean pause between a flow's requests, in seconds.
 const MEAN_PAUSE_SECS: f64 = 1.5;
-/// Times after the first transmission at which a client retransmits an unanswered packet.
+/// Times after a request at which a client retransmits it. For opening packets, the intervals between transmissions.
 const RETRANSMIT_AFTER: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
--- a/crates/flow/tests/knowledge.rs
+++ b/crates/flow/tests/knowledge.rs
@@ -1,4 +1,5 @@
-//! However what is known travels, it never steps down, and all holders end with what the platform holds.
+//! The knowledge of an instance never regresses, and all instances converge to the platform's state, whatever order changes
+//! arrive in.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,36 +32,36 @@
 const UPSTREAM_COUNT: u64 = 5;
 const ZONES: [&str; 2] = ["zone-a", "zone-b"];
 
-/// One thing that happens.
+/// One event of a test run.
 #[derive(Debug, Clone)]
 enum Step {
     /// An upstream writes its entry.
     WriteEntry(u64, bool),
-    /// An upstream starts again under its id, and writes its entry.
+    /// An upstream restarts under its id and writes its entry.
     Restart(u64),
     /// An entry is removed.
     RemoveEntry(u64),
     /// Operators write the next document.
     WriteDocument,
-    /// Operators ask for a zone to be emptied, or take that back.
+    /// Operators request the evacuation of a zone, or end it.
     Evacuate(usize, bool),
-    /// A holder reads which zones are to be emptied.
+    /// An instance reads the zones under evacuation.
     ReadEvacuations(usize),
-    /// A holder reads the whole list.
+    /// An instance reads the whole list.
     ReadList(usize),
-    /// A holder's watch answers. It has seen the changes up to its last answer.
+    /// An instance's watch returns the changes since its previous response.
     Watch(usize),
-    /// A holder reads the document.
+    /// An instance reads the document.
     ReadDocument(usize),
-    /// A holder asks another.
+    /// The first instance pulls changes from the second.
     Pull(usize, usize),
-    /// The answer to an earlier question comes once more, late.
+    /// The response to an earlier pull arrives again, late.
     RepeatPull(usize, usize),
-    /// A holder gets what the platform held some changes ago, late.
+    /// An instance reads, late, the platform's state of some changes ago.
     ReadStale(usize, usize),
-    /// The platform comes back as it was some changes ago.
+    /// The platform is restored to its state of some changes ago.
     Restore(usize),
-    /// Its writers write again what was lost by that.
+    /// The writers rewrite what the restore has lost.
     RewriteLost,
 }
 
@@ -96,7 +97,7 @@
     }
 }
 
-/// What the platform holds, with all changes.
+/// The platform's state, with its change log.
 #[derive(Debug, Default, Clone)]
 struct State {
     epoch: u64,
@@ -155,7 +156,8 @@
             .collect()
     }
 
-    /// What a watch tells. A removal carries the revision of the entry's last write, so that it says nothing.
+    /// The response of a watch. A removal is returned with the current revision, as its own revision is that of the entry's
+    /// last write and has no meaning.
     fn since(&self, since: Revision) -> Vec<(UpstreamId, Revision, Option<Upstream>)> {
         let at = Revision(self.revision);
         let changes = self.changes.iter().filter(|(revision, _, _)| *revision > since);
@@ -165,22 +167,22 @@
     }
 }
 
-/// The platform: what it holds, what it held after each change, and what its writers have written.
+/// The platform: its state, a snapshot before each change, and what its writers have written.
 #[derive(Default)]
 struct Platform {
     state: State,
     snapshots: Vec<State>,
-    /// What it would hold if it had never lost anything.
+    /// The state as it would be without any restore.
     written: State,
-    /// How often each upstream has started again.
+    /// Number of restarts of each upstream.
     starts: BTreeMap<u64, u64>,
-    /// How many documents operators have written, and how many entries upstreams have.
+    /// Number of documents written by operators, and of entries written by upstreams.
     documents_written: u64,
     entries_written: u16,
 }
 
 impl Platform {
-    /// Changes what it holds and what its writers have written.
+    /// Applies a change to the state and to what the writers have written.
     fn change(&mut self, change: impl Fn(&mut State)) {
         self.snapshots.push(self.state.clone());
         change(&mut self.state);
@@ -222,7 +224,7 @@
         });
     }
 
-    /// Comes back as it was some changes ago. It has held something at all times.
+    /// Restores the state of some changes ago, in a new epoch. Does nothing if there weren't that many changes.
     fn restore(&mut self, age: usize) {
         let Some(index) = self.snapshots.len().checked_sub(age + 1) else {
             return;
@@ -235,7 +237,7 @@
         };
     }
 
-    /// Writes again what is lost: entries that are missing or older, removals, the document, and what operators ask for.
+    /// Rewrites what was lost: entries that are missing or older, removals, the document, and the evacuations.
     fn rewrite_lost(&mut self) {
         self.snapshots.push(self.state.clone());
         let Self { state, written, .. } = self;
@@ -291,7 +293,7 @@
                 cursors[instance] = Some(state.position());
             }
             Step::Watch(instance) => {
-                // A place of an earlier epoch is none of this one, and what has changed since then is not known.
+                // A position of an earlier epoch is invalid in this one, so the changes since then are unknown.
                 let since = cursors[instance].filter(|since| since.epoch == state.position().epoch);
                 cursors[instance] = since.and(Some(state.position()));
                 if let Some(since) = since {
@@ -313,7 +315,7 @@
                 let Some((since, change)) = sent_changes.get(index % sent_changes.len().max(1)).cloned() else {
                     continue;
                 };
-                // Only whoever asked gets the answer, so it has what came before.
+                // Only the instance that pulled gets the response, so it already holds everything before `since`.
                 if since <= instances[to].upstreams_at() {
                     instances[to].apply(change, now);
                 }
@@ -344,7 +346,7 @@
     assert_convergence(&platform.state, &mut instances);
 }
 
-/// One holder reads everything, the others ask it. Then all hold what the platform holds.
+/// Has one instance read everything and the others pull from it, then checks that all hold the platform's state.
 fn assert_convergence(platform: &State, instances: &mut [Knowledge]) {
     let now = Time(10_000_000);
     let (first, others) = instances.split_first_mut().unwrap();
@@ -355,7 +357,7 @@
     first.apply_evacuations(platform.evacuations(), &BTreeSet::new(), now);
     for other in others.iter_mut() {
         pull(other, first, now);
-        // Whoever knows more of one part tells so, and is asked in turn.
+        // The other instance may be ahead in some part, so the first pulls from it in turn.
         pull(first, other, now);
         pull(other, first, now);
         assert_eq!(other.level(), first.level());
@@ -377,15 +379,15 @@
     }
 }
 
-/// A holder that knows less in any part asks another one.
+/// Pulls changes from another instance if the positions differ.
 fn pull(instance: &mut Knowledge, other: &Knowledge, now: Time) {
     if instance.positions() != other.positions() {
         instance.apply(other.since(&instance.positions()), now);
     }
 }
 
-/// A holder that has read the list after an upstream went does not know that it was ever there. Another one, which does,
-/// must still learn from it that it went.
+/// An instance that read the list after the removal of an upstream never knew it. Another instance that did must still learn
+/// of the removal from it.
 #[test]
 fn an_instance_that_never_knew_an_upstream_propagates_its_removal() {
     run_steps(vec![
@@ -395,7 +397,7 @@
     ]);
 }
 
-/// So can one whose watch told of an upstream's coming and going at once.
+/// The same holds if one watch response contained both the addition and the removal.
 #[test]
 fn a_watch_response_with_both_addition_and_removal_propagates_the_removal() {
     let steps = [
@@ -409,7 +411,7 @@
     run_steps([steps.to_vec(), vec![Step::Pull(1, 0), Step::WriteEntry(1, false)]].concat());
 }
 
-/// An upstream that went, came back and went again is gone, though the teller knows only of the first time.
+/// An upstream that was removed, added and removed again is gone, although the sender knows only of the first removal.
 #[test]
 fn an_upstream_that_was_removed_twice_is_gone() {
     let before = [
@@ -423,8 +425,8 @@
     run_steps([before.to_vec(), after.to_vec()].concat());
 }
 
-/// A wish that was taken back and made again within a moment stands, though another holder has only heard that it was taken
-/// back: it hears of a later state than that.
+/// An evacuation that is ended and soon requested again stays in force, although another instance knows only that it ended:
+/// the later state wins.
 #[test]
 fn an_evacuation_that_is_requested_again_stays() {
     let steps = [
@@ -451,14 +453,14 @@
     assert!(knowledge.is_evacuated(&zones[0]) && !knowledge.is_evacuated(&zones[1]));
     assert!(
         !knowledge.apply_evacuations(read(4, &[]), &BTreeSet::new(), Time(0)),
-        "it is older"
+        "an older state is ignored"
     );
     assert!(knowledge.apply_evacuations(read(7, &[]), &BTreeSet::new(), Time(0)));
     assert!(!knowledge.is_evacuated(&zones[0]));
 }
 
-/// Right after a return the copy's wish can't be read: the zone goes on being emptied, and does so once the moment has passed in which
-/// what was lost is written again.
+/// Right after a restore, the copy's evacuation can't be read: the zone stays under evacuation, even after the grace period
+/// in which lost state is rewritten.
 #[test]
 fn an_evacuation_that_is_unreadable_right_after_a_restore_stays() {
     let zones: BTreeSet<ZoneName> = ZONES.iter().map(|zone| zone.parse().unwrap()).collect();
@@ -484,12 +486,13 @@
     assert_eq!(
         evacuated(&knowledge),
         BTreeSet::new(),
-        "it can be read, and says no more"
+        "it can be read, and the evacuation has ended"
     );
 }
 
-/// A copy of the store lacks an upstream that serves and a zone to be emptied, and shows an upstream that has left, one that has gone,
-/// and a zone that was taken back. Their writers write that again within two seconds. Until then what was known before counts.
+/// A restored copy of the store lacks a serving upstream and an evacuation, and still lists an upstream as not leaving, a
+/// removed upstream, and an evacuation that has ended. The writers rewrite these within two seconds. Until then the earlier
+/// state counts.
 #[test]
 fn state_that_a_restored_copy_lacks_stays_in_force_for_the_grace_period() {
     let entry = |id: u64, leaving| (UpstreamId(id), Revision(id), Some(upstream(leaving, 1)));
@@ -520,7 +523,7 @@
     let mut read = before.clone();
     assert!(read.apply_list(position(1, 9), restored_list, second));
     assert!(read.apply_evacuations(evacuations(position(1, 9), &["zone-b"]), &none, second));
-    // Whoever knew nothing before takes the copy's word, whoever did hears of the copy by others.
+    // An instance without earlier knowledge takes over the copy. One that has it learns of the copy from another instance.
     let mut newcomer = Knowledge::default();
     newcomer.apply(read.since(&newcomer.positions()), second);
     let mut informed = before.clone();
@@ -538,13 +541,13 @@
         assert_eq!(contents(&held), as_before);
         assert!(held.gone_since(UpstreamId(3)).is_some());
         assert!(!held.end_grace(Time(2_999_999)));
-        // Another one has read a later list of the same copy.
+        // Another instance has read a later list of the same copy.
         let mut other = before.clone();
         let restored_list = vec![entry(2, false), entry(3, false), entry(4, true)];
         other.apply_list(position(1, 11), restored_list, second);
         held.apply(other.since(&held.positions()), second);
         assert_eq!(contents(&held), as_before);
-        // What is written in the new epoch counts at once.
+        // Writes in the new epoch take effect at once.
         let leaving = (UpstreamId(2), Revision(13), Some(upstream(true, 1)));
         let gone = (UpstreamId(3), Revision(13), None);
         held.apply_watched(position(1, 13), vec![leaving, gone], second);
@@ -564,8 +567,8 @@
     }
 }
 
-/// An instance that started after the return has read an older document from the copy, at a later position than others hold theirs at. It
-/// still learns the newer one from them, and they learn from it that the store shows nothing newer.
+/// An instance that started after the restore has read an older document from the copy, at a later position than that of the
+/// others' document. It still learns the newer one from them, and they learn from it that the store holds nothing newer.
 #[test]
 fn an_instance_with_an_older_document_from_a_restored_copy_gets_the_newer_one_from_others() {
     let position = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
@@ -612,5 +615,5 @@
     assert!(!knowledge.forget(Time(10)));
     assert!(knowledge.forget(Time(11)));
     assert_eq!(knowledge.upstreams().count(), 0);
-    assert_eq!(knowledge.upstreams_at(), Revision(3).into(), "the place stays");
+    assert_eq!(knowledge.upstreams_at(), Revision(3).into(), "the position stays");
 }
