--- a/crates/flow/benches/packet.rs
+++ b/crates/flow/benches/packet.rs
@@ -11,7 +11,7 @@
 
 use crate::support::START;
 use crate::support::core;
-use crate::support::packet;
+use crate::support::opening_packet;
 
 fn main() {
     divan::main();
@@ -19,7 +19,7 @@
 
 /// Opens a flow and gives the packet that follows.
 fn open(core: &mut Core, client: u32) -> Packet {
-    let opening = packet(client);
+    let opening = opening_packet(client);
     let Verdict::Forward { echo, .. } = core.handle_packet(&opening, START) else {
         panic!("an upstream is there");
     };
@@ -54,7 +54,7 @@
     let mut client = 0;
     bencher.bench_local(|| {
         client += 1;
-        let verdict = core.handle_packet(&packet(client), START);
+        let verdict = core.handle_packet(&opening_packet(client), START);
         core.take_decisions();
         black_box(verdict)
     });
--- a/crates/flow/benches/support/mod.rs
+++ b/crates/flow/benches/support/mod.rs
@@ -30,16 +30,16 @@
 
 /// An instance that knows so many upstreams of one service, in ten zones.
 pub fn core(upstreams: u64) -> Core {
-    core_among(upstreams, 10, 1)
+    core_with_zones(upstreams, 10, 1)
 }
 
 /// An instance of the first of several zones that knows so many upstreams of one service, spread over them.
-pub fn core_among(upstreams: u64, zones: u64, seed: u64) -> Core {
-    core_in(0, upstreams, zones, seed)
+pub fn core_with_zones(upstreams: u64, zones: u64, seed: u64) -> Core {
+    core_in_zone(0, upstreams, zones, seed)
 }
 
 /// The same in any of the zones.
-pub fn core_in(zone: u64, upstreams: u64, zones: u64, seed: u64) -> Core {
+pub fn core_in_zone(zone: u64, upstreams: u64, zones: u64, seed: u64) -> Core {
     let mut core = Core::new(Options {
         zone: format!("z{zone}").parse().unwrap(),
         max_flow: Duration::from_mins(1),
@@ -88,7 +88,7 @@
 }
 
 /// A client's opening packet.
-pub fn packet(client: u32) -> Packet {
+pub fn opening_packet(client: u32) -> Packet {
     Packet {
         client: SocketAddrV4::new(
             Ipv4Addr::from(0x6440_0000 + client / 60_000),
--- a/crates/flow/examples/flow_memory.rs
+++ b/crates/flow/examples/flow_memory.rs
@@ -7,10 +7,10 @@
 
 use crate::support::START;
 use crate::support::core;
-use crate::support::packet;
+use crate::support::opening_packet;
 
 /// Resident memory of this process, in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
     let kilobytes: u64 = line.split_whitespace().nth(1).unwrap().parse().unwrap();
@@ -20,12 +20,12 @@
 fn main() {
     for flows in [28_000_u32, 100_000, 300_000] {
         let mut core = core(1);
-        let before = resident();
+        let before = resident_bytes();
         for client in 0..flows {
-            core.handle_packet(&packet(client), START);
+            core.handle_packet(&opening_packet(client), START);
             core.take_decisions();
         }
-        let bytes = resident() - before;
+        let bytes = resident_bytes() - before;
         println!("{flows} flows: {} bytes each", bytes / u64::from(flows));
     }
 }
--- a/crates/flow/examples/upstream_memory.rs
+++ b/crates/flow/examples/upstream_memory.rs
@@ -14,7 +14,7 @@
 
 use crate::support::START;
 use crate::support::core;
-use crate::support::packet;
+use crate::support::opening_packet;
 use crate::support::upstream;
 
 #[global_allocator]
@@ -24,8 +24,8 @@
 const CHANGES: u64 = 200;
 
 /// Microseconds for each of so many, since a moment.
-fn each(began: Instant, count: u64) -> f64 {
-    began.elapsed().as_secs_f64() * 1e6 / count as f64
+fn micros_per_item(start: Instant, count: u64) -> f64 {
+    start.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
 fn main() {
@@ -34,10 +34,10 @@
         let before = ALLOCATED.current_usage();
         ALLOCATED.reset_peak_usage();
         let mut core = core(upstreams);
-        let held = ALLOCATED.current_usage() - before;
-        let peak = ALLOCATED.peak_usage() - before;
+        let current_bytes = ALLOCATED.current_usage() - before;
+        let peak_bytes = ALLOCATED.peak_usage() - before;
         let mut at = core.knowledge().upstreams_at().revision.0;
-        let mut leave = |ids: std::ops::Range<u64>, leaving| {
+        let mut set_leaving = |ids: std::ops::Range<u64>, leaving| {
             at += 1;
             let changes = ids.map(|id| {
                 let mut upstream = upstream(id, 10);
@@ -49,29 +49,29 @@
                 knowledge.apply_watched(Revision(at), changes, START)
             });
         };
-        let began = Instant::now();
+        let start = Instant::now();
         for id in 1..=CHANGES {
-            leave(id..id + 1, id % 2 == 0);
+            set_leaving(id..id + 1, id % 2 == 0);
         }
-        let change = each(began, CHANGES);
-        let began = Instant::now();
+        let change = micros_per_item(start, CHANGES);
+        let start = Instant::now();
         for round in 0..CHANGES {
-            leave(1..101, round % 2 == 0);
+            set_leaving(1..101, round % 2 == 0);
         }
-        let hundred = each(began, CHANGES);
-        let began = Instant::now();
+        let change_of_hundred = micros_per_item(start, CHANGES);
+        let start = Instant::now();
         black_box(core.knowledge().since(&Positions::default()));
-        let list = each(began, 1);
-        let began = Instant::now();
+        let list = micros_per_item(start, 1);
+        let start = Instant::now();
         for client in 0..FLOWS {
-            black_box(core.handle_packet(&packet(client), START));
+            black_box(core.handle_packet(&opening_packet(client), START));
             core.take_decisions();
         }
-        let flow = each(began, u64::from(FLOWS));
+        let flow = micros_per_item(start, u64::from(FLOWS));
         println!(
-            "{upstreams:9}  {:10}  {:9}  {change:11.1}  {hundred:10.1}  {list:9.0}  {flow:9.1}",
-            held as u64 / upstreams,
-            peak as u64 / upstreams,
+            "{upstreams:9}  {:10}  {:9}  {change:11.1}  {change_of_hundred:10.1}  {list:9.0}  {flow:9.1}",
+            current_bytes as u64 / upstreams,
+            peak_bytes as u64 / upstreams,
         );
     }
 }
--- a/crates/flow/tests/directory.rs
+++ b/crates/flow/tests/directory.rs
@@ -24,7 +24,7 @@
 use units::ZoneName;
 
 /// The first two ids of 40 bits whose echoes are alike, so that neither can be led back to.
-fn twins() -> [u64; 2] {
+fn colliding_ids() -> [u64; 2] {
     let mut seen = std::collections::HashMap::new();
     for id in 0.. {
         if let Some(other) = seen.insert(UpstreamId(id).echo(), id) {
@@ -50,7 +50,7 @@
     }
 }
 
-fn sighting(rng: &mut SmallRng) -> ListingState {
+fn random_listing_state(rng: &mut SmallRng) -> ListingState {
     match rng.random_range(0..6) {
         0 => ListingState::Gone,
         1 => ListingState::Unreadable,
@@ -58,7 +58,7 @@
     }
 }
 
-struct World {
+struct Harness {
     core: Core,
     rng: SmallRng,
     ids: Vec<u64>,
@@ -66,8 +66,8 @@
     at: Position,
 }
 
-impl World {
-    fn new(seed: u64, twins: [u64; 2]) -> Self {
+impl Harness {
+    fn new(seed: u64, colliding_ids: [u64; 2]) -> Self {
         let options = Options {
             zone: zone(0),
             max_flow: Duration::from_secs(5),
@@ -77,14 +77,14 @@
         Self {
             core: Core::new(options),
             rng: SmallRng::seed_from_u64(seed),
-            ids: (1..12).chain(twins).collect(),
+            ids: (1..12).chain(colliding_ids).collect(),
             now: Time(1),
             at: Position::default(),
         }
     }
 
     /// The next place in the store's history, at times of a later epoch, whose revisions begin anew.
-    fn next_place(&mut self) -> Position {
+    fn next_position(&mut self) -> Position {
         let Position { epoch, revision } = self.at;
         self.at = if self.rng.random_bool(0.1) {
             Position::new(Epoch(epoch.0 + 1), Revision(1 + revision.0 / 2))
@@ -94,37 +94,37 @@
         self.at
     }
 
-    fn sightings(&mut self, likely: f64) -> Vec<(UpstreamId, Revision, ListingState)> {
+    fn random_changes(&mut self, probability: f64) -> Vec<(UpstreamId, Revision, ListingState)> {
         let revision = self.at.revision;
         let rng = &mut self.rng;
-        let chosen = self.ids.iter().filter(|_| rng.random_bool(likely));
+        let chosen = self.ids.iter().filter(|_| rng.random_bool(probability));
         let chosen: Vec<u64> = chosen.copied().collect();
-        let sighted = chosen
+        let changes = chosen
             .into_iter()
-            .map(|id| (UpstreamId(id), revision, sighting(&mut self.rng)));
-        sighted.collect()
+            .map(|id| (UpstreamId(id), revision, random_listing_state(&mut self.rng)));
+        changes.collect()
     }
 
     fn step(&mut self) {
         let now = self.now;
         match self.rng.random_range(0..8) {
             0 => {
-                let at = self.next_place();
-                let list = self.sightings(0.7);
+                let at = self.next_position();
+                let list = self.random_changes(0.7);
                 self.core.learn(now, |knowledge| knowledge.apply_list(at, list, now));
             }
             1..=4 => {
-                let at = self.next_place();
-                let changes = self.sightings(0.2);
+                let at = self.next_position();
+                let changes = self.random_changes(0.2);
                 self.core
                     .learn(now, |knowledge| knowledge.apply_watched(at, changes, now));
             }
             5 => {
-                let at = self.next_place();
-                let asked = (0..3).filter(|_| self.rng.random_bool(0.3)).map(zone);
+                let at = self.next_position();
+                let evacuated = (0..3).filter(|_| self.rng.random_bool(0.3)).map(zone);
                 let read = Evacuations {
                     at,
-                    zones: asked.collect(),
+                    zones: evacuated.collect(),
                 };
                 let unreadable = BTreeSet::new();
                 self.core
@@ -132,9 +132,10 @@
             }
             6 => self.core.tick(now),
             _ => {
-                let then = now.before(Duration::from_secs(2));
-                self.core
-                    .learn(now, |knowledge| knowledge.end_grace(now) | knowledge.forget(then));
+                let forget_before = now.before(Duration::from_secs(2));
+                self.core.learn(now, |knowledge| {
+                    knowledge.end_grace(now) | knowledge.forget(forget_before)
+                });
             }
         }
         self.now = now + Duration::from_millis(self.rng.random_range(0..1_500));
@@ -142,13 +143,13 @@
 }
 
 #[test]
-fn a_directory_that_follows_is_as_one_that_is_made_anew() {
-    let twins = twins();
+fn an_incrementally_updated_directory_matches_a_rebuilt_one() {
+    let colliding_ids = colliding_ids();
     for seed in 0..60 {
-        let mut world = World::new(seed, twins);
+        let mut harness = Harness::new(seed, colliding_ids);
         for _ in 0..200 {
-            world.step();
+            harness.step();
         }
-        assert!(world.core.stats().indexed > 100, "seed {seed}");
+        assert!(harness.core.stats().indexed > 100, "seed {seed}");
     }
 }
--- a/crates/flow/tests/draft.rs
+++ b/crates/flow/tests/draft.rs
@@ -63,7 +63,7 @@
 }
 
 /// Reads a document of two routes, the first of which was changed.
-fn read(change: impl FnOnce(&mut draft::Route)) -> Document {
+fn read_changed(change: impl FnOnce(&mut draft::Route)) -> Document {
     let mut changed = route(1);
     change(&mut changed);
     Document::try_from(document(1, vec![changed, route(2)])).unwrap()
@@ -78,21 +78,21 @@
 }
 
 #[test]
-fn a_route_whose_kind_is_unknown_is_served_and_runs_once_at_most() {
+fn a_route_of_unknown_kind_is_served_as_not_idempotent() {
     for kind in [unknown(), DraftValue::Absent] {
-        let document = read(|route| route.kind = kind);
+        let document = read_changed(|route| route.kind = kind);
         assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Fallback::Once));
         assert!(!document.routes["r-1"].idempotent && document.routes["r-2"].idempotent);
     }
 }
 
 #[test]
-fn a_value_that_little_hangs_on_is_taken_for_not_told() {
-    let document = read(|route| route.aim = unknown());
+fn an_unknown_optional_value_is_treated_as_absent() {
+    let document = read_changed(|route| route.aim = unknown());
     assert_eq!(warning(&document).1, Fallback::Absent);
     assert_eq!(document.routes["r-1"].aim, Duration::ZERO);
-    let not_told = read(|route| route.aim = DraftValue::Absent);
-    assert_eq!(not_told.warnings, []);
+    let absent = read_changed(|route| route.aim = DraftValue::Absent);
+    assert_eq!(absent.warnings, []);
 
     let mut draft = document_with_service(unknown(), DraftValue::Known("4".parse().unwrap()));
     let cold = Document::try_from(draft.clone()).unwrap();
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn a_share_is_left_out_alone_and_one_without_a_weight_gets_nothing_beside_others() {
-    let document = read(|route| {
+fn an_unknown_share_alone_is_omitted_and_one_without_a_weight_gets_no_flows() {
+    let document = read_changed(|route| {
         route.shares.push(draft::Share {
             service: unknown(),
             weight: DraftValue::Known(Weight(3)),
@@ -131,7 +131,7 @@
     assert_eq!(warning(&document).1, Fallback::ShareLeftOut);
     assert_eq!(document.routes["r-1"].shares.len(), 1);
 
-    let document = read(|route| {
+    let document = read_changed(|route| {
         route.shares.push(draft::Share {
             service: DraftValue::Known("photos".to_owned()),
             weight: unknown(),
@@ -145,10 +145,10 @@
 }
 
 #[test]
-fn a_route_that_cannot_be_used_is_left_out_alone() {
+fn an_unusable_route_alone_is_omitted() {
     let without_services = |route: &mut draft::Route| route.shares.clear();
     let without_address = |route: &mut draft::Route| route.address = unknown();
-    for document in [read(without_services), read(without_address)] {
+    for document in [read_changed(without_services), read_changed(without_address)] {
         assert_eq!(
             warning(&document),
             (Subject::Route("r-1".to_owned()), Fallback::LeftOut)
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_document_none_of_whose_routes_can_be_used_is_none() {
+fn a_document_without_any_usable_route_is_rejected() {
     let mut unusable = route(1);
     unusable.address = unknown();
     let error = Document::try_from(document(1, vec![unusable])).unwrap_err();
@@ -170,20 +170,20 @@
 }
 
 #[test]
-fn warnings_travel_with_a_document_and_are_no_part_of_its_digest() {
-    let with = read(|route| route.kind = unknown());
+fn warnings_are_not_part_of_the_digest_of_a_document() {
+    let with = read_changed(|route| route.kind = unknown());
     let mut without = with.clone();
     without.warnings.clear();
     assert_eq!(with.digest(), without.digest());
 }
 
 /// A core that holds documents, one after the other, and an upstream of each service.
-struct World {
+struct Harness {
     core: Core,
     now: Time,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let core = Core::new(Options {
             zone: "zone-a".parse().unwrap(),
@@ -191,8 +191,8 @@
             awaits_evacuations: false,
             seed: 1,
         });
-        let mut world = Self { core, now: Time(1) };
-        let now = world.now;
+        let mut harness = Self { core, now: Time(1) };
+        let now = harness.now;
         let upstream = Upstream {
             service: "search".into(),
             address: address(9),
@@ -203,13 +203,13 @@
             started: None,
         };
         let list = vec![(UpstreamId(1), Revision(1), upstream)];
-        world
+        harness
             .core
             .learn(now, |knowledge| knowledge.apply_list(Revision(1), list, now));
-        world
+        harness
     }
 
-    fn take(&mut self, at: u64, draft: draft::Document) {
+    fn apply(&mut self, at: u64, draft: draft::Document) {
         let document = Document::try_from(draft).unwrap();
         let at = Position::from(Revision(at));
         self.core
@@ -230,58 +230,58 @@
     }
 
     /// The documents of which something new can't be read.
-    fn unread(&mut self) -> Vec<Revision> {
+    fn documents_with_warnings(&mut self) -> Vec<Revision> {
         let decisions = self.core.take_decisions().into_iter();
-        let unread = decisions.filter_map(|decision| match decision {
+        let documents_with_warnings = decisions.filter_map(|decision| match decision {
             Decision::DocumentWarning { document, .. } => Some(document),
             _ => None,
         });
-        unread.collect()
+        documents_with_warnings.collect()
     }
 }
 
-fn is_refused(verdict: Verdict) -> bool {
+fn has_no_route(verdict: Verdict) -> bool {
     matches!(verdict, Verdict::Reset(reset) if reset.cause == ResetCause::NoRoute)
 }
 
 /// The first of two ways: nothing was in force.
 #[test]
-fn at_a_start_all_routes_are_served_but_the_one_that_is_left_out() {
-    let mut world = World::new();
+fn without_an_earlier_document_only_the_unusable_route_is_refused() {
+    let mut harness = Harness::new();
     let mut unusable = route(1);
     unusable.address = unknown();
-    world.take(2, document(1, vec![unusable, route(2)]));
-    assert!(is_refused(world.open(1)));
-    assert!(matches!(world.open(2), Verdict::Forward { .. }));
+    harness.apply(2, document(1, vec![unusable, route(2)]));
+    assert!(has_no_route(harness.open(1)));
+    assert!(matches!(harness.open(2), Verdict::Forward { .. }));
 }
 
 /// The second: an earlier document was. What the newer one says of other routes is in force, and the route that it leaves out is
 /// refused at every instance, whether it knew the earlier one or not.
 #[test]
-fn after_an_earlier_document_the_same_holds_as_at_a_start() {
-    let mut world = World::new();
-    world.take(2, document(1, vec![route(1)]));
-    assert!(matches!(world.open(1), Verdict::Forward { .. }));
+fn after_an_earlier_document_only_the_unusable_route_is_refused() {
+    let mut harness = Harness::new();
+    harness.apply(2, document(1, vec![route(1)]));
+    assert!(matches!(harness.open(1), Verdict::Forward { .. }));
     let mut unusable = route(1);
     unusable.shares.clear();
-    world.take(3, document(2, vec![unusable, route(2)]));
-    assert!(is_refused(world.open(1)));
-    assert!(matches!(world.open(2), Verdict::Forward { .. }));
+    harness.apply(3, document(2, vec![unusable, route(2)]));
+    assert!(has_no_route(harness.open(1)));
+    assert!(matches!(harness.open(2), Verdict::Forward { .. }));
 }
 
 #[test]
-fn what_cannot_be_read_is_told_once_for_each_cause() {
-    let mut world = World::new();
+fn a_warning_is_reported_once_for_each_cause() {
+    let mut harness = Harness::new();
     let with_unknown = || {
         let mut later = route(1);
         later.kind = unknown();
         later
     };
-    world.take(2, document(1, vec![with_unknown()]));
-    assert_eq!(world.unread(), [Revision(1)]);
-    world.take(3, document(2, vec![with_unknown(), route(2)]));
-    assert_eq!(world.unread(), []);
-    world.take(4, document(3, vec![route(1)]));
-    world.take(5, document(4, vec![with_unknown()]));
-    assert_eq!(world.unread(), [Revision(4)], "it has come back");
+    harness.apply(2, document(1, vec![with_unknown()]));
+    assert_eq!(harness.documents_with_warnings(), [Revision(1)]);
+    harness.apply(3, document(2, vec![with_unknown(), route(2)]));
+    assert_eq!(harness.documents_with_warnings(), []);
+    harness.apply(4, document(3, vec![route(1)]));
+    harness.apply(5, document(4, vec![with_unknown()]));
+    assert_eq!(harness.documents_with_warnings(), [Revision(4)], "it has come back");
 }
--- a/crates/flow/tests/earlier.rs
+++ b/crates/flow/tests/earlier.rs
@@ -22,7 +22,7 @@
     Position::new(Epoch(epoch), Revision(revision))
 }
 
-fn listed(id: u64, revision: u64) -> (UpstreamId, Revision, Option<Upstream>) {
+fn listed_entry(id: u64, revision: u64) -> (UpstreamId, Revision, Option<Upstream>) {
     let upstream = Upstream {
         service: "search".into(),
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1),
@@ -36,17 +36,17 @@
 }
 
 /// Started in a later epoch, where an upstream has been listed.
-fn started_at(epoch: u64, revision: u64) -> Knowledge {
+fn knowledge_in_epoch(epoch: u64, revision: u64) -> Knowledge {
     let mut knowledge = Knowledge::default();
-    knowledge.apply_list(at(epoch, revision), vec![listed(1, 3)], NOW);
+    knowledge.apply_list(at(epoch, revision), vec![listed_entry(1, 3)], NOW);
     knowledge
 }
 
 /// What an instance of the earlier release tells that has heard of one more upstream.
-fn told(revision: u64) -> Change {
+fn change_without_epochs(revision: u64) -> Change {
     let mut other = Knowledge::default();
-    other.apply_list(at(0, 10), vec![listed(1, 3)], NOW);
-    other.apply_watched(at(0, revision), vec![listed(2, revision)], NOW);
+    other.apply_list(at(0, 10), vec![listed_entry(1, 3)], NOW);
+    other.apply_watched(at(0, revision), vec![listed_entry(2, revision)], NOW);
     let held = Positions {
         upstreams_at: at(0, 10),
         ..Positions::default()
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn its_words_are_of_the_epoch_that_is_held() {
-    let mut knowledge = started_at(2, 10);
+fn its_positions_are_taken_to_be_in_the_local_epoch() {
+    let mut knowledge = knowledge_in_epoch(2, 10);
     assert!(knowledge.level_without_epochs(Revision(12)) > knowledge.level());
-    let change = knowledge.read_without_epochs(told(12)).unwrap();
+    let change = knowledge.read_without_epochs(change_without_epochs(12)).unwrap();
     assert!(knowledge.apply(change, NOW));
     assert_eq!(knowledge.upstreams_at(), at(2, 12));
     assert_eq!(knowledge.upstreams().count(), 2);
@@ -69,25 +69,25 @@
 }
 
 #[test]
-fn whoever_has_seen_the_store_come_back_takes_none() {
-    let mut knowledge = started_at(1, 20);
-    knowledge.apply_list(at(2, 10), vec![listed(1, 3)], NOW);
-    assert!(knowledge.read_without_epochs(told(12)).is_none());
+fn an_instance_that_has_seen_a_restore_rejects_its_changes() {
+    let mut knowledge = knowledge_in_epoch(1, 20);
+    knowledge.apply_list(at(2, 10), vec![listed_entry(1, 3)], NOW);
+    assert!(knowledge.read_without_epochs(change_without_epochs(12)).is_none());
 }
 
 #[test]
-fn in_the_first_epoch_its_words_are_as_any_other() {
-    let mut knowledge = started_at(0, 10);
-    let change = knowledge.read_without_epochs(told(12)).unwrap();
-    assert_eq!(change, told(12));
+fn in_the_first_epoch_its_changes_are_applied_unchanged() {
+    let mut knowledge = knowledge_in_epoch(0, 10);
+    let change = knowledge.read_without_epochs(change_without_epochs(12)).unwrap();
+    assert_eq!(change, change_without_epochs(12));
     assert!(knowledge.apply(change, NOW));
     assert_eq!(knowledge.level_without_epochs(Revision(12)), knowledge.level());
 }
 
 #[test]
-fn it_is_told_revisions_alone() {
-    let mut knowledge = started_at(2, 10);
-    knowledge.apply_watched(at(2, 12), vec![listed(2, 12)], NOW);
+fn it_is_sent_revisions_only() {
+    let mut knowledge = knowledge_in_epoch(2, 10);
+    knowledge.apply_watched(at(2, 12), vec![listed_entry(2, 12)], NOW);
     let held = Positions {
         upstreams_at: at(0, 10),
         ..Positions::default()
--- a/crates/flow/tests/failing.rs
+++ b/crates/flow/tests/failing.rs
@@ -23,36 +23,36 @@
 use units::Time;
 
 use crate::support::START;
-use crate::support::core_among;
+use crate::support::core_with_zones;
 use crate::support::route;
 
-const FAILS_FROM: Time = Time(1_010_000_000);
+const FAILURE_START: Time = Time(1_010_000_000);
 /// How often instances tell one another.
 const TICK: Duration = Duration::from_millis(100);
 
 /// How a service is and what fails there.
 #[derive(Debug, Clone, Copy)]
-struct Load {
+struct Workload {
     seed: u64,
     upstreams: u64,
     flows: u16,
     requests: u32,
     /// The mean time to an answer, in seconds. It varies by as much as exponential times do, a long tail.
-    response: f64,
+    mean_response_secs: f64,
     /// The share of requests that never get an answer, whoever is asked.
-    lost: f64,
-    /// The share that upstream 1 does not answer from [`FAILS_FROM`] on.
-    failing: f64,
+    unanswered_share: f64,
+    /// The share that upstream 1 does not answer from [`FAILURE_START`] on.
+    failure_share: f64,
 }
 
-const QUIET: Load = Load {
+const HEALTHY: Workload = Workload {
     seed: 1,
     upstreams: 14,
     flows: 200,
     requests: 250_000,
-    response: 0.03,
-    lost: 0.005,
-    failing: 0.0,
+    mean_response_secs: 0.03,
+    unanswered_share: 0.005,
+    failure_share: 0.0,
 };
 
 struct Flow {
@@ -78,36 +78,36 @@
 }
 
 /// An instance that carries a load and sums up for itself.
-struct World {
+struct Harness {
     core: Core,
     now: Time,
-    told_at: Time,
+    evaluated_at: Time,
     next_port: u16,
     ejections: Vec<(UpstreamId, Time)>,
 }
 
-impl World {
-    fn new(load: &Load) -> Self {
+impl Harness {
+    fn new(workload: &Workload) -> Self {
         Self {
-            core: core_among(load.upstreams, 1, load.seed),
+            core: core_with_zones(workload.upstreams, 1, workload.seed),
             now: START,
-            told_at: START,
+            evaluated_at: START,
             next_port: 1_024,
             ejections: Vec::new(),
         }
     }
 
     /// Lets time pass, and the instance sum up when it is due.
-    fn pass(&mut self, until: Time) {
-        while self.told_at + TICK <= until {
-            self.told_at = self.told_at + TICK;
-            for report in self.core.take_failures(self.told_at) {
-                self.core.receive_failure_report(&report, 1, self.told_at);
+    fn advance(&mut self, until: Time) {
+        while self.evaluated_at + TICK <= until {
+            self.evaluated_at = self.evaluated_at + TICK;
+            for report in self.core.take_failures(self.evaluated_at) {
+                self.core.receive_failure_report(&report, 1, self.evaluated_at);
             }
             self.core.take_status_updates();
             for decision in self.core.take_decisions() {
                 if let Decision::Ejected { upstream, .. } = decision {
-                    self.ejections.push((upstream, self.told_at));
+                    self.ejections.push((upstream, self.evaluated_at));
                 }
             }
         }
@@ -137,113 +137,116 @@
 
 /// What comes next of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
-    Answer,
+enum FlowEvent {
+    Response,
     /// The client gives up and opens another flow.
-    GiveUp,
+    Abandon,
     Request,
 }
 
 /// Plays a load. Gives the ejections, and what share of the requests went to upstream 1 in the last half.
-fn play(load: &Load) -> (Vec<(UpstreamId, Time)>, f64) {
-    let mut rng = SmallRng::seed_from_u64(load.seed);
-    let mut world = World::new(load);
-    let mut flows: Vec<Flow> = (0..load.flows).map(|_| world.open()).collect();
-    let mut events: BTreeMap<(Time, usize), Next> = BTreeMap::new();
+fn run_workload(workload: &Workload) -> (Vec<(UpstreamId, Time)>, f64) {
+    let mut rng = SmallRng::seed_from_u64(workload.seed);
+    let mut harness = Harness::new(workload);
+    let mut flows: Vec<Flow> = (0..workload.flows).map(|_| harness.open()).collect();
+    let mut events: BTreeMap<(Time, usize), FlowEvent> = BTreeMap::new();
     for index in 0..flows.len() {
         let first = START + Duration::from_micros(rng.random_range(0..1_000_000));
-        events.insert((first, index), Next::Request);
+        events.insert((first, index), FlowEvent::Request);
     }
-    let mut asked = 0;
-    let mut of_first = 0;
-    while asked < load.requests {
+    let mut requests_sent = 0;
+    let mut sent_to_first = 0;
+    while requests_sent < workload.requests {
         let ((at, index), next) = events.pop_first().unwrap();
-        world.pass(at);
+        harness.advance(at);
         let flow = &mut flows[index];
         match next {
-            Next::Request => {
-                asked += 1;
-                of_first += u32::from(asked * 2 > load.requests && flow.upstream == 1);
+            FlowEvent::Request => {
+                requests_sent += 1;
+                sent_to_first += u32::from(requests_sent * 2 > workload.requests && flow.upstream == 1);
                 let packet = flow.packet(Flags::ACK, 100);
                 flow.seq += 100;
-                world.core.handle_packet(&packet, at);
-                let fails = flow.upstream == 1 && at >= FAILS_FROM;
-                let failing = if fails { load.failing } else { 0.0 };
-                let is_lost = rng.random_bool((load.lost + failing).min(1.0));
+                harness.core.handle_packet(&packet, at);
+                let fails = flow.upstream == 1 && at >= FAILURE_START;
+                let failing = if fails { workload.failure_share } else { 0.0 };
+                let is_lost = rng.random_bool((workload.unanswered_share + failing).min(1.0));
                 let (next, wait) = if is_lost {
-                    (Next::GiveUp, 1.0)
+                    (FlowEvent::Abandon, 1.0)
                 } else {
-                    (Next::Answer, -load.response * rng.random::<f64>().max(1e-9).ln())
+                    (
+                        FlowEvent::Response,
+                        -workload.mean_response_secs * rng.random::<f64>().max(1e-9).ln(),
+                    )
                 };
                 events.insert((at + Duration::from_secs_f64(wait), index), next);
             }
-            Next::Answer => {
+            FlowEvent::Response => {
                 flow.ack += 2_000;
                 let packet = flow.packet(Flags::ACK, 0);
-                world.core.handle_packet(&packet, at);
+                harness.core.handle_packet(&packet, at);
                 let pause = Duration::from_micros(rng.random_range(200_000..1_800_000));
-                events.insert((at + pause, index), Next::Request);
+                events.insert((at + pause, index), FlowEvent::Request);
             }
-            Next::GiveUp => {
+            FlowEvent::Abandon => {
                 let packet = flow.packet(Flags::FIN | Flags::ACK, 0);
-                world.core.handle_packet(&packet, at);
-                *flow = world.open();
-                events.insert((at + Duration::from_millis(1), index), Next::Request);
+                harness.core.handle_packet(&packet, at);
+                *flow = harness.open();
+                events.insert((at + Duration::from_millis(1), index), FlowEvent::Request);
             }
         }
     }
-    let share = f64::from(of_first) / f64::from(load.requests - load.requests / 2);
-    (world.ejections, share)
+    let share = f64::from(sent_to_first) / f64::from(workload.requests - workload.requests / 2);
+    (harness.ejections, share)
 }
 
 /// A million requests with long tails and half a percent that are never answered: nobody is found failing.
 #[test]
-fn upstreams_as_good_as_others_are_never_ejected() {
+fn healthy_upstreams_are_never_ejected() {
     for seed in 1..=4 {
-        let (ejections, _) = play(&Load { seed, ..QUIET });
+        let (ejections, _) = run_workload(&Workload { seed, ..HEALTHY });
         assert!(ejections.is_empty(), "seed {seed}: {ejections:?}");
     }
 }
 
 /// Nor where far more fails everywhere, as when a route's answers are all lost, or where all are slow.
 #[test]
-fn what_all_have_in_common_is_nobodys_failure() {
-    for (lost, response) in [(0.05, 0.03), (0.2, 0.03), (0.005, 0.25)] {
-        let load = Load {
+fn failures_common_to_all_upstreams_eject_few_or_none() {
+    for (unanswered_share, mean_response_secs) in [(0.05, 0.03), (0.2, 0.03), (0.005, 0.25)] {
+        let workload = Workload {
             requests: 60_000,
-            lost,
-            response,
-            ..QUIET
+            unanswered_share,
+            mean_response_secs,
+            ..HEALTHY
         };
-        let (ejections, _) = play(&load);
-        let most = if lost > 0.1 { 3 } else { 0 };
-        assert!(ejections.len() <= most, "{load:?}: {ejections:?}");
+        let (ejections, _) = run_workload(&workload);
+        let max_ejections = if unanswered_share > 0.1 { 3 } else { 0 };
+        assert!(ejections.len() <= max_ejections, "{workload:?}: {ejections:?}");
     }
 }
 
 /// One that fails two requests of five is found within four seconds at 14 tries a second, and gets a small part of its share while it fails.
 #[test]
-fn one_that_fails_is_found_and_spared() {
-    for failing in [0.4, 1.0] {
+fn a_failing_upstream_is_ejected_and_gets_few_requests() {
+    for failure_share in [0.4, 1.0] {
         for seed in 1..=5 {
-            let load = Load {
+            let workload = Workload {
                 seed,
                 requests: 6_000,
-                failing,
-                ..QUIET
+                failure_share,
+                ..HEALTHY
             };
-            let (ejections, share) = play(&load);
+            let (ejections, share) = run_workload(&workload);
             let first = ejections.first().expect("it is found");
-            assert_eq!(first.0, UpstreamId(1), "{load:?}");
+            assert_eq!(first.0, UpstreamId(1), "{workload:?}");
             assert!(
-                first.1.since(FAILS_FROM) <= Duration::from_secs(4),
-                "{load:?}: {ejections:?}"
+                first.1.since(FAILURE_START) <= Duration::from_secs(4),
+                "{workload:?}: {ejections:?}"
             );
             assert!(
                 ejections.iter().all(|(id, _)| *id == UpstreamId(1)),
-                "{load:?}: {ejections:?}"
+                "{workload:?}: {ejections:?}"
             );
-            assert!(share < 0.3 / 14.0, "{load:?}: {share}");
+            assert!(share < 0.3 / 14.0, "{workload:?}: {share}");
         }
     }
 }
@@ -251,8 +254,8 @@
 /// A list that only raises the revision is news: an instance that kept it to itself took itself for ahead of the others, whose
 /// document was newer, and asked them no more.
 #[test]
-fn a_revision_that_grows_without_a_change_is_news() {
-    let mut core = World::new(&QUIET).core;
+fn a_newer_revision_without_changes_counts_as_a_change() {
+    let mut core = Harness::new(&HEALTHY).core;
     let known: Vec<_> = core.knowledge().upstreams().collect();
     let list: Vec<_> = known
         .into_iter()
--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -24,7 +24,7 @@
 use units::Time;
 
 use crate::support::START;
-use crate::support::core_in;
+use crate::support::core_in_zone;
 use crate::support::route;
 
 /// Interval at which instances send reports, inquiries and status updates that are due.
@@ -210,7 +210,7 @@
 impl Fleet {
     fn new(config: &FleetConfig) -> Self {
         let cores = (0..config.instances).map(|index| {
-            core_in(
+            core_in_zone(
                 index % config.zones,
                 config.upstreams,
                 config.zones,
@@ -353,7 +353,7 @@
 
     fn open(&mut self, index: usize) {
         self.next_client += 1;
-        let client = crate::support::packet(self.next_client).client;
+        let client = crate::support::opening_packet(self.next_client).client;
         let flow = &mut self.flows[index];
         self.by_client.remove(&flow.client);
         flow.generation += 1;
--- a/crates/flow/tests/returned.rs
+++ b/crates/flow/tests/returned.rs
@@ -17,7 +17,7 @@
 use units::Slots;
 use units::Time;
 
-const COLD: Duration = Duration::from_secs(2);
+const COLD_DURATION: Duration = Duration::from_secs(2);
 
 fn upstream(cold_for: Duration) -> Upstream {
     Upstream {
@@ -33,7 +33,7 @@
 
 /// One revision stands for two writes of an upstream's entry: before the return it served, after it it has just started.
 #[test]
-fn an_entry_of_a_revision_that_is_given_out_again_is_another_one() {
+fn an_entry_with_a_reused_revision_counts_as_a_new_one() {
     let at = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
     let id = UpstreamId(1);
     let now = Time(1);
@@ -44,7 +44,7 @@
         seed: 1,
     });
     let cold = ColdStart {
-        lasts: COLD,
+        lasts: COLD_DURATION,
         rate: Some("4".parse().unwrap()),
     };
     let document = Document {
@@ -59,11 +59,11 @@
         knowledge.apply_document(at(0, 4), document) | knowledge.apply_list(at(0, 10), warm, now)
     });
     assert_eq!(core.rate_limited(now), []);
-    let started = vec![(id, Revision(5), upstream(COLD))];
+    let started = vec![(id, Revision(5), upstream(COLD_DURATION))];
     core.learn(now, |knowledge| knowledge.apply_list(at(1, 5), started, now));
     assert_eq!(core.rate_limited(now), [id]);
-    let kept = vec![(id, Revision(5), upstream(COLD))];
-    let later = now + COLD;
+    let kept = vec![(id, Revision(5), upstream(COLD_DURATION))];
+    let later = now + COLD_DURATION;
     core.learn(later, |knowledge| knowledge.apply_list(at(2, 5), kept, later));
     assert_eq!(
         core.rate_limited(later),
--- a/crates/flow/tests/silence.rs
+++ b/crates/flow/tests/silence.rs
@@ -20,7 +20,7 @@
 use crate::fleet::Outcome;
 use crate::fleet::simulate;
 use crate::support::START;
-use crate::support::core_in;
+use crate::support::core_in_zone;
 
 /// One in this many upstreams stops responding.
 const SILENT_EVERY: u64 = 7;
@@ -172,7 +172,7 @@
 /// Other instances may send arbitrary numbers; arithmetic on them must not overflow.
 #[test]
 fn extreme_values_from_other_instances_are_accepted() {
-    let mut core = core_in(0, 3, 1, 1);
+    let mut core = core_in_zone(0, 3, 1, 1);
     let id = UpstreamId(1);
     let report = Report {
         upstream: id,
--- a/crates/flow/tests/size.rs
+++ b/crates/flow/tests/size.rs
@@ -9,12 +9,12 @@
 use flow::Verdict;
 use support::START;
 use support::core;
-use support::packet;
+use support::opening_packet;
 use support::upstream;
 use units::Revision;
 
 /// How many entries a change of these upstreams takes into the directory.
-fn indexed(core: &mut Core, ids: impl Iterator<Item = u64>) -> u64 {
+fn apply_leaving(core: &mut Core, ids: impl Iterator<Item = u64>) -> u64 {
     let at = core.knowledge().upstreams_at().revision.0 + 1;
     let leaving = ids.map(|id| {
         let mut upstream = upstream(id, 10);
@@ -23,22 +23,22 @@
     });
     let leaving = leaving.collect();
     let before = core.stats().indexed;
-    let take = |knowledge: &mut Knowledge| knowledge.apply_watched(Revision(at), leaving, START);
-    assert!(core.learn(START, take));
+    let apply = |knowledge: &mut Knowledge| knowledge.apply_watched(Revision(at), leaving, START);
+    assert!(core.learn(START, apply));
     core.stats().indexed - before
 }
 
 #[test]
-fn a_change_takes_in_what_has_changed_and_nothing_else() {
+fn a_change_indexes_only_the_changed_entries() {
     for upstreams in [100, 1_300, 10_000] {
         let mut core = core(upstreams);
-        assert_eq!(indexed(&mut core, 7..=7), 1, "of {upstreams}");
-        assert_eq!(indexed(&mut core, 20..30), 10, "of {upstreams}");
+        assert_eq!(apply_leaving(&mut core, 7..=7), 1, "of {upstreams}");
+        assert_eq!(apply_leaving(&mut core, 20..30), 10, "of {upstreams}");
     }
 }
 
 #[test]
-fn a_place_that_grows_takes_nothing_in() {
+fn a_newer_position_without_changes_indexes_nothing() {
     let mut core = core(1_300);
     let before = core.stats().indexed;
     core.learn(START, |knowledge| {
@@ -49,43 +49,43 @@
 }
 
 #[test]
-fn a_new_flow_looks_at_few_upstreams_however_many_there_are() {
+fn placing_a_flow_examines_few_of_many_upstreams() {
     for upstreams in [1_300, 13_000] {
         let mut core = core(upstreams);
         for client in 0..100 {
             assert!(matches!(
-                core.handle_packet(&packet(client), START),
+                core.handle_packet(&opening_packet(client), START),
                 Verdict::Forward { .. }
             ));
         }
-        let looked_at = core.stats().examined;
-        assert!(looked_at <= 100 * 32, "{looked_at} of {upstreams}");
+        let examined = core.stats().examined;
+        assert!(examined <= 100 * 32, "{examined} of {upstreams}");
     }
 }
 
 /// Upstreams take turns, so that each of many gets its part, and idle ones don't wait for chance.
 #[test]
-fn flows_spread_over_all_upstreams_of_the_own_zone() {
+fn flows_spread_over_all_upstreams_of_the_local_zone() {
     let mut core = core(5_000);
     let mut flows = std::collections::BTreeMap::<UpstreamId, u32>::new();
     for client in 0..1_500 {
-        let Verdict::Forward { upstream, .. } = core.handle_packet(&packet(client), START) else {
+        let Verdict::Forward { upstream, .. } = core.handle_packet(&opening_packet(client), START) else {
             panic!("no upstream for {client}");
         };
         *flows.entry(upstream).or_default() += 1;
     }
-    let own = flows.keys().filter(|id| id.0 % 10 == 0).count();
-    assert!(own >= 490, "of 500 in the own zone only {own} got flows");
+    let local = flows.keys().filter(|id| id.0 % 10 == 0).count();
+    assert!(local >= 490, "of 500 in the own zone only {local} got flows");
     assert!(flows.values().all(|flows| *flows <= 12), "{flows:?}");
 }
 
 /// When none of those whose turn it is can take a flow, the others are looked at.
 #[test]
-fn one_upstream_in_good_order_is_found_among_thousands_that_leave() {
+fn one_available_upstream_is_found_among_thousands_that_are_leaving() {
     let mut core = core(2_000);
-    indexed(&mut core, (1..=2_000).filter(|id| *id != 777));
+    apply_leaving(&mut core, (1..=2_000).filter(|id| *id != 777));
     for client in 0..20 {
-        let verdict = core.handle_packet(&packet(client), START);
+        let verdict = core.handle_packet(&opening_packet(client), START);
         assert!(matches!(verdict, Verdict::Forward { upstream, .. } if upstream == UpstreamId(777)));
     }
 }
