--- a/crates/flow/benches/packet.rs
+++ b/crates/flow/benches/packet.rs
@@ -1,4 +1,4 @@
-//! What a packet costs in the flow core, and how much is remembered of a flow.
+//! Benchmarks of packet processing in the flow core.
 
 mod support;
 
@@ -17,11 +17,11 @@
     divan::main();
 }
 
-/// Opens a flow and gives the packet that follows.
+/// Opens a flow and returns its next packet.
 fn open(core: &mut Core, client: u32) -> Packet {
     let opening = opening_packet(client);
     let Verdict::Forward { echo, .. } = core.handle_packet(&opening, START) else {
-        panic!("an upstream is there");
+        panic!("the opening packet was not forwarded");
     };
     core.take_decisions();
     Packet {
@@ -33,7 +33,7 @@
     }
 }
 
-/// A packet of one of 28,000 open flows.
+/// Forwards a packet of one of 28,000 open flows.
 #[divan::bench(args = [14, 150, 1_300])]
 fn forward(bencher: Bencher, upstreams: u64) {
     let mut core = core(upstreams);
@@ -47,7 +47,7 @@
     });
 }
 
-/// A new flow. The service has so many upstreams, a tenth of them in the instance's own zone.
+/// Places a new flow. A tenth of the service's upstreams are in the instance's own zone.
 #[divan::bench(args = [14, 150, 1_300])]
 fn place(bencher: Bencher, upstreams: u64) {
     let mut core = core(upstreams);
--- a/crates/flow/benches/support/mod.rs
+++ b/crates/flow/benches/support/mod.rs
@@ -1,4 +1,4 @@
-//! An instance with upstreams and a route, and the packets that clients open flows with.
+//! Shared fixtures of the tests, benches and examples: a core with upstreams and a route, and opening packets.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -20,25 +20,25 @@
 use units::Time;
 use units::Weight;
 
-/// When everything happens.
+/// The start time of tests and benches.
 pub const START: Time = Time(1_000_000_000);
 
-/// The one route.
+/// The address of the only route.
 pub fn route() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-/// An instance that knows so many upstreams of one service, in ten zones.
+/// A core in the first of ten zones, with `upstreams` of one service spread over them.
 pub fn core(upstreams: u64) -> Core {
     core_with_zones(upstreams, 10, 1)
 }
 
-/// An instance of the first of several zones that knows so many upstreams of one service, spread over them.
+/// A core in the first of `zones` zones, with `upstreams` of one service spread over them.
 pub fn core_with_zones(upstreams: u64, zones: u64, seed: u64) -> Core {
     core_in_zone(0, upstreams, zones, seed)
 }
 
-/// The same in any of the zones.
+/// A core in zone number `zone`, with `upstreams` of one service spread over `zones` zones.
 pub fn core_in_zone(zone: u64, upstreams: u64, zones: u64, seed: u64) -> Core {
     let mut core = Core::new(Options {
         zone: format!("z{zone}").parse().unwrap(),
@@ -74,7 +74,7 @@
     core
 }
 
-/// An upstream of the one service, in one of several zones.
+/// An upstream of the only service. Its zone follows from its id.
 pub fn upstream(id: u64, zones: u64) -> Upstream {
     Upstream {
         service: "quotes".into(),
@@ -87,7 +87,7 @@
     }
 }
 
-/// A client's opening packet.
+/// The opening packet of a client number.
 pub fn opening_packet(client: u32) -> Packet {
     Packet {
         client: SocketAddrV4::new(
--- a/crates/flow/examples/flow_memory.rs
+++ b/crates/flow/examples/flow_memory.rs
@@ -1,4 +1,4 @@
-//! How many bytes an instance remembers for each flow: resident memory before and after so many were opened.
+//! Measures the memory of an instance per flow, from the resident set size before and after opening many flows.
 
 #[path = "../benches/support/mod.rs"]
 mod support;
@@ -9,7 +9,7 @@
 use crate::support::core;
 use crate::support::opening_packet;
 
-/// Resident memory of this process, in bytes.
+/// The resident set size of this process in bytes.
 fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap();
--- a/crates/flow/examples/upstream_memory.rs
+++ b/crates/flow/examples/upstream_memory.rs
@@ -1,4 +1,5 @@
-//! What an instance holds of so many upstreams, and what changes and flows cost it: bytes by a counting allocator, times by the clock.
+//! Measures the memory of an instance per upstream with a counting allocator, and the wall-clock cost of changes, lists
+//! and new flows.
 
 #[path = "../benches/support/mod.rs"]
 mod support;
@@ -23,7 +24,7 @@
 const FLOWS: u32 = 2_000;
 const CHANGES: u64 = 200;
 
-/// Microseconds for each of so many, since a moment.
+/// Mean time in microseconds of `count` operations since `start`.
 fn micros_per_item(start: Instant, count: u64) -> f64 {
     start.elapsed().as_secs_f64() * 1e6 / count as f64
 }
--- a/crates/flow/tests/directory.rs
+++ b/crates/flow/tests/directory.rs
@@ -1,5 +1,5 @@
-//! The directory follows what is known entry by entry, whatever comes in which order. That it lists just what it would if it were made anew
-//! is asserted inside the flow path.
+//! The directory is updated entry by entry as the knowledge changes, in any order. Assertions inside the crate check
+//! that it equals a directory that is rebuilt from scratch.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -23,7 +23,7 @@
 use units::Time;
 use units::ZoneName;
 
-/// The first two ids of 40 bits whose echoes are alike, so that neither can be led back to.
+/// The first two 40-bit ids with the same echo, which therefore identifies neither of them.
 fn colliding_ids() -> [u64; 2] {
     let mut seen = std::collections::HashMap::new();
     for id in 0.. {
@@ -31,7 +31,7 @@
             return [other, id];
         }
     }
-    unreachable!("there are fewer echoes than ids")
+    unreachable!("ids outnumber echoes, so two of them collide")
 }
 
 fn zone(index: u64) -> ZoneName {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The next place in the store's history, at times of a later epoch, whose revisions begin anew.
+    /// Advances the position in the store's history, in one of ten cases to a new epoch, where revisions restart lower.
     fn next_position(&mut self) -> Position {
         let Position { epoch, revision } = self.at;
         self.at = if self.rng.random_bool(0.1) {
--- a/crates/flow/tests/draft.rs
+++ b/crates/flow/tests/draft.rs
@@ -1,4 +1,4 @@
-//! What of a document can't be read costs as little as it can, whatever was in force before.
+//! An unreadable part of a document affects as little else as possible, whatever document was in effect before.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -62,14 +62,14 @@
     DraftValue::Unknown("later".to_owned())
 }
 
-/// Reads a document of two routes, the first of which was changed.
+/// Reads a document of two routes after changing the first.
 fn read_changed(change: impl FnOnce(&mut draft::Route)) -> Document {
     let mut changed = route(1);
     change(&mut changed);
     Document::try_from(document(1, vec![changed, route(2)])).unwrap()
 }
 
-/// The one warning of a document.
+/// The only warning of a document.
 fn warning(document: &Document) -> (Subject, Fallback) {
     let [warning] = document.warnings.as_slice() else {
         panic!("one warning expected: {:?}", document.warnings);
@@ -166,7 +166,7 @@
     assert_eq!(first.subject, Subject::Route("r-1".to_owned()));
     assert!(error.to_string().contains("\"later\""), "{error}");
     let empty = Document::try_from(document(1, Vec::new())).unwrap();
-    assert_eq!(empty.warnings, [], "one without routes says what it means");
+    assert_eq!(empty.warnings, [], "a document without routes is valid");
 }
 
 #[test]
@@ -177,7 +177,7 @@
     assert_eq!(with.digest(), without.digest());
 }
 
-/// A core that holds documents, one after the other, and an upstream of each service.
+/// A core with one upstream, to which documents are applied one after the other.
 struct Harness {
     core: Core,
     now: Time,
@@ -229,7 +229,7 @@
         self.core.handle_packet(&packet, self.now)
     }
 
-    /// The documents of which something new can't be read.
+    /// The revisions of the documents with new warnings.
     fn documents_with_warnings(&mut self) -> Vec<Revision> {
         let decisions = self.core.take_decisions().into_iter();
         let documents_with_warnings = decisions.filter_map(|decision| match decision {
@@ -244,7 +244,7 @@
     matches!(verdict, Verdict::Reset(reset) if reset.cause == ResetCause::NoRoute)
 }
 
-/// The first of two ways: nothing was in force.
+/// No document was in effect before.
 #[test]
 fn without_an_earlier_document_only_the_unusable_route_is_refused() {
     let mut harness = Harness::new();
@@ -255,8 +255,8 @@
     assert!(matches!(harness.open(2), Verdict::Forward { .. }));
 }
 
-/// The second: an earlier document was. What the newer one says of other routes is in force, and the route that it leaves out is
-/// refused at every instance, whether it knew the earlier one or not.
+/// An earlier document was in effect. The newer one takes effect for the other routes, and the omitted route is refused
+/// at every instance, whether it knew the earlier document or not.
 #[test]
 fn after_an_earlier_document_only_the_unusable_route_is_refused() {
     let mut harness = Harness::new();
@@ -283,5 +283,5 @@
     assert_eq!(harness.documents_with_warnings(), []);
     harness.apply(4, document(3, vec![route(1)]));
     harness.apply(5, document(4, vec![with_unknown()]));
-    assert_eq!(harness.documents_with_warnings(), [Revision(4)], "it has come back");
+    assert_eq!(harness.documents_with_warnings(), [Revision(4)], "the cause reappeared");
 }
--- a/crates/flow/tests/earlier.rs
+++ b/crates/flow/tests/earlier.rs
@@ -1,4 +1,4 @@
-//! Instances of two releases tell one another what they know while a fleet is rolled out: the earlier one knows no epochs.
+//! During a rolling update, instances of two releases exchange changes. The earlier release doesn't support epochs.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -35,14 +35,14 @@
     (UpstreamId(id), Revision(revision), Some(upstream))
 }
 
-/// Started in a later epoch, where an upstream has been listed.
+/// The knowledge of an instance that started in this epoch, with one upstream listed.
 fn knowledge_in_epoch(epoch: u64, revision: u64) -> Knowledge {
     let mut knowledge = Knowledge::default();
     knowledge.apply_list(at(epoch, revision), vec![listed_entry(1, 3)], NOW);
     knowledge
 }
 
-/// What an instance of the earlier release tells that has heard of one more upstream.
+/// A change from an instance of the earlier release that knows one more upstream.
 fn change_without_epochs(revision: u64) -> Change {
     let mut other = Knowledge::default();
     other.apply_list(at(0, 10), vec![listed_entry(1, 3)], NOW);
--- a/crates/flow/tests/failing.rs
+++ b/crates/flow/tests/failing.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are as good as others are not found failing, and those that fail are, over many seeds.
+//! Over many seeds, upstreams that fail no more than others are not ejected, and those that do are.
 
 #[expect(dead_code, reason = "each program uses a part of it")]
 #[path = "../benches/support/mod.rs"]
@@ -27,21 +27,21 @@
 use crate::support::route;
 
 const FAILURE_START: Time = Time(1_010_000_000);
-/// How often instances tell one another.
+/// Interval at which instances exchange failure reports.
 const TICK: Duration = Duration::from_millis(100);
 
-/// How a service is and what fails there.
+/// A service's traffic and failures.
 #[derive(Debug, Clone, Copy)]
 struct Workload {
     seed: u64,
     upstreams: u64,
     flows: u16,
     requests: u32,
-    /// The mean time to an answer, in seconds. It varies by as much as exponential times do, a long tail.
+    /// Mean response time in seconds. Response times are exponentially distributed, with a long tail.
     mean_response_secs: f64,
-    /// The share of requests that never get an answer, whoever is asked.
+    /// Share of requests that never get a response, at any upstream.
     unanswered_share: f64,
-    /// The share that upstream 1 does not answer from [`FAILURE_START`] on.
+    /// Share of requests that upstream 1 doesn't answer in addition, from [`FAILURE_START`] on.
     failure_share: f64,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// An instance that carries a load and sums up for itself.
+/// An instance under load that evaluates its own failure reports.
 struct Harness {
     core: Core,
     now: Time,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Lets time pass, and the instance sum up when it is due.
+    /// Advances the time, evaluating failure reports every [`TICK`].
     fn advance(&mut self, until: Time) {
         while self.evaluated_at + TICK <= until {
             self.evaluated_at = self.evaluated_at + TICK;
@@ -135,16 +135,16 @@
     }
 }
 
-/// What comes next of a flow.
+/// The next event of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum FlowEvent {
     Response,
-    /// The client gives up and opens another flow.
+    /// The client abandons the flow and opens another.
     Abandon,
     Request,
 }
 
-/// Plays a load. Gives the ejections, and what share of the requests went to upstream 1 in the last half.
+/// Runs a workload. Returns the ejections and the share of requests in the second half that went to upstream 1.
 fn run_workload(workload: &Workload) -> (Vec<(UpstreamId, Time)>, f64) {
     let mut rng = SmallRng::seed_from_u64(workload.seed);
     let mut harness = Harness::new(workload);
@@ -199,7 +199,7 @@
     (harness.ejections, share)
 }
 
-/// A million requests with long tails and half a percent that are never answered: nobody is found failing.
+/// A million requests with long-tailed response times, half a percent of them never answered: no upstream is ejected.
 #[test]
 fn healthy_upstreams_are_never_ejected() {
     for seed in 1..=4 {
@@ -208,7 +208,8 @@
     }
 }
 
-/// Nor where far more fails everywhere, as when a route's answers are all lost, or where all are slow.
+/// Failures that are common to all upstreams, as when all responses of a route are lost, or slowness of all of them
+/// eject none. At 20% unanswered requests up to three ejections are tolerated.
 #[test]
 fn failures_common_to_all_upstreams_eject_few_or_none() {
     for (unanswered_share, mean_response_secs) in [(0.05, 0.03), (0.2, 0.03), (0.005, 0.25)] {
@@ -224,7 +225,8 @@
     }
 }
 
-/// One that fails two requests of five is found within four seconds at 14 tries a second, and gets a small part of its share while it fails.
+/// An upstream that fails two of five requests is ejected within four seconds at 14 attempts a second, and gets a small
+/// part of its share while it fails.
 #[test]
 fn a_failing_upstream_is_ejected_and_gets_few_requests() {
     for failure_share in [0.4, 1.0] {
@@ -236,7 +238,7 @@
                 ..HEALTHY
             };
             let (ejections, share) = run_workload(&workload);
-            let first = ejections.first().expect("it is found");
+            let first = ejections.first().expect("the failing upstream is ejected");
             assert_eq!(first.0, UpstreamId(1), "{workload:?}");
             assert!(
                 first.1.since(FAILURE_START) <= Duration::from_secs(4),
@@ -251,8 +253,8 @@
     }
 }
 
-/// A list that only raises the revision is news: an instance that kept it to itself took itself for ahead of the others, whose
-/// document was newer, and asked them no more.
+/// A list that only raises the revision counts as a change. An instance that did not pass it on considered itself ahead
+/// of the others, whose document was newer, and stopped pulling from them.
 #[test]
 fn a_newer_revision_without_changes_counts_as_a_change() {
     let mut core = Harness::new(&HEALTHY).core;
--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet in virtual time: instances that forward the flows of many upstreams and exchange reports, clients that
-//! send requests, retransmit and open new flows, and injected faults. Runs with the same seed are identical.
+//! A simulated fleet in virtual time: instances that forward the flows of many upstreams and exchange reports, clients
+//! that send requests, retransmit and open new flows, and injected faults. Runs with the same seed are identical.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -41,8 +41,8 @@
 ];
 /// Time after a request at which the client abandons the flow and opens another.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(2);
-/// Number of instances that the issuer of a status update sends it to, and that each first-time receiver forwards it to:
-/// in its own zone, and in the whole fleet.
+/// Number of instances that the issuer of a status update sends it to, and that each first-time receiver forwards it
+/// to: in its own zone, and in the whole fleet.
 const OWN_FANOUT: (usize, usize) = (8, 4);
 const FORWARD_FANOUT: (usize, usize) = (3, 3);
 
@@ -56,7 +56,8 @@
     pub flows: u64,
     /// Duration of the run. Faults begin after [`WARMUP`].
     pub duration: Duration,
-    /// Probability that a packet or message is lost, and the interval of the instances it applies to; 1 is every instance.
+    /// Probability that a packet or message is lost, and the interval of the instances it applies to; 1 is every
+    /// instance.
     pub loss: f64,
     pub lossy_every: u64,
     /// Mean response time in seconds.
@@ -81,8 +82,8 @@
 pub const WARMUP: Duration = Duration::from_secs(4);
 
 impl FleetConfig {
-    /// A fleet of `instances` with one and a half times as many upstreams, at the rates of a busy service: five requests a
-    /// second at each upstream.
+    /// A fleet of `instances` with one and a half times as many upstreams, at the rates of a busy service: five
+    /// requests a second at each upstream.
     pub fn new(instances: u64, seed: u64) -> Self {
         let upstreams = instances * 3 / 2;
         Self {
@@ -118,8 +119,8 @@
     pub false_resets: u64,
     /// Status updates that declare a live upstream silent.
     pub false_detections: u64,
-    /// For each silent upstream, the time from the fault to the first status update on it, and to the last reset of one of
-    /// its flows.
+    /// For each silent upstream, the time from the fault to the first status update on it, and to the last reset of one
+    /// of its flows.
     pub detected: BTreeMap<u64, Duration>,
     pub last_reset: BTreeMap<u64, Duration>,
 }
@@ -534,8 +535,8 @@
         upstream % self.config.zones
     }
 
-    /// The instances that take part in inquiries about an upstream: those of its zone, rotated by the upstream's id, and
-    /// others if the zone has fewer than 13. The first two collect the reports.
+    /// The instances that take part in inquiries about an upstream: those of its zone, rotated by the upstream's id,
+    /// and others if the zone has fewer than 13. The first two collect the reports.
     fn observers(&self, upstream: u64) -> Vec<u64> {
         let zone = self.zone_of(upstream);
         let mut here: Vec<u64> = (0..self.config.instances)
--- a/crates/flow/tests/knowledge.rs
+++ b/crates/flow/tests/knowledge.rs
@@ -1,5 +1,5 @@
-//! The knowledge of an instance never regresses, and all instances converge to the platform's state, whatever order changes
-//! arrive in.
+//! The knowledge of an instance never regresses, and all instances converge to the platform's state, whatever order
+//! changes arrive in.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -156,8 +156,8 @@
             .collect()
     }
 
-    /// The response of a watch. A removal is returned with the current revision, as its own revision is that of the entry's
-    /// last write and has no meaning.
+    /// The response of a watch. A removal is returned with the current revision, as its own revision is that of the
+    /// entry's last write and has no meaning.
     fn since(&self, since: Revision) -> Vec<(UpstreamId, Revision, Option<Upstream>)> {
         let at = Revision(self.revision);
         let changes = self.changes.iter().filter(|(revision, _, _)| *revision > since);
@@ -386,8 +386,8 @@
     }
 }
 
-/// An instance that read the list after the removal of an upstream never knew it. Another instance that did must still learn
-/// of the removal from it.
+/// An instance that read the list after the removal of an upstream never knew it. Another instance that did must still
+/// learn of the removal from it.
 #[test]
 fn an_instance_that_never_knew_an_upstream_propagates_its_removal() {
     run_steps(vec![
@@ -425,8 +425,8 @@
     run_steps([before.to_vec(), after.to_vec()].concat());
 }
 
-/// An evacuation that is ended and soon requested again stays in force, although another instance knows only that it ended:
-/// the later state wins.
+/// An evacuation that is ended and soon requested again stays in force, although another instance knows only that it
+/// ended: the later state wins.
 #[test]
 fn an_evacuation_that_is_requested_again_stays() {
     let steps = [
@@ -459,8 +459,8 @@
     assert!(!knowledge.is_evacuated(&zones[0]));
 }
 
-/// Right after a restore, the copy's evacuation can't be read: the zone stays under evacuation, even after the grace period
-/// in which lost state is rewritten.
+/// Right after a restore, the copy's evacuation can't be read: the zone stays under evacuation, even after the grace
+/// period in which lost state is rewritten.
 #[test]
 fn an_evacuation_that_is_unreadable_right_after_a_restore_stays() {
     let zones: BTreeSet<ZoneName> = ZONES.iter().map(|zone| zone.parse().unwrap()).collect();
@@ -490,9 +490,9 @@
     );
 }
 
-/// A restored copy of the store lacks a serving upstream and an evacuation, and still lists an upstream as not leaving, a
-/// removed upstream, and an evacuation that has ended. The writers rewrite these within two seconds. Until then the earlier
-/// state counts.
+/// A restored copy of the store lacks a serving upstream and an evacuation, still lists a leaving upstream as not
+/// leaving, and contains a removed upstream and an evacuation that has ended. The writers rewrite these within two
+/// seconds. Until then the earlier state counts.
 #[test]
 fn state_that_a_restored_copy_lacks_stays_in_force_for_the_grace_period() {
     let entry = |id: u64, leaving| (UpstreamId(id), Revision(id), Some(upstream(leaving, 1)));
@@ -523,7 +523,8 @@
     let mut read = before.clone();
     assert!(read.apply_list(position(1, 9), restored_list, second));
     assert!(read.apply_evacuations(evacuations(position(1, 9), &["zone-b"]), &none, second));
-    // An instance without earlier knowledge takes over the copy. One that has it learns of the copy from another instance.
+    // An instance without earlier knowledge takes over the copy. One that has it learns of the copy from another
+    // instance.
     let mut newcomer = Knowledge::default();
     newcomer.apply(read.since(&newcomer.positions()), second);
     let mut informed = before.clone();
@@ -567,8 +568,9 @@
     }
 }
 
-/// An instance that started after the restore has read an older document from the copy, at a later position than that of the
-/// others' document. It still learns the newer one from them, and they learn from it that the store holds nothing newer.
+/// An instance that started after the restore has read an older document from the copy, at a later position than that
+/// of the others' document. It still learns the newer one from them, and they learn from it that the store holds
+/// nothing newer.
 #[test]
 fn an_instance_with_an_older_document_from_a_restored_copy_gets_the_newer_one_from_others() {
     let position = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
--- a/crates/flow/tests/returned.rs
+++ b/crates/flow/tests/returned.rs
@@ -1,4 +1,4 @@
-//! What a flow path does when the store has come back from an older copy of itself.
+//! Behaviour after the store was restored from an older copy.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -31,7 +31,8 @@
     }
 }
 
-/// One revision stands for two writes of an upstream's entry: before the return it served, after it it has just started.
+/// After a restore, revisions are reused: the same revision stands for an entry of a serving upstream before the
+/// restore, and for one of an upstream that has just started after it.
 #[test]
 fn an_entry_with_a_reused_revision_counts_as_a_new_one() {
     let at = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
--- a/crates/flow/tests/silence.rs
+++ b/crates/flow/tests/silence.rs
@@ -1,5 +1,5 @@
-//! The instances together detect upstreams that stop responding, as fast in a large fleet as in a small one, and never take
-//! a live upstream for silent, whatever packets are lost.
+//! The instances together detect upstreams that stop responding, as fast in a large fleet as in a small one, and never
+//! take a live upstream for silent, whatever packets are lost.
 
 #[expect(dead_code, reason = "each program uses a part of it")]
 #[path = "../benches/support/mod.rs"]
@@ -40,8 +40,8 @@
     times[times.len() / 2]
 }
 
-/// Checks that all silent upstreams are detected, half of them within a second, and that their flows are reset within 300
-/// ms of detection.
+/// Checks that all silent upstreams are detected, half of them within a second, and that their flows are reset within
+/// 300 ms of detection.
 fn assert_detected_soon(instances: u64) {
     let config = with_silent_upstreams(instances);
     let Outcome {
@@ -103,8 +103,8 @@
     }
 }
 
-/// In a large fleet each instance sees few flows of an upstream, so a flow whose packets were lost three times in a row looks
-/// like one of a silent upstream.
+/// In a large fleet each instance sees few flows of an upstream, so a flow whose packets were lost three times in a row
+/// looks like one of a silent upstream.
 #[test]
 fn a_flow_of_a_large_fleet_that_loses_packets_is_not_reset() {
     assert_no_false_detections(&FleetConfig {
@@ -130,8 +130,8 @@
     });
 }
 
-/// Documents of thousands of routes, passed between instances, congest small links for a second or two. What an instance
-/// forwards meanwhile arrives after the client has retransmitted it.
+/// Documents of thousands of routes, passed between instances, congest small links for a second or two. What an
+/// instance forwards meanwhile arrives after the client has retransmitted it.
 #[test]
 fn congested_instances_cause_no_false_detections() {
     for (instances, seed) in [(9, 11), (9, 12), (67, 13)] {
--- a/crates/flow/tests/size.rs
+++ b/crates/flow/tests/size.rs
@@ -1,4 +1,5 @@
-//! What a change and a new flow cost follows what has changed, not how many upstreams there are: counted, never timed.
+//! The cost of a change or a new flow depends on the size of the change, not on the number of upstreams. It is counted
+//! rather than timed.
 
 #[path = "../benches/support/mod.rs"]
 mod support;
@@ -13,7 +14,7 @@
 use support::upstream;
 use units::Revision;
 
-/// How many entries a change of these upstreams takes into the directory.
+/// Marks these upstreams as leaving. Returns the number of entries that the directory indexed for it.
 fn apply_leaving(core: &mut Core, ids: impl Iterator<Item = u64>) -> u64 {
     let at = core.knowledge().upstreams_at().revision.0 + 1;
     let leaving = ids.map(|id| {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Upstreams take turns, so that each of many gets its part, and idle ones don't wait for chance.
+/// Upstreams are considered in turn, so each of many gets its share, and idle ones aren't left to chance.
 #[test]
 fn flows_spread_over_all_upstreams_of_the_local_zone() {
     let mut core = core(5_000);
@@ -75,11 +76,11 @@
         *flows.entry(upstream).or_default() += 1;
     }
     let local = flows.keys().filter(|id| id.0 % 10 == 0).count();
-    assert!(local >= 490, "of 500 in the own zone only {local} got flows");
+    assert!(local >= 490, "only {local} of 500 in the local zone got flows");
     assert!(flows.values().all(|flows| *flows <= 12), "{flows:?}");
 }
 
-/// When none of those whose turn it is can take a flow, the others are looked at.
+/// If none of the upstreams whose turn it is can accept a flow, the others are examined.
 #[test]
 fn one_available_upstream_is_found_among_thousands_that_are_leaving() {
     let mut core = core(2_000);
