--- a/crates/flow/tests/failing.rs
+++ b/crates/flow/tests/failing.rs
@@ -167,9 +167,9 @@
                 let packet = flow.packet(Flags::ACK, 100);
                 flow.seq += 100;
                 harness.core.handle_packet(&packet, at);
-                let fails = flow.upstream == 1 && at >= FAILURE_START;
-                let failing = if fails { workload.failure_share } else { 0.0 };
-                let is_lost = rng.random_bool((workload.unanswered_share + failing).min(1.0));
+                let is_failing = flow.upstream == 1 && at >= FAILURE_START;
+                let added_failures = if is_failing { workload.failure_share } else { 0.0 };
+                let is_lost = rng.random_bool((workload.unanswered_share + added_failures).min(1.0));
                 let (next, wait) = if is_lost {
                     (FlowEvent::Abandon, 1.0)
                 } else {
--- a/crates/flow/tests/fleet/mod.rs
+++ b/crates/flow/tests/fleet/mod.rs
@@ -539,15 +539,15 @@
     /// and others if the zone has fewer than 13. The first two collect the reports.
     fn observers(&self, upstream: u64) -> Vec<u64> {
         let zone = self.zone_of(upstream);
-        let mut here: Vec<u64> = (0..self.config.instances)
+        let mut observers: Vec<u64> = (0..self.config.instances)
             .filter(|index| index % self.config.zones == zone)
             .collect();
-        let turn = upstream as usize % here.len();
-        here.rotate_left(turn);
+        let rotation = upstream as usize % observers.len();
+        observers.rotate_left(rotation);
         let others = (0..self.config.instances).filter(|index| index % self.config.zones != zone);
-        let missing = 13_usize.saturating_sub(here.len());
-        here.extend(others.take(missing));
-        here
+        let missing = 13_usize.saturating_sub(observers.len());
+        observers.extend(others.take(missing));
+        observers
     }
 
     fn send_message(&mut self, from: u64, to: u64, message: Message) {
@@ -636,16 +636,16 @@
         }
     }
 
-    fn spread(&mut self, instance: u64, updates: &[StatusUpdate], (near, far): (usize, usize)) {
+    fn spread(&mut self, instance: u64, updates: &[StatusUpdate], (same_zone, any_zone): (usize, usize)) {
         if updates.is_empty() {
             return;
         }
-        for _ in 0..near {
+        for _ in 0..same_zone {
             let to = instance % self.config.zones
                 + self.config.zones * self.rng.random_range(0..self.config.instances / self.config.zones);
             self.send_message(instance, to, Message::StatusUpdates(updates.to_vec()));
         }
-        for _ in 0..far {
+        for _ in 0..any_zone {
             let to = self.rng.random_range(0..self.config.instances);
             self.send_message(instance, to, Message::StatusUpdates(updates.to_vec()));
         }
--- a/crates/flow/tests/knowledge.rs
+++ b/crates/flow/tests/knowledge.rs
@@ -268,7 +268,7 @@
     platform.change(|state| state.revision = 1);
     let mut instances = vec![Knowledge::default(); INSTANCES];
     let mut cursors: [Option<Position>; INSTANCES] = [None; INSTANCES];
-    let mut sent_changes = Vec::new();
+    let mut pulled_changes = Vec::new();
     for (index, step) in steps.into_iter().enumerate() {
         let now = Time(index as u64);
         let before: Vec<_> = instances.iter().map(Knowledge::positions).collect();
@@ -308,11 +308,11 @@
             Step::Pull(to, from) => {
                 let held = instances[to].positions();
                 let change = instances[from].since(&held);
-                sent_changes.push((held.upstreams_at, change.clone()));
+                pulled_changes.push((held.upstreams_at, change.clone()));
                 instances[to].apply(change, now);
             }
             Step::RepeatPull(to, index) => {
-                let Some((since, change)) = sent_changes.get(index % sent_changes.len().max(1)).cloned() else {
+                let Some((since, change)) = pulled_changes.get(index % pulled_changes.len().max(1)).cloned() else {
                     continue;
                 };
                 // Only the instance that pulled gets the response, so it already holds everything before `since`.
@@ -503,7 +503,7 @@
     };
     let position = |epoch, revision| Position::new(Epoch(epoch), Revision(revision));
     let none = BTreeSet::new();
-    let second = Time(1_000_000);
+    let restored_at = Time(1_000_000);
     let mut before = Knowledge::default();
     before.apply_list(
         position(0, 10),
@@ -521,14 +521,14 @@
         (upstreams.collect::<Vec<_>>(), zones)
     };
     let mut read = before.clone();
-    assert!(read.apply_list(position(1, 9), restored_list, second));
-    assert!(read.apply_evacuations(evacuations(position(1, 9), &["zone-b"]), &none, second));
+    assert!(read.apply_list(position(1, 9), restored_list, restored_at));
+    assert!(read.apply_evacuations(evacuations(position(1, 9), &["zone-b"]), &none, restored_at));
     // An instance without earlier knowledge takes over the copy. One that has it learns of the copy from another
     // instance.
     let mut newcomer = Knowledge::default();
-    newcomer.apply(read.since(&newcomer.positions()), second);
+    newcomer.apply(read.since(&newcomer.positions()), restored_at);
     let mut informed = before.clone();
-    assert!(informed.apply(read.since(&informed.positions()), second));
+    assert!(informed.apply(read.since(&informed.positions()), restored_at));
     let as_copied = (
         vec![(1, true, false), (2, false, false), (3, false, false), (4, false, true)],
         vec!["zone-b".to_owned()],
@@ -545,14 +545,14 @@
         // Another instance has read a later list of the same copy.
         let mut other = before.clone();
         let restored_list = vec![entry(2, false), entry(3, false), entry(4, true)];
-        other.apply_list(position(1, 11), restored_list, second);
-        held.apply(other.since(&held.positions()), second);
+        other.apply_list(position(1, 11), restored_list, restored_at);
+        held.apply(other.since(&held.positions()), restored_at);
         assert_eq!(contents(&held), as_before);
         // Writes in the new epoch take effect at once.
         let leaving = (UpstreamId(2), Revision(13), Some(upstream(true, 1)));
         let gone = (UpstreamId(3), Revision(13), None);
-        held.apply_watched(position(1, 13), vec![leaving, gone], second);
-        held.apply_evacuations(evacuations(position(1, 14), &[]), &none, second);
+        held.apply_watched(position(1, 13), vec![leaving, gone], restored_at);
+        held.apply_evacuations(evacuations(position(1, 14), &[]), &none, restored_at);
         let written = (
             vec![(1, false, false), (2, false, true), (3, true, false), (4, false, true)],
             vec!["zone-a".to_owned()],
--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -322,8 +322,8 @@
         out
     }
 
-    fn exchange_reports(&mut self, what: &str, name: &str, report: &str, out: &mut String) {
-        if what == "report-from" {
+    fn exchange_reports(&mut self, kind: &str, name: &str, report: &str, out: &mut String) {
+        if kind == "report-from" {
             return self.receive_report(name, report, out);
         }
         for report in self.core.take_reports(self.now) {
@@ -437,16 +437,16 @@
         self.show_decisions(out);
     }
 
-    fn run_packet(&mut self, what: &str, name: &str, port: &str, out: &mut String) {
-        match what {
+    fn run_packet(&mut self, kind: &str, name: &str, port: &str, out: &mut String) {
+        match kind {
             "evaluate-failures" => return self.evaluate_failures(name, out),
             "status-update" => return self.receive_status_update(name, port, out),
             "inquire" => return self.start_inquiries(name, out),
             "inquiry-reply" => return self.receive_inquiry_reply(name, port, out),
             _ => {}
         }
-        if matches!(what, "report-from" | "send-reports") {
-            return self.exchange_reports(what, name, port, out);
+        if matches!(kind, "report-from" | "send-reports") {
+            return self.exchange_reports(kind, name, port, out);
         }
         let number = u16::try_from(self.clients.len()).unwrap();
         let end = self.clients.entry(name.to_owned()).or_insert(ClientEnd {
@@ -466,7 +466,7 @@
             ack: end.ack,
             len: 0,
         };
-        match what {
+        match kind {
             "syn" => {
                 packet.flags = Flags::SYN;
                 packet.ack = end.transmissions;
@@ -503,13 +503,13 @@
             Verdict::Forward { upstream, echo, .. } => {
                 assert_eq!(echo, upstream.echo());
                 end.echo = echo;
-                writeln!(out, "{what} {name}: to {:x}", upstream.0).unwrap();
+                writeln!(out, "{kind} {name}: to {:x}", upstream.0).unwrap();
             }
             Verdict::Reset(reset) => {
                 assert!(reset.seq == 0 || reset.seq == packet.ack);
-                writeln!(out, "{what} {name}: reset, {}", reset.cause).unwrap();
+                writeln!(out, "{kind} {name}: reset, {}", reset.cause).unwrap();
             }
-            Verdict::Drop(cause) => writeln!(out, "{what} {name}: dropped, {cause}").unwrap(),
+            Verdict::Drop(cause) => writeln!(out, "{kind} {name}: dropped, {cause}").unwrap(),
         }
         self.show_decisions(out);
     }
