--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -18,7 +18,7 @@
 //! Lines of `packets`:
 //!
 //! - `+MS` advances the time.
-//! - `WHAT CLIENT [PORT]` sends a packet of the client's flow: `syn`, `open` (completes the handshake), `data`,
+//! - `KIND CLIENT [PORT]` sends a packet of the client's flow: `syn`, `open` (completes the handshake), `data`,
 //!   `retransmit`, `ack` (acknowledges a response), `short-ack` (acknowledges a short response), `fin`, `rst`, or
 //!   `lost-echo` (carries an unknown echo).
 //! - `send-reports INSTANCE` shows the reports of this instance that are due.
@@ -234,7 +234,7 @@
         if is_new {
             String::new()
         } else {
-            "not newer\n".to_owned()
+            "ignored, not newer\n".to_owned()
         }
     }
 
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Asks `others` other instances about each upstream that enough flows wait for.
+    /// Starts the inquiries that are due, each to `others` other instances.
     fn start_inquiries(&mut self, others: &str, out: &mut String) {
         let others = others.parse().unwrap();
         for id in self.core.take_due_inquiries(self.now) {
@@ -526,11 +526,11 @@
                     let waiting = evidence.waiting;
                     writeln!(out, "  {:x} is marked dead, {waiting} flows waiting", upstream.0).unwrap();
                 }
-                Decision::Revived(upstream) => writeln!(out, "  {:x} answers again", upstream.0).unwrap(),
+                Decision::Revived(upstream) => writeln!(out, "  {:x} responds again", upstream.0).unwrap(),
                 Decision::Ejected {
                     upstream,
                     usual_percent,
-                } => writeln!(out, "  {:x} is ejected, {usual_percent}% is usual", upstream.0).unwrap(),
+                } => writeln!(out, "  {:x} is ejected, baseline {usual_percent}%", upstream.0).unwrap(),
                 Decision::EjectedElsewhere(upstream) => {
                     writeln!(out, "  {:x} is ejected elsewhere", upstream.0).unwrap();
                 }
