--- a/crates/flow/tests/scenarios.rs
+++ b/crates/flow/tests/scenarios.rs
@@ -1,15 +1,32 @@
-//! Scenarios in a small language: what one instance is told, what packets come, and what becomes of them.
+//! Data-driven scenarios for one instance: its inputs, the packets that arrive, and the resulting decisions.
 //!
-//! `at MS` sets the time. `document REVISION ROUTE=SERVICE[:WEIGHT],... ...` (with lines `cold SERVICE RATE MS`) and `upstreams` (one a line: `ID SERVICE ZONE
-//! [leaving] [slots=N] [cold=MS] [started=MS]`, `ID unreadable`
-//! or `ID gone`) tell what is known, `evacuated` the zones that operators ask to be emptied (one a line),
-//! `keep` the cold upstreams that this instance keeps (one a line; it shows all that are cold). `syn`, `ack`, `data`, `copy`, `fin` and `rst` send a
-//! packet of a client's flow; `+MS` lets time pass. `hear` is another instance's report, `reports` shows one's own. `short`
-//! acknowledges a short answer, `sum N` has this instance sum up failed tries as one of N, `told ID ROUND/out` is
-//! another instance's word of an upstream. `asks N` has this instance ask N others about upstreams that flows wait for, `view`
-//! is what one of them has seen. `quietly N` repeats packets
-//! and shows only what was decided. `waits`
-//! shows what clients have waited for.
+//! Directives:
+//!
+//! - `at MS` sets the time.
+//! - `document` applies a document: its revision, then a line `PORT SERVICE[:WEIGHT]...` for each route, and lines
+//!   `cold SERVICE RATE MS`.
+//! - `upstreams` applies changes of the list of upstreams, one a line: `ID SERVICE ZONE [leaving] [slots=N] [cold=MS]
+//!   [started=MS]`, `ID unreadable` or `ID gone`.
+//! - `evacuations` sets the availability zones that operators are evacuating, one a line.
+//! - `assign-cold` sets the cold upstreams that are assigned to this instance, one a line, and shows all upstreams that
+//!   are cold.
+//! - `packets` processes packets and messages, one a line. `repeat N` does so N times, and `repeat-quietly N` shows only
+//!   the decisions.
+//! - `waits` shows the client wait times recorded since the last `waits`.
+//! - `stats` shows the counters of the core.
+//!
+//! Lines of `packets`:
+//!
+//! - `+MS` advances the time.
+//! - `KIND CLIENT [PORT]` sends a packet of the client's flow: `syn`, `open` (completes the handshake), `data`,
+//!   `retransmit`, `ack` (acknowledges a response), `short-ack` (acknowledges a short response), `fin`, `rst`, or
+//!   `lost-echo` (carries an unknown echo).
+//! - `send-reports INSTANCE` shows the reports of this instance that are due.
+//! - `report-from INSTANCE UPSTREAM/STALLED/SILENT_MS` receives another instance's report.
+//! - `evaluate-failures N` evaluates the failed attempts of this instance as one of N reporting instances.
+//! - `status-update UPSTREAM ROUND/STATUS` receives another instance's status update.
+//! - `inquire N` starts the inquiries that are due, each to N other instances.
+//! - `inquiry-reply INSTANCE UPSTREAM/RETRANSMISSIONS/WAITING_MS/SILENT_MS` receives the reply of one of them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -46,61 +63,61 @@
 use units::Time;
 use units::Weight;
 
-/// How many bytes a request has.
-const REQUEST: u16 = 100;
-/// How many bytes an answer has.
-const ANSWER: u32 = 1_000;
-/// How many bytes an error has.
-const SHORT: u32 = 150;
+/// Request length in bytes.
+const REQUEST_LEN: u16 = 100;
+/// Length of a normal response in bytes.
+const RESPONSE_LEN: u32 = 1_000;
+/// Length of an error response in bytes.
+const SHORT_RESPONSE_LEN: u32 = 150;
 
-/// A client's end of a flow.
+/// The client side of a flow.
 #[derive(Debug, Clone, Copy)]
-struct End {
+struct ClientEnd {
     client: SocketAddrV4,
     route: SocketAddrV4,
-    copies: u32,
+    transmissions: u32,
     echo: Echo,
     seq: u32,
     ack: u32,
 }
 
-/// How a word of an upstream is shown.
-fn place(status: Status) -> &'static str {
+/// The name of a status in scenarios.
+fn status_name(status: Status) -> &'static str {
     match status {
-        Status::Failing => "out",
-        Status::Serving => "in",
+        Status::Failing => "failing",
+        Status::Serving => "serving",
         Status::Silent { .. } => "silent",
         Status::Alive { .. } => "alive",
     }
 }
 
-/// A word as it stands in a scenario.
-fn word_of(text: &str) -> Status {
-    let (place, ago) = text.split_once(':').unwrap_or((text, "0"));
+/// Parses a status as scenarios write it: `failing`, `serving`, `silent[:MS]` or `alive[:MS]`.
+fn parse_status(text: &str) -> Status {
+    let (name, ago) = text.split_once(':').unwrap_or((text, "0"));
     let ago = Duration::from_millis(millis(ago));
-    match place {
-        "out" => Status::Failing,
-        "in" => Status::Serving,
+    match name {
+        "failing" => Status::Failing,
+        "serving" => Status::Serving,
         "silent" => Status::Silent {
             silent_for: ago,
             signs: 3,
             instances: 2,
         },
         "alive" => Status::Alive { answered_ago: ago },
-        other => panic!("no such word: {other}"),
+        other => panic!("unknown status: {other}"),
     }
 }
 
-/// What an instance is called in reports.
-fn reporter(name: &str) -> ReporterId {
+/// Derives a reporter id from the name of an instance.
+fn reporter_id(name: &str) -> ReporterId {
     ReporterId(name.bytes().map(u64::from).sum())
 }
 
-struct World {
+struct Harness {
     core: Core,
     now: Time,
     revision: u64,
-    ends: BTreeMap<String, End>,
+    clients: BTreeMap<String, ClientEnd>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
 }
 
@@ -108,11 +125,11 @@
     text.parse().unwrap()
 }
 
-fn route(port: &str) -> SocketAddrV4 {
+fn route_address(port: &str) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port.parse().unwrap())
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let options = Options {
             zone: "zone-a".parse().unwrap(),
@@ -124,13 +141,13 @@
             core: Core::new(options),
             now: Time(1_000_000_000),
             revision: 1,
-            ends: BTreeMap::new(),
+            clients: BTreeMap::new(),
             upstreams: BTreeMap::new(),
         }
     }
 
     fn run(&mut self, case: &TestCase) -> String {
-        let words: Vec<&str> = case.input.lines().collect();
+        let lines: Vec<&str> = case.input.lines().collect();
         let argument = |index: usize| case.args.keys().nth(index).cloned().unwrap_or_default();
         match case.directive.as_str() {
             "at" => {
@@ -138,50 +155,51 @@
                 self.core.tick(self.now);
                 String::new()
             }
-            "document" => self.document(&words),
-            "upstreams" => self.list(&words),
-            "evacuated" => self.evacuate(&words),
-            "keep" => self.keep(&words),
-            "packets" => self.packets(&words),
+            "document" => self.apply_document(&lines),
+            "upstreams" => self.update_upstreams(&lines),
+            "evacuations" => self.evacuate(&lines),
+            "assign-cold" => self.assign_cold(&lines),
+            "packets" => self.run_packets(&lines),
             "repeat" => {
                 let times = millis(&argument(0));
-                (0..times).map(|_| self.packets(&words)).collect()
+                (0..times).map(|_| self.run_packets(&lines)).collect()
             }
-            "quietly" => {
+            "repeat-quietly" => {
                 let times = millis(&argument(0));
-                let out: String = (0..times).map(|_| self.packets(&words)).collect();
-                let decided = out.split_inclusive('\n');
-                decided.filter(|line| line.starts_with("  ")).collect()
+                let output: String = (0..times).map(|_| self.run_packets(&lines)).collect();
+                let decisions = output.split_inclusive('\n');
+                decisions.filter(|line| line.starts_with("  ")).collect()
             }
-            "waits" => self.waits(),
+            "waits" => self.show_waits(),
             "stats" => format!("{:?}\n", self.core.stats()),
-            other => panic!("no such command: {other}"),
+            other => panic!("unknown directive: {other}"),
         }
     }
 
-    /// What clients have waited for since the last time.
-    fn waits(&mut self) -> String {
+    /// Shows the client wait times recorded since the last call.
+    fn show_waits(&mut self) -> String {
         let mut out = String::new();
         for wait in self.core.take_waits() {
-            let place = if wait.is_local_zone { "here" } else { "elsewhere" };
-            writeln!(out, "{:?} {place}: {} ms", wait.kind, wait.time.as_millis()).unwrap();
+            let zone = if wait.is_local_zone { "local zone" } else { "other zone" };
+            writeln!(out, "{:?} {zone}: {} ms", wait.kind, wait.time.as_millis()).unwrap();
         }
         out
     }
 
-    fn document(&mut self, lines: &[&str]) -> String {
+    fn apply_document(&mut self, lines: &[&str]) -> String {
         let revision = Revision(millis(lines[0]));
-        let (cold, routes): (Vec<&str>, Vec<&str>) = lines[1..].iter().partition(|line| line.starts_with("cold "));
-        let cold_starts = cold.iter().map(|line| {
+        let (cold_lines, route_lines): (Vec<&str>, Vec<&str>) =
+            lines[1..].iter().partition(|line| line.starts_with("cold "));
+        let cold_starts = cold_lines.iter().map(|line| {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let cold = ColdStart {
+            let cold_start = ColdStart {
                 lasts: Duration::from_millis(millis(words[3])),
                 rate: Some(words[2].parse().unwrap()),
             };
-            (words[1].to_owned(), cold)
+            (words[1].to_owned(), cold_start)
         });
         let cold_starts = cold_starts.collect();
-        let routes = routes.iter().map(|line| {
+        let routes = route_lines.iter().map(|line| {
             let (port, shares) = line.split_once(' ').unwrap();
             let shares = shares.split_whitespace().map(|share| {
                 let (service, weight) = share.split_once(':').unwrap_or((share, "1"));
@@ -191,7 +209,7 @@
                 }
             });
             let route = Route {
-                address: route(port),
+                address: route_address(port),
                 shares: shares.collect(),
                 idempotent: true,
                 aim: Duration::from_millis(100),
@@ -216,12 +234,12 @@
         if is_new {
             String::new()
         } else {
-            "not newer\n".to_owned()
+            "ignored, not newer\n".to_owned()
         }
     }
 
-    /// This instance keeps these cold upstreams. Shows all that are cold.
-    fn keep(&mut self, ids: &[&str]) -> String {
+    /// Assigns these cold upstreams to this instance and shows all upstreams that are cold.
+    fn assign_cold(&mut self, ids: &[&str]) -> String {
         let kept = ids.iter().map(|id| id.parse().unwrap());
         self.core.set_assigned_cold(kept.collect());
         let mut out = String::new();
@@ -231,7 +249,7 @@
         out
     }
 
-    /// Operators ask for these zones to be emptied, and for no others.
+    /// Sets the availability zones under evacuation; any others are no longer evacuated.
     fn evacuate(&mut self, zones: &[&str]) -> String {
         self.revision += 1;
         let read = Evacuations {
@@ -243,14 +261,14 @@
         self.core
             .learn(now, |knowledge| knowledge.apply_evacuations(read, &none, now));
         let mut out = String::new();
-        self.show(&mut out);
+        self.show_decisions(&mut out);
         for (zone, flows) in self.core.evacuated() {
             writeln!(out, "  {zone} has {flows} open flows").unwrap();
         }
         out
     }
 
-    fn list(&mut self, lines: &[&str]) -> String {
+    fn update_upstreams(&mut self, lines: &[&str]) -> String {
         let mut changes = Vec::new();
         self.revision += 1;
         for line in lines {
@@ -285,12 +303,12 @@
         self.core
             .learn(now, |knowledge| knowledge.apply_watched(at, changes, now));
         let mut out = String::new();
-        self.show(&mut out);
+        self.show_decisions(&mut out);
         out
     }
 
-    /// Lines of `WHAT CLIENT [PORT]`, or `+MS`.
-    fn packets(&mut self, lines: &[&str]) -> String {
+    /// Processes the lines of a `packets` directive.
+    fn run_packets(&mut self, lines: &[&str]) -> String {
         let mut out = String::new();
         for line in lines {
             if let Some(span) = line.strip_prefix('+') {
@@ -299,98 +317,100 @@
             }
             let words: Vec<&str> = line.split_whitespace().collect();
             let port = words.get(2).copied().unwrap_or("443");
-            self.packet(words[0], words[1], port, &mut out);
+            self.run_packet(words[0], words[1], port, &mut out);
         }
         out
     }
 
-    fn tell(&mut self, what: &str, name: &str, report: &str, out: &mut String) {
-        if what == "hear" {
-            return self.hear(name, report, out);
+    fn exchange_reports(&mut self, kind: &str, name: &str, report: &str, out: &mut String) {
+        if kind == "report-from" {
+            return self.receive_report(name, report, out);
         }
         for report in self.core.take_reports(self.now) {
             writeln!(
                 out,
-                "  {name} hears: {} wait for {:x}",
+                "  reports to {name}: {} flows stalled at {:x}",
                 report.stalled, report.upstream.0
             )
             .unwrap();
         }
     }
 
-    /// This instance sums up what it has to report itself, as one of `instances`, and shows what others are to follow.
-    fn sum(&mut self, instances: &str, out: &mut String) {
+    /// Evaluates the failure reports of this instance, as one of `instances`, and shows the status updates for others.
+    fn evaluate_failures(&mut self, instances: &str, out: &mut String) {
         for report in self.core.take_failures(self.now) {
             let FailureReport { upstream, failed, .. } = report;
-            writeln!(out, "  reports {failed} at {:x}", upstream.0).unwrap();
+            writeln!(out, "  reports {failed} failed attempts at {:x}", upstream.0).unwrap();
             self.core
                 .receive_failure_report(&report, instances.parse().unwrap(), self.now);
         }
-        self.show_standings(out);
-        self.show(out);
+        self.show_status_updates(out);
+        self.show_decisions(out);
     }
 
-    fn show_standings(&mut self, out: &mut String) {
-        for standing in self.core.take_status_updates() {
-            let place = place(standing.status);
+    fn show_status_updates(&mut self, out: &mut String) {
+        for update in self.core.take_status_updates() {
+            let status = status_name(update.status);
             writeln!(
                 out,
-                "  tells: {:x} is {place}, word {}",
-                standing.upstream.0, standing.round
+                "  announces: {:x} is {status}, round {}",
+                update.upstream.0, update.round
             )
             .unwrap();
         }
     }
 
-    /// This instance asks so many others about upstreams that enough flows wait for.
-    fn asks(&mut self, others: &str, out: &mut String) {
+    /// Starts the inquiries that are due, each to `others` other instances.
+    fn start_inquiries(&mut self, others: &str, out: &mut String) {
         let others = others.parse().unwrap();
         for id in self.core.take_due_inquiries(self.now) {
             writeln!(out, "  asks {others} others about {:x}", id.0).unwrap();
             self.core.start_inquiry(id, others, self.now);
         }
-        self.show_standings(out);
-        self.show(out);
+        self.show_status_updates(out);
+        self.show_decisions(out);
     }
 
-    /// Another instance, `name`, tells what it has seen: `UPSTREAM/SIGNS/WAITING_MS/SILENT_MS`.
-    fn view(&mut self, name: &str, view: &str, out: &mut String) {
-        let fields: Vec<&str> = view.split('/').collect();
-        let signs = fields[1].parse().unwrap();
-        let view = Report {
+    /// Receives the reply of instance `name` to an inquiry: `UPSTREAM/RETRANSMISSIONS/WAITING_MS/SILENT_MS`.
+    fn receive_inquiry_reply(&mut self, name: &str, reply: &str, out: &mut String) {
+        let fields: Vec<&str> = reply.split('/').collect();
+        let retransmissions = fields[1].parse().unwrap();
+        let report = Report {
             upstream: fields[0].parse().unwrap(),
-            stalled: signs,
-            signs,
+            stalled: retransmissions,
+            signs: retransmissions,
             waiting_for: Duration::from_millis(millis(fields[2])),
             silent_for: Duration::from_millis(millis(fields[3])),
             loss: Sample::default(),
             is_in_doubt: false,
         };
-        self.core.receive_inquiry_replies(reporter(name), &[view], self.now);
-        self.show_standings(out);
-        self.show(out);
+        self.core
+            .receive_inquiry_replies(reporter_id(name), &[report], self.now);
+        self.show_status_updates(out);
+        self.show_decisions(out);
     }
 
-    /// Another instance tells where an upstream stands: `ROUND/out`, `ROUND/in`, `ROUND/silent:MS` or `ROUND/alive:MS`.
-    fn told(&mut self, id: &str, word: &str, out: &mut String) {
-        let (round, place) = word.split_once('/').unwrap();
-        let standing = StatusUpdate {
+    /// Receives a status update: `ROUND/failing`, `ROUND/serving`, `ROUND/silent:MS` or `ROUND/alive:MS`.
+    fn receive_status_update(&mut self, id: &str, update: &str, out: &mut String) {
+        let (round, status) = update.split_once('/').unwrap();
+        let update = StatusUpdate {
             upstream: id.parse().unwrap(),
             round: round.parse().unwrap(),
-            status: word_of(place),
+            status: parse_status(status),
         };
-        for answer in self.core.receive_status_updates(&[standing], self.now) {
+        for answer in self.core.receive_status_updates(&[update], self.now) {
             let silent = answer.silent_for.as_millis();
-            writeln!(out, "  knows better: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
+            writeln!(out, "  replies: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
         }
-        for heard in self.core.take_received_updates(self.now) {
-            writeln!(out, "  passes on word {} of {:x}", heard.round, heard.upstream.0).unwrap();
+        for update in self.core.take_received_updates(self.now) {
+            writeln!(out, "  forwards round {} of {:x}", update.round, update.upstream.0).unwrap();
         }
-        self.show(out);
+        self.show_decisions(out);
     }
 
-    /// Another instance, `name`, reports `UPSTREAM/STALLED/SILENT_MS`. Its flows began to wait right after the last answer.
-    fn hear(&mut self, name: &str, report: &str, out: &mut String) {
+    /// Receives a report `UPSTREAM/STALLED/SILENT_MS` of instance `name`. The flows there have been waiting since 10 ms
+    /// after the last response.
+    fn receive_report(&mut self, name: &str, report: &str, out: &mut String) {
         let mut fields = report.split('/');
         let mut field = || fields.next().unwrap();
         let upstream = field().parse().unwrap();
@@ -405,29 +425,34 @@
             loss: Sample::default(),
             is_in_doubt: false,
         };
-        for answer in self.core.receive_reports(reporter(name), &[report], self.now) {
+        for answer in self.core.receive_reports(reporter_id(name), &[report], self.now) {
             let silent = answer.silent_for.as_millis();
-            writeln!(out, "  tells {name}: {:x} answered {silent} ms ago", answer.upstream.0).unwrap();
+            writeln!(
+                out,
+                "  replies to {name}: {:x} answered {silent} ms ago",
+                answer.upstream.0
+            )
+            .unwrap();
         }
-        self.show(out);
+        self.show_decisions(out);
     }
 
-    fn packet(&mut self, what: &str, name: &str, port: &str, out: &mut String) {
-        match what {
-            "sum" => return self.sum(name, out),
-            "told" => return self.told(name, port, out),
-            "asks" => return self.asks(name, out),
-            "view" => return self.view(name, port, out),
+    fn run_packet(&mut self, kind: &str, name: &str, port: &str, out: &mut String) {
+        match kind {
+            "evaluate-failures" => return self.evaluate_failures(name, out),
+            "status-update" => return self.receive_status_update(name, port, out),
+            "inquire" => return self.start_inquiries(name, out),
+            "inquiry-reply" => return self.receive_inquiry_reply(name, port, out),
             _ => {}
         }
-        if matches!(what, "hear" | "reports") {
-            return self.tell(what, name, port, out);
+        if matches!(kind, "report-from" | "send-reports") {
+            return self.exchange_reports(kind, name, port, out);
         }
-        let number = u16::try_from(self.ends.len()).unwrap();
-        let end = self.ends.entry(name.to_owned()).or_insert(End {
+        let number = u16::try_from(self.clients.len()).unwrap();
+        let end = self.clients.entry(name.to_owned()).or_insert(ClientEnd {
             client: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), 40_000 + number),
-            route: route(port),
-            copies: 0,
+            route: route_address(port),
+            transmissions: 0,
             echo: Echo::NONE,
             seq: 500,
             ack: 9_000,
@@ -441,80 +466,82 @@
             ack: end.ack,
             len: 0,
         };
-        match what {
+        match kind {
             "syn" => {
                 packet.flags = Flags::SYN;
-                packet.ack = end.copies;
+                packet.ack = end.transmissions;
                 packet.echo = Echo::NONE;
-                end.copies += 1;
+                end.transmissions += 1;
             }
-            // The answer has come.
+            // The client acknowledges a response.
             "ack" => {
-                end.ack += ANSWER;
+                end.ack += RESPONSE_LEN;
                 packet.ack = end.ack;
             }
-            "short" => {
-                end.ack += SHORT;
+            "short-ack" => {
+                end.ack += SHORT_RESPONSE_LEN;
                 packet.ack = end.ack;
             }
             "open" => packet.ack = end.ack,
             "data" => {
-                packet.len = REQUEST;
-                end.seq += u32::from(REQUEST);
+                packet.len = REQUEST_LEN;
+                end.seq += u32::from(REQUEST_LEN);
             }
-            "copy" => {
-                packet.len = REQUEST;
-                packet.seq = end.seq - u32::from(REQUEST);
+            "retransmit" => {
+                packet.len = REQUEST_LEN;
+                packet.seq = end.seq - u32::from(REQUEST_LEN);
             }
             "fin" => packet.flags = Flags::FIN | Flags::ACK,
             "rst" => packet.flags = Flags::RST,
 
             "lost-echo" => packet.echo = Echo(0x0bad_0bad),
-            other => panic!("no such packet: {other}"),
+            other => panic!("unknown packet line: {other}"),
         }
         let verdict = self.core.handle_packet(&packet, self.now);
-        let end = self.ends.get_mut(name).unwrap();
+        let end = self.clients.get_mut(name).unwrap();
         match verdict {
             Verdict::Forward { upstream, echo, .. } => {
                 assert_eq!(echo, upstream.echo());
                 end.echo = echo;
-                writeln!(out, "{what} {name}: to {:x}", upstream.0).unwrap();
+                writeln!(out, "{kind} {name}: to {:x}", upstream.0).unwrap();
             }
             Verdict::Reset(reset) => {
                 assert!(reset.seq == 0 || reset.seq == packet.ack);
-                writeln!(out, "{what} {name}: reset, {}", reset.cause).unwrap();
+                writeln!(out, "{kind} {name}: reset, {}", reset.cause).unwrap();
             }
-            Verdict::Drop(cause) => writeln!(out, "{what} {name}: dropped, {cause}").unwrap(),
+            Verdict::Drop(cause) => writeln!(out, "{kind} {name}: dropped, {cause}").unwrap(),
         }
-        self.show(out);
+        self.show_decisions(out);
     }
 
-    /// Shows what was decided beside the verdict.
-    fn show(&mut self, out: &mut String) {
+    /// Shows the decisions and resets other than the verdict on the packet.
+    fn show_decisions(&mut self, out: &mut String) {
         for reset in self.core.take_resets() {
-            let (name, _) = self.ends.iter().find(|(_, end)| end.client == reset.client).unwrap();
+            let (name, _) = self.clients.iter().find(|(_, end)| end.client == reset.client).unwrap();
             writeln!(out, "  {name} is reset, {}", reset.cause).unwrap();
         }
         for decision in self.core.take_decisions() {
             match decision {
                 Decision::MarkedDead { upstream, evidence, .. } => {
                     let waiting = evidence.waiting;
-                    writeln!(out, "  {:x} is taken for dead, {waiting} wait", upstream.0).unwrap();
+                    writeln!(out, "  {:x} is marked dead, {waiting} flows waiting", upstream.0).unwrap();
                 }
-                Decision::Revived(upstream) => writeln!(out, "  {:x} answers again", upstream.0).unwrap(),
+                Decision::Revived(upstream) => writeln!(out, "  {:x} responds again", upstream.0).unwrap(),
                 Decision::Ejected {
                     upstream,
                     usual_percent,
-                } => writeln!(out, "  {:x} is ejected, {usual_percent}% is usual", upstream.0).unwrap(),
-                Decision::EjectedElsewhere(upstream) => writeln!(out, "  {:x} is ejected as told", upstream.0).unwrap(),
+                } => writeln!(out, "  {:x} is ejected, baseline {usual_percent}%", upstream.0).unwrap(),
+                Decision::EjectedElsewhere(upstream) => {
+                    writeln!(out, "  {:x} is ejected elsewhere", upstream.0).unwrap();
+                }
                 Decision::Readmitted(upstream) => writeln!(out, "  {:x} is readmitted", upstream.0).unwrap(),
                 Decision::Restarted { upstream, flows } => {
-                    writeln!(out, "  {:x} has started again, {flows} flows are over", upstream.0).unwrap();
+                    writeln!(out, "  {:x} has restarted, {flows} flows ended", upstream.0).unwrap();
                 }
                 Decision::Evacuated { zone, flows, .. } => {
-                    writeln!(out, "  {zone} is to be emptied, {flows} flows are open there").unwrap();
+                    writeln!(out, "  {zone} is being evacuated, {flows} open flows").unwrap();
                 }
-                Decision::Restored { zone, .. } => writeln!(out, "  {zone} is taken back").unwrap(),
+                Decision::Restored { zone, .. } => writeln!(out, "  {zone} is no longer evacuated").unwrap(),
                 Decision::DocumentWarning { .. }
                 | Decision::Placed { .. }
                 | Decision::Reset { .. }
@@ -527,7 +554,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |file| {
-        let mut world = World::new();
-        file.run(|case| world.run(case));
+        let mut harness = Harness::new();
+        file.run(|case| harness.run(case));
     });
 }
