--- a/crates/jayquay/src/flows/read.rs
+++ b/crates/jayquay/src/flows/read.rs
@@ -14,7 +14,7 @@
 
 /// The zones that operators ask to be emptied, as the store has it.
 pub async fn evacuations(store: SocketAddr) -> Result<BTreeSet<ZoneName>, Error> {
-    Ok(Store::new(store).list_evacuations().await?.named)
+    Ok(Store::new(store).list_evacuations().await?.requested)
 }
 
 /// The document that a holder has.
--- a/crates/jayquay/tests/flows.rs
+++ b/crates/jayquay/tests/flows.rs
@@ -139,7 +139,7 @@
     }
     let times: Vec<&str> = text.lines().filter_map(|line| line.split(' ').next()).collect();
     assert!(times.is_sorted(), "{text}");
-    store.set_fault(Fault::Busy);
+    store.set_fault(Fault::Unavailable);
     let (code, text) = status();
     assert_eq!(
         (code, text.contains("the store: refused with status 503")),
--- a/crates/jayquayd/src/forward/packets.rs
+++ b/crates/jayquayd/src/forward/packets.rs
@@ -66,7 +66,7 @@
 impl Carrier<'_> {
     /// Carries one packet. Tells whether there was one.
     fn carry_one(&mut self, buffer: &mut [u8; packet::MAX_DATAGRAM_LEN]) -> bool {
-        let len = match self.socket.try_recv(&mut buffer[packet::ADDRESSEE_LEN..]) {
+        let len = match self.socket.try_recv(&mut buffer[packet::UPSTREAM_ID_LEN..]) {
             Ok(len) => len,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
             Err(error) => {
@@ -75,8 +75,8 @@
                 return true;
             }
         };
-        let end = packet::ADDRESSEE_LEN + len;
-        let Ok(head) = packet::decode(&buffer[packet::ADDRESSEE_LEN..end]) else {
+        let end = packet::UPSTREAM_ID_LEN + len;
+        let Ok(head) = packet::decode(&buffer[packet::UPSTREAM_ID_LEN..end]) else {
             metric::malformed().increment(1);
             return true;
         };
@@ -86,7 +86,7 @@
                 address,
                 echo,
             } => {
-                packet::address_to(buffer, upstream, echo);
+                packet::rewrite_for_upstream(buffer, upstream, echo);
                 self.send(&buffer[..end], address.into());
             }
             Verdict::Reset(reset) => self.send_reset(&reset),
--- a/crates/jayquayd/src/forward/store.rs
+++ b/crates/jayquayd/src/forward/store.rs
@@ -9,10 +9,10 @@
 use std::time::Instant;
 
 use adapter::Store;
-use adapter::store::Documents;
+use adapter::store::DocumentRead;
 use adapter::store::Error;
-use adapter::store::List;
-use adapter::store::Listing;
+use adapter::store::UpstreamList;
+use adapter::store::UpstreamListing;
 use flow::Knowledge;
 use rand::RngExt;
 use tokio::sync::watch;
@@ -122,7 +122,7 @@
 }
 
 /// Takes in what a read or a watch of the document brought. Tells whether there was one.
-pub(super) fn take_document(shared: &Shared, documents: Documents) -> bool {
+pub(super) fn take_document(shared: &Shared, documents: DocumentRead) -> bool {
     let is_unreadable = documents.is_unreadable;
     if is_unreadable || documents.newest.is_some() {
         let at = documents.at;
@@ -231,7 +231,7 @@
 async fn list(store: &Store, shared: &Shared, rhythm: &Rhythm, is_seed: bool) -> Result<(Position, bool), Error> {
     let is_needed = || !shared.core().knowledge().is_ready();
     let was_needed = is_needed();
-    let mut listing = Listing::default();
+    let mut listing = UpstreamListing::default();
     let mut link = Link::new(Kind::Upstreams);
     let mut pages = 0;
     let list = loop {
@@ -256,7 +256,7 @@
 }
 
 /// Takes in a whole list. Tells whether anything has changed.
-fn take_list(shared: &Shared, list: List) -> bool {
+fn take_list(shared: &Shared, list: UpstreamList) -> bool {
     let count = list.upstreams.len();
     let at = list.at;
     let now = shared.now();
@@ -271,7 +271,7 @@
 
 /// Reads the whole list of upstreams, unless others tell meanwhile what it holds. They are left some time to read a long one.
 pub(super) async fn read_list(store: &Store, shared: &Shared) -> Result<(), Error> {
-    let mut listing = Listing::default();
+    let mut listing = UpstreamListing::default();
     let began = Instant::now();
     let mut pages = 0;
     let list = loop {
--- a/crates/jayquayd/src/forward/store/evacuations.rs
+++ b/crates/jayquayd/src/forward/store/evacuations.rs
@@ -6,7 +6,7 @@
 
 use adapter::Store;
 use adapter::store::Error;
-use adapter::store::Zones;
+use adapter::store::EvacuationList;
 use flow::Evacuations;
 use flow::Knowledge;
 use units::Position;
@@ -75,8 +75,12 @@
 
 /// Reads which zones are to be emptied, and gives the place that they stood at.
 pub(in crate::forward) async fn read(store: &Store, shared: &Shared) -> Result<Position, Error> {
-    let Zones { at, named, unreadable } = store.list_evacuations().await?;
-    let read = Evacuations { at, zones: named };
+    let EvacuationList {
+        at,
+        requested,
+        unreadable,
+    } = store.list_evacuations().await?;
+    let read = Evacuations { at, zones: requested };
     let now = shared.now();
     shared.learn(|knowledge| knowledge.take_evacuations(read, &unreadable, now));
     Ok(at)
--- a/crates/jayquayd/src/forward/store/link.rs
+++ b/crates/jayquayd/src/forward/store/link.rs
@@ -61,7 +61,11 @@
                 }
                 self.note_lost(error);
             }
-            Error::Refused(_) | Error::Malformed(_) | Error::TooLong | Error::Endless | Error::Epoch(_) => {
+            Error::Refused(_)
+            | Error::Malformed(_)
+            | Error::TooLong
+            | Error::MissingCursor
+            | Error::InvalidEpoch(_) => {
                 self.note_lost(error);
             }
         }
--- a/crates/jayquayd/tests/flows/explain.rs
+++ b/crates/jayquayd/tests/flows/explain.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use adapter_standin::Fault;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 use flow::UpstreamId;
 
 use crate::world::ROUTE;
@@ -31,7 +31,7 @@
     let entry = world.start_ready(1).await;
     let mut client = world.client(1).await;
     for route in [ROUTE, other, other] {
-        until_open(&mut client, route, entry.packets(), &Seen::Opened).await;
+        until_open(&mut client, route, entry.packets(), &Reply::Opened).await;
     }
     assert_eq!(client.ask(b"a", entry.packets()).await.unwrap(), answer("far: a"));
     let waited = "jayquay_flow_response_seconds_count{zone=\"other\"}";
@@ -74,14 +74,14 @@
     let _upstream = world.upstream(0x91, "one", "search").await;
     let entry = world.start_ready(1).await;
     let mut client = world.client(1).await;
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+    until_open(&mut client, ROUTE, entry.packets(), &Reply::Opened).await;
     // Both watches wait at a revision. The next one that is asked finds its history gone.
     world.store.put_document(2, &[]);
     world.store.compact();
     until("the log tells of it", || world.log(1).contains("store: history gone")).await;
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Reset).await;
+    until_open(&mut client, ROUTE, entry.packets(), &Reply::Reset).await;
     let log = world.log(1);
     assert!(!log.contains("store: lost"), "{log}");
-    world.store.set_fault(Fault::Busy);
+    world.store.set_fault(Fault::Unavailable);
     until("the log tells of the loss", || world.log(1).contains("store: lost")).await;
 }
--- a/crates/jayquayd/tests/flows/main.rs
+++ b/crates/jayquayd/tests/flows/main.rs
@@ -14,7 +14,7 @@
 use std::process::Command;
 
 use adapter_standin::Fault;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 use adapter_standin::Store;
 use adapter_standin::Upstream;
 use flow::UpstreamId;
@@ -35,7 +35,7 @@
     let mut first = world.start_ready(1).await;
     let second = world.start_ready(2).await;
     let mut client = world.client(1).await;
-    assert_eq!(client.open(ROUTE, first.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(client.open(ROUTE, first.packets()).await.unwrap(), Reply::Opened);
     assert_eq!(client.ask(b"a", first.packets()).await.unwrap(), answer("one: a"));
     assert_eq!(client.ask(b"b", second.packets()).await.unwrap(), answer("one: b"));
     first.signal("TERM");
@@ -46,7 +46,7 @@
     let first = world.start_ready(1).await;
     assert_eq!(client.ask(b"d", first.packets()).await.unwrap(), answer("one: d"));
     assert_eq!(upstream.opened(), 1);
-    assert_eq!(upstream.strays(), 0);
+    assert_eq!(upstream.misdirected(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -56,13 +56,13 @@
     let old = world.upstream(0xb1, "old", "search").await;
     let entry = world.start_ready(1).await;
     let mut client = world.client(1).await;
-    assert_eq!(client.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(client.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     let address = old.address();
     old.crash().await;
     world.store.remove_upstream(UpstreamId(0xb1));
     let new = world.upstream_at(0xb2, "new", "photos", address).await;
     client.send(b"late", entry.packets()).await.unwrap();
-    until("the packet is at the address", || new.strays() > 0).await;
+    until("the packet is at the address", || new.misdirected() > 0).await;
     assert_eq!(new.opened(), 0);
 }
 
@@ -73,7 +73,7 @@
     let leaving = world.upstream(0xc1, "leaving", "search").await;
     let entry = world.start_ready(1).await;
     let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     let _staying = world.upstream(0xc2, "staying", "search").await;
     world
         .store
@@ -83,10 +83,10 @@
     let _mark = world.upstream(0xc3, "mark", "mark").await;
     world.store.put_document(2, &[(ROUTE, "search"), (marker, "mark")]);
     let mut new = world.client(2).await;
-    until_open(&mut new, marker, entry.packets(), &Seen::Opened).await;
+    until_open(&mut new, marker, entry.packets(), &Reply::Opened).await;
     let before = leaving.opened();
     for _ in 0..20 {
-        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
         assert_eq!(new.ask(b"q", entry.packets()).await.unwrap(), answer("staying: q"));
     }
     assert_eq!(leaving.opened(), before);
@@ -100,19 +100,24 @@
     let _upstream = world.upstream(0xd1, "one", "search").await;
     let entry = world.start_ready(1).await;
     let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     world.store.put_document(2, &[]);
     let mut new = world.client(2).await;
-    until_open(&mut new, ROUTE, entry.packets(), &Seen::Reset).await;
+    until_open(&mut new, ROUTE, entry.packets(), &Reply::Reset).await;
     assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), answer("one: a"));
     world.store.put_document(3, &[(ROUTE, "search")]);
-    until_open(&mut new, ROUTE, entry.packets(), &Seen::Opened).await;
+    until_open(&mut new, ROUTE, entry.packets(), &Reply::Opened).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_is_ready_only_with_a_document_and_upstreams() {
     let world = World::new().await;
-    for fault in [Fault::Busy, Fault::Many, Fault::Silent, Fault::Garbage] {
+    for fault in [
+        Fault::Unavailable,
+        Fault::TooManyRequests,
+        Fault::NoResponse,
+        Fault::Garbage,
+    ] {
         world.store.set_fault(fault);
         let entry = world.start(1);
         until("the store was asked", || world.store.calls() > 2).await;
@@ -132,10 +137,10 @@
     world.store.put_document(1, &[(ROUTE, "search")]);
     let _upstream = world.upstream(0xe1, "one", "search").await;
     let _first = world.start_ready(1).await;
-    world.store.set_fault(Fault::Silent);
+    world.store.set_fault(Fault::NoResponse);
     let second = world.start_ready(2).await;
     let mut client = world.client(1).await;
-    assert_eq!(client.open(ROUTE, second.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(client.open(ROUTE, second.packets()).await.unwrap(), Reply::Opened);
     assert_eq!(client.ask(b"a", second.packets()).await.unwrap(), answer("one: a"));
 }
 
@@ -147,10 +152,10 @@
     let mut client = world.client(1).await;
     assert_eq!(
         client.open(ROUTE, entry.packets()).await.unwrap(),
-        Seen::Reset,
+        Reply::Reset,
         "no upstream"
     );
-    world.store.set_fault(Fault::Busy);
+    world.store.set_fault(Fault::Unavailable);
     world
         .store
         .put("servers", "i-nonsense", serde_json::json!({"service": 7}));
@@ -164,12 +169,12 @@
     world.store.put_document(2, &[(ROUTE, "photos")]);
     world.store.compact();
     world.store.set_fault(Fault::None);
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+    until_open(&mut client, ROUTE, entry.packets(), &Reply::Opened).await;
     for _ in 0..TRIES {
         if client.ask(b"a", entry.packets()).await.unwrap() == answer("four: a") {
             return;
         }
-        until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+        until_open(&mut client, ROUTE, entry.packets(), &Reply::Opened).await;
     }
     panic!("the new document never came into force");
 }
@@ -182,7 +187,7 @@
     let mut client = world.client(1).await;
     assert_eq!(
         client.open(ROUTE, entry.packets()).await.unwrap(),
-        Seen::Reset,
+        Reply::Reset,
         "no route"
     );
     let next = Store::start().await.unwrap();
@@ -204,7 +209,7 @@
     assert!(entry.is_ready(), "wrong settings change nothing");
     // Without a signal: the file is looked at every other second.
     fs::write(world.path(1), world.settings(1, &next)).unwrap();
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+    until_open(&mut client, ROUTE, entry.packets(), &Reply::Opened).await;
     let third = Store::start().await.unwrap();
     for _ in 0..20 {
         third.put("other", "name", serde_json::json!(1));
@@ -212,7 +217,7 @@
     third.put_document(3, &[]);
     fs::write(world.path(1), world.settings(1, &third)).unwrap();
     entry.signal("HUP");
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Reset).await;
+    until_open(&mut client, ROUTE, entry.packets(), &Reply::Reset).await;
 }
 
 #[test]
@@ -259,13 +264,13 @@
     until("it is told once", || world.log(2).contains("store: unreadable entry")).await;
     let mut client = world.client(1).await;
     for _ in 0..10 {
-        assert_eq!(client.open(ROUTE, newcomer.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(client.open(ROUTE, newcomer.packets()).await.unwrap(), Reply::Opened);
         assert_eq!(client.ask(b"a", newcomer.packets()).await.unwrap(), answer("good: a"));
     }
     until("the other one knows", || world.log(1).contains("name=\"i-0000000a11\"")).await;
     let before = was_good.opened();
     for _ in 0..10 {
-        assert_eq!(client.open(ROUTE, running.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(client.open(ROUTE, running.packets()).await.unwrap(), Reply::Opened);
     }
     assert_eq!(was_good.opened(), before);
 }
@@ -277,21 +282,25 @@
     let id = UpstreamId(0xb11);
     let first = world.upstream(0xb11, "first", "search").await;
     let address = first.address();
-    world.store.put_started(id, "search", address, "zone-a", 1_000);
+    world
+        .store
+        .put_upstream_started_at(id, "search", address, "zone-a", 1_000);
     let entry = world.start_ready(1).await;
     let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     first.crash().await;
     let second = Upstream::start(id, "second", address, world.packets).await.unwrap();
-    world.store.put_started(id, "search", address, "zone-a", 2_000);
-    assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), Seen::Reset);
+    world
+        .store
+        .put_upstream_started_at(id, "search", address, "zone-a", 2_000);
+    assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), Reply::Reset);
     let mut new = world.client(2).await;
-    assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     assert_eq!(new.ask(b"b", entry.packets()).await.unwrap(), answer("second: b"));
-    assert_eq!(second.strays(), 0);
+    assert_eq!(second.misdirected(), 0);
     for _ in 0..TRIES {
         // What was decided is logged with the next packet.
-        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
         if world.log(1).contains("flows: started again upstream=0000000b11") {
             return;
         }
--- a/crates/jayquayd/tests/flows/older_copy.rs
+++ b/crates/jayquayd/tests/flows/older_copy.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddrV4;
 
 use adapter_standin::Client;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 use adapter_standin::Upstream;
 use flow::UpstreamId;
 
@@ -32,23 +32,23 @@
     let _upstream = world.upstream(0x81, "one", "search").await;
     let instances = [world.start_ready(1).await, world.start_ready(2).await];
     let mut client = world.client(1).await;
-    let copy = world.store.copy();
+    let copy = world.store.snapshot();
     for version in 2..=5 {
         world
             .store
             .put_document(version, &[(ROUTE, "search"), (own_route(version), "search")]);
     }
     for instance in &instances {
-        until_open(&mut client, own_route(5), instance.packets(), &Seen::Opened).await;
+        until_open(&mut client, own_route(5), instance.packets(), &Reply::Opened).await;
     }
-    world.store.come_back_from(&copy);
+    world.store.restore_snapshot(&copy);
     world
         .store
         .put_document(6, &[(ROUTE, "search"), (own_route(6), "search")]);
     for instance in &instances {
-        until_open(&mut client, own_route(6), instance.packets(), &Seen::Opened).await;
+        until_open(&mut client, own_route(6), instance.packets(), &Reply::Opened).await;
         let taken_away = client.open(own_route(5), instance.packets()).await.unwrap();
-        assert_eq!(taken_away, Seen::Reset);
+        assert_eq!(taken_away, Reply::Reset);
     }
 }
 
@@ -58,16 +58,16 @@
     world.store.put_document(1, &[(ROUTE, "search")]);
     let _upstream = world.upstream(0x89, "one", "search").await;
     let first = world.start_ready(1).await;
-    let copy = world.store.copy();
+    let copy = world.store.snapshot();
     let mut client = world.client(1).await;
     world
         .store
         .put_document(2, &[(ROUTE, "search"), (own_route(2), "search")]);
-    until_open(&mut client, own_route(2), first.packets(), &Seen::Opened).await;
-    world.store.come_back_from(&copy);
+    until_open(&mut client, own_route(2), first.packets(), &Reply::Opened).await;
+    world.store.restore_snapshot(&copy);
     let second = world.start_ready(2).await;
     for instance in [&second, &first] {
-        until_open(&mut client, own_route(2), instance.packets(), &Seen::Opened).await;
+        until_open(&mut client, own_route(2), instance.packets(), &Reply::Opened).await;
     }
 }
 
@@ -79,7 +79,7 @@
     let staying = world.upstream(0x92, "staying", "search").await;
     let instances = [world.start_ready(1).await, world.start_ready(2).await];
     let mut client = world.client(1).await;
-    let copy = world.store.copy();
+    let copy = world.store.snapshot();
     // Upstreams that come and go raise the revision, and are known when one that stays is.
     for id in 0x93..0x99 {
         let passing = world.upstream(id, "passing", "photos").await;
@@ -90,9 +90,9 @@
     let _mark = world.upstream(0xa0, "mark", "mark").await;
     world.store.put_document(2, &[(ROUTE, "search"), (mark, "mark")]);
     for instance in &instances {
-        until_open(&mut client, mark, instance.packets(), &Seen::Opened).await;
+        until_open(&mut client, mark, instance.packets(), &Reply::Opened).await;
     }
-    world.store.come_back_from(&copy);
+    world.store.restore_snapshot(&copy);
     world
         .store
         .put_upstream(UpstreamId(0x91), "search", leaving.address(), "zone-a", "draining");
@@ -109,7 +109,7 @@
     let other = world.upstream_in("zone-b", 0xb2, "there", "search").await;
     let instances = [world.start_ready(1).await, world.start_ready(2).await];
     let mut client = world.client(1).await;
-    let copy = world.store.copy();
+    let copy = world.store.snapshot();
     for _ in 0..4 {
         world.store.evacuate("zone-b");
         world.store.restore("zone-b");
@@ -119,7 +119,7 @@
         [1, 2].iter().all(|number| world.log(*number).contains("zone=zone-x"))
     })
     .await;
-    world.store.come_back_from(&copy);
+    world.store.restore_snapshot(&copy);
     world.store.evacuate("zone-a");
     for instance in &instances {
         until_only(&mut client, instance.packets(), &other).await;
@@ -142,7 +142,7 @@
 async fn an_instance_of_an_earlier_release_can_read_what_it_is_told_after_the_store_came_back() {
     const DIGEST_LEN: usize = 32;
     let world = World::new().await;
-    world.store.come_back_from(&world.store.copy());
+    world.store.restore_snapshot(&world.store.snapshot());
     world.store.put_document(1, &[(ROUTE, "search")]);
     let _upstream = world.upstream(0xc1, "one", "search").await;
     let _entry = world.start_ready(1).await;
@@ -161,7 +161,7 @@
     for _ in 0..TRIES {
         let before = expected.opened();
         for _ in 0..MANY {
-            assert_eq!(client.open(ROUTE, through).await.unwrap(), Seen::Opened);
+            assert_eq!(client.open(ROUTE, through).await.unwrap(), Reply::Opened);
             client.ask(b"q", through).await.unwrap();
         }
         if expected.opened() - before == MANY {
--- a/crates/jayquayd/tests/flows/told.rs
+++ b/crates/jayquayd/tests/flows/told.rs
@@ -30,7 +30,7 @@
 async fn a_newcomer_is_told_a_long_list_in_a_part_of_its_length() {
     let world = world_with_a_long_list().await;
     let _first = world.start_ready(1).await;
-    world.store.set_fault(Fault::Busy);
+    world.store.set_fault(Fault::Unavailable);
     let second = world.start(2);
     until("the newcomer is ready", || second.is_ready()).await;
     let metrics = world.metrics(2).await;
--- a/crates/jayquayd/tests/flows/world.rs
+++ b/crates/jayquayd/tests/flows/world.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use adapter_standin::Client;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 use adapter_standin::Store;
 use adapter_standin::Upstream;
 use flow::UpstreamId;
@@ -208,7 +208,7 @@
 }
 
 /// Opens flows until one ends as expected. What was written to the store takes a moment to be known.
-pub(crate) async fn until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Seen) {
+pub(crate) async fn until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Reply) {
     for _ in 0..TRIES {
         if client.open(route, through).await.unwrap() == *expected {
             return;
@@ -218,6 +218,6 @@
     panic!("never: {expected:?}");
 }
 
-pub(crate) fn answer(text: &str) -> Seen {
-    Seen::Answer(text.as_bytes().to_vec())
+pub(crate) fn answer(text: &str) -> Reply {
+    Reply::Response(text.as_bytes().to_vec())
 }
--- a/crates/jayquayd/tests/flows/zones.rs
+++ b/crates/jayquayd/tests/flows/zones.rs
@@ -1,7 +1,7 @@
 //! Operators empty an availability zone and take it back.
 
 use adapter_standin::Fault;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 
 use crate::world::PAUSE;
 use crate::world::ROUTE;
@@ -18,18 +18,18 @@
     let emptied = world.upstream(0x51, "here", "search").await;
     let entry = world.start_ready(1).await;
     let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     world.store.evacuate("zone-a");
     // Its service has no other upstream: whoever opens a flow is told at once.
     let mut new = world.client(2).await;
-    until_open(&mut new, ROUTE, entry.packets(), &Seen::Reset).await;
+    until_open(&mut new, ROUTE, entry.packets(), &Reply::Reset).await;
     assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), answer("here: a"));
     let other = world.upstream_in("zone-b", 0x52, "there", "search").await;
-    until_open(&mut new, ROUTE, entry.packets(), &Seen::Opened).await;
+    until_open(&mut new, ROUTE, entry.packets(), &Reply::Opened).await;
     assert_eq!(new.ask(b"b", entry.packets()).await.unwrap(), answer("there: b"));
     let before = emptied.opened();
     for _ in 0..20 {
-        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     }
     assert_eq!((emptied.opened(), other.opened()), (before, 21));
     world.store.restore("zone-a");
@@ -37,7 +37,7 @@
         world.log(1).contains("zones: restored zone=zone-a")
     })
     .await;
-    assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     assert_eq!(emptied.opened(), before + 1);
     let log = world.log(1);
     assert!(log.contains("zones: evacuated zone=zone-a"), "{log}");
@@ -53,12 +53,12 @@
     let first = world.start_ready(1).await;
     // Its history is gone, and then it answers nobody: the second instance learns all from the first one.
     world.store.compact();
-    world.store.set_fault(Fault::Busy);
+    world.store.set_fault(Fault::Unavailable);
     let second = world.start_ready(2).await;
     let mut client = world.client(1).await;
     for through in [&first, &second] {
         for _ in 0..10 {
-            assert_eq!(client.open(ROUTE, through.packets()).await.unwrap(), Seen::Opened);
+            assert_eq!(client.open(ROUTE, through.packets()).await.unwrap(), Reply::Opened);
         }
     }
     assert_eq!(emptied.opened(), 0);
@@ -78,7 +78,7 @@
     })
     .await;
     let mut client = world.client(1).await;
-    assert_eq!(client.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(client.open(ROUTE, entry.packets()).await.unwrap(), Reply::Opened);
     let mut metrics = String::new();
     for _ in 0..TRIES {
         metrics = world.metrics(1).await;
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use adapter_standin::Client;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -68,13 +68,13 @@
 
 /// Opens flows and asks, until the task is ended.
 pub(crate) async fn run(mut client: Client, number: usize, seed: u64, context: Context) -> io::Result<()> {
-    client.set_tries(TRIES);
+    client.set_attempts(TRIES);
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
         let router = || context.router.pick(number);
-        match client.open_by(context.route, router).await? {
-            Seen::Opened => keep(&mut client, number, &mut rng, &context).await?,
-            Seen::Answer(_) | Seen::Reset | Seen::Nothing => {
+        match client.open_via(context.route, router).await? {
+            Reply::Opened => keep(&mut client, number, &mut rng, &context).await?,
+            Reply::Response(_) | Reply::Reset | Reply::Timeout => {
                 context.tally.unanswered.fetch_add(1, Ordering::Relaxed);
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
@@ -99,17 +99,17 @@
     for request in 0..REQUESTS {
         let text = format!("{number}-{request}-{}", rng.random::<u32>());
         let router = || context.router.pick(number);
-        match client.ask_by(text.as_bytes(), router).await? {
-            Seen::Answer(answer) if answer == format!("{}: {text}", life.id).as_bytes() => {
+        match client.ask_via(text.as_bytes(), router).await? {
+            Reply::Response(answer) if answer == format!("{}: {text}", life.id).as_bytes() => {
                 context.tally.answered.fetch_add(1, Ordering::Relaxed);
             }
-            Seen::Answer(answer) => {
+            Reply::Response(answer) => {
                 let answer = String::from_utf8_lossy(&answer).into_owned();
                 let text = format!("client {number} asked {} for {text} and got {answer}", life.id);
                 context.book.add(Violation::Mixed(text));
                 return Ok(());
             }
-            Seen::Reset => {
+            Reply::Reset => {
                 if context.living.find(client.echo()).is_some_and(|life| life.is_alive) {
                     let text = format!("client {number}, upstream {}", life.id);
                     context.book.add(Violation::Cut(text));
@@ -117,7 +117,7 @@
                 context.tally.lost.fetch_add(1, Ordering::Relaxed);
                 return Ok(());
             }
-            Seen::Nothing | Seen::Opened => {
+            Reply::Timeout | Reply::Opened => {
                 context.tally.unanswered.fetch_add(1, Ordering::Relaxed);
                 return Ok(());
             }
--- a/crates/soak/src/recovery.rs
+++ b/crates/soak/src/recovery.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use adapter_standin::Client;
-use adapter_standin::Seen;
+use adapter_standin::Reply;
 
 use crate::upstreams::LEAVES_AFTER;
 use crate::violation::Violation;
@@ -44,7 +44,7 @@
         let name = world.instances[index].name().to_owned();
         let new = see(world, prober, world.version, through).await?;
         let old = see(world, prober, world.version - 1, through).await?;
-        if new != Seen::Opened || old != Seen::Reset {
+        if new != Reply::Opened || old != Reply::Reset {
             let text = format!("{name} holds an old one: newest {new:?}, the one before {old:?}");
             world.book.add(Violation::Document(text));
         }
@@ -57,13 +57,13 @@
 }
 
 /// What a flow to a document's own route meets. Lost datagrams are sent again.
-async fn see(world: &mut World, prober: &mut Client, version: u64, through: SocketAddr) -> io::Result<Seen> {
+async fn see(world: &mut World, prober: &mut Client, version: u64, through: SocketAddr) -> io::Result<Reply> {
     for _ in 0..10 {
         let seen = prober.open(own_route(version), through).await?;
-        if seen != Seen::Nothing {
+        if seen != Reply::Timeout {
             return Ok(seen);
         }
         world.tend().await?;
     }
-    Ok(Seen::Nothing)
+    Ok(Reply::Timeout)
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -70,7 +70,7 @@
         }
     }
     let mut prober = Client::new(SocketAddrV4::new(ip(4, 0), 20_000), ports.packets).await?;
-    prober.set_tries(1);
+    prober.set_attempts(1);
     let instances = world.instances.len();
     let mut plan = Plan::draw(options.seed, options.length, instances, world.upstreams.count());
     if options.cuts {
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use adapter_standin::Copy;
 use adapter_standin::Fault as StoreFault;
+use adapter_standin::Snapshot;
 use adapter_standin::Store;
 use tokio::task::JoinSet;
 
@@ -72,7 +72,7 @@
     pub(crate) book: Book,
     ends: Vec<(Instant, End)>,
     /// Copies of the store, the oldest first.
-    copies: VecDeque<(Instant, Copy)>,
+    copies: VecDeque<(Instant, Snapshot)>,
     pub(crate) version: u64,
     /// When the last disturbance of instances or of the store ended.
     calm_since: Instant,
@@ -230,15 +230,15 @@
             }
             Fault::Store(refusal, span) => {
                 self.store.set_fault(match refusal {
-                    Refusal::Busy => StoreFault::Busy,
-                    Refusal::Many => StoreFault::Many,
-                    Refusal::Silent => StoreFault::Silent,
+                    Refusal::Busy => StoreFault::Unavailable,
+                    Refusal::Many => StoreFault::TooManyRequests,
+                    Refusal::Silent => StoreFault::NoResponse,
                 });
                 self.ends.push((now + span, End::Serve));
             }
             Fault::Compact => self.store.compact(),
             Fault::Return(away, age) => {
-                self.store.set_fault(StoreFault::Busy);
+                self.store.set_fault(StoreFault::Unavailable);
                 self.ends.push((now + away, End::Return(age)));
             }
             Fault::Crash(index) => self.upstreams.crash(index, &self.store).await?,
@@ -251,10 +251,10 @@
 
     /// The store serves again, as it was some time ago.
     fn come_back(&self, now: Instant, age: Duration) {
-        let is_old = |(at, _): &&(Instant, Copy)| now.duration_since(*at) >= age;
+        let is_old = |(at, _): &&(Instant, Snapshot)| now.duration_since(*at) >= age;
         let copy = self.copies.iter().rfind(is_old).or(self.copies.front());
         if let Some((_, copy)) = copy {
-            self.store.come_back_from(copy);
+            self.store.restore_snapshot(copy);
         }
         self.store.set_fault(StoreFault::None);
     }
@@ -264,8 +264,8 @@
         if self.copies.back().is_some_and(|(at, _)| now.duration_since(*at) < COPY) {
             return;
         }
-        self.copies.push_back((now, self.store.copy()));
-        let is_old = |(at, _): &(Instant, Copy)| now.duration_since(*at) > OLDEST_COPY;
+        self.copies.push_back((now, self.store.snapshot()));
+        let is_old = |(at, _): &(Instant, Snapshot)| now.duration_since(*at) > OLDEST_COPY;
         if self.copies.front().is_some_and(is_old) {
             self.copies.pop_front();
         }
