--- a/crates/caller/src/assembly.rs
+++ b/crates/caller/src/assembly.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use serde_bytes::ByteBuf;
+use wire::AnswerHeader;
 use wire::CHUNK_LEN;
 use wire::Digest;
-use wire::Head;
 
 /// What became of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 /// for are taken, and never more than a window of them is.
 #[derive(Debug)]
 pub(crate) struct Assembly {
-    pub(crate) head: Head,
+    pub(crate) head: AnswerHeader,
     body: Vec<u8>,
     ahead: BTreeMap<u32, ByteBuf>,
     next: u32,
@@ -41,7 +41,7 @@
 }
 
 impl Assembly {
-    pub(crate) fn new(head: Head, window: u8) -> Self {
+    pub(crate) fn new(head: AnswerHeader, window: u8) -> Self {
         let window = u32::from(window.clamp(1, wire::Pull::MAX_COUNT));
         Self {
             head,
--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -8,10 +8,10 @@
 use units::RequestSeq;
 use units::ServiceName;
 use units::Time;
-use wire::Head;
+use wire::AnswerHeader;
 use wire::Packet;
 use wire::Reason;
-use wire::Sealed;
+use wire::SealedToken;
 use wire::Verdict;
 
 use crate::CallId;
@@ -119,7 +119,7 @@
     pub(crate) flow: FlowId,
     pub(crate) seq: RequestSeq,
     /// The request's token. Its owner keeps the answer, so pulls carry it too, whatever token the flow has since.
-    pub(crate) token: Sealed,
+    pub(crate) token: SealedToken,
     /// The request as it was first sent. Every retransmission repeats it byte for byte.
     pub(crate) packet: Vec<u8>,
     pub(crate) accepted: bool,
@@ -156,7 +156,7 @@
     /// Takes a chunk.
     pub(crate) fn take(
         &mut self,
-        head: Head,
+        head: AnswerHeader,
         index: u32,
         data: ByteBuf,
         policy: &Policy,
@@ -218,7 +218,7 @@
         Some(self.pull(service, head, run))
     }
 
-    fn pull(&self, service: &ServiceName, head: Head, run: Run) -> Vec<u8> {
+    fn pull(&self, service: &ServiceName, head: AnswerHeader, run: Run) -> Vec<u8> {
         wire::encode_packet(&Packet::Pull(wire::Pull {
             token: self.token.clone(),
             service: service.clone(),
--- a/crates/caller/src/receive.rs
+++ b/crates/caller/src/receive.rs
@@ -6,12 +6,12 @@
 use wire::Accepted;
 use wire::Chunk;
 use wire::Digest;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Opened;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Subject;
 use wire::Verdict;
 
 use crate::Action;
@@ -119,20 +119,20 @@
             origin: Origin::Instance,
         };
         let found = match refused.subject {
-            Subject::Open(nonce) => return self.on_open_refused(now, nonce, refusal, out),
-            Subject::Request(flow, seq) => self.find(flow, seq).ok_or((flow, seq)),
-            Subject::Pull(flow, seq, digest) => {
+            RefusalSubject::Open(nonce) => return self.on_open_refused(now, nonce, refusal, out),
+            RefusalSubject::Request(flow, seq) => self.find(flow, seq).ok_or((flow, seq)),
+            RefusalSubject::Pull(flow, seq, digest) => {
                 // Whatever was answered has run.
                 refusal.verdict = Verdict::MayHaveRun;
                 self.find_answer(flow, seq, digest).ok_or((flow, seq))
             }
-            Subject::Unread(seq) => self.find_number(seq).ok_or((self.flow_id(), seq)),
+            RefusalSubject::Unread(seq) => self.find_number(seq).ok_or((self.flow_id(), seq)),
         };
         let index = match found {
             Ok(index) => index,
             Err((flow, seq)) => return self.take_stray(flow, seq, refused.granted),
         };
-        let is_pull = matches!(refused.subject, Subject::Pull(..));
+        let is_pull = matches!(refused.subject, RefusalSubject::Pull(..));
         let answering = self.calls[index].attempt().is_some_and(|a| a.answer.is_some());
         if answering && !is_pull {
             // Another copy of the request was refused, but this one is being answered.
@@ -202,7 +202,7 @@
 
     /// Takes a reissued token for the flow, unless a number above its floor is in use under another token. It may come
     /// with a packet about a request that has ended here.
-    fn adopt(&mut self, flow: FlowId, granted: Option<Granted>) {
+    fn adopt(&mut self, flow: FlowId, granted: Option<IssuedToken>) {
         let Some(granted) = granted else {
             return;
         };
@@ -267,7 +267,7 @@
     }
 
     /// Counts a packet about a request that is not in progress.
-    fn take_stray(&mut self, flow: FlowId, seq: RequestSeq, granted: Option<Granted>) {
+    fn take_stray(&mut self, flow: FlowId, seq: RequestSeq, granted: Option<IssuedToken>) {
         if flow != self.flow_id() || seq > self.highest {
             self.tally.foreign += 1;
             return;
--- a/crates/caller/src/session.rs
+++ b/crates/caller/src/session.rs
@@ -6,7 +6,7 @@
 use units::Nonce;
 use units::Time;
 use wire::Packet;
-use wire::Sealed;
+use wire::SealedToken;
 
 use crate::Policy;
 use crate::timer::Timer;
@@ -53,5 +53,5 @@
 #[derive(Debug)]
 pub(crate) struct Open {
     pub(crate) flow: FlowId,
-    pub(crate) token: Sealed,
+    pub(crate) token: SealedToken,
 }
--- a/crates/caller/tests/client.rs
+++ b/crates/caller/tests/client.rs
@@ -21,14 +21,14 @@
 use units::RequestSeq;
 use wire::Answer;
 use wire::Chunk;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Opened;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Sealed;
-use wire::Subject;
+use wire::SealedToken;
 use wire::Verdict;
 
 /// The chance that a datagram is lost, in either direction.
@@ -93,8 +93,8 @@
             Packet::Open(open) => vec![Reply::Opened(Opened {
                 nonce: open.nonce,
                 flow: FLOW,
-                granted: Granted {
-                    token: Sealed(ByteBuf::from("token")),
+                granted: IssuedToken {
+                    token: SealedToken(ByteBuf::from("token")),
                     floor: RequestSeq(0),
                 },
             })],
@@ -129,7 +129,7 @@
 
 fn refusal(seq: RequestSeq) -> Reply {
     Reply::Refused(Refused {
-        subject: Subject::Request(FLOW, seq),
+        subject: RefusalSubject::Request(FLOW, seq),
         verdict: Verdict::NotRun,
         reason: Reason::Unknown,
         retry_after: Millis(5),
--- a/crates/caller/tests/flow.rs
+++ b/crates/caller/tests/flow.rs
@@ -20,14 +20,14 @@
 use wire::Accepted;
 use wire::Answer;
 use wire::Chunk;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Opened;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Sealed;
-use wire::Subject;
+use wire::SealedToken;
 use wire::Verdict;
 
 /// The packets of one script, and what must hold of them all.
@@ -165,13 +165,13 @@
     fn refused(&self, case: &mut TestCase) -> Reply {
         let about: String = arg(case, "about");
         let subject = match about.as_str() {
-            "open" => Subject::Open(self.nonce(case)),
-            "request" => Subject::Request(FlowId(arg(case, "flow")), RequestSeq(arg(case, "seq"))),
+            "open" => RefusalSubject::Open(self.nonce(case)),
+            "request" => RefusalSubject::Request(FlowId(arg(case, "flow")), RequestSeq(arg(case, "seq"))),
             "pull" => {
                 let digest = answer(case).head.digest;
-                Subject::Pull(FlowId(arg(case, "flow")), RequestSeq(arg(case, "seq")), digest)
+                RefusalSubject::Pull(FlowId(arg(case, "flow")), RequestSeq(arg(case, "seq")), digest)
             }
-            "unread" => Subject::Unread(RequestSeq(arg(case, "seq"))),
+            "unread" => RefusalSubject::Unread(RequestSeq(arg(case, "seq"))),
             other => panic!("no such subject: {other}"),
         };
         let ran = case.take_flag("may-have-run").expect("a flag");
@@ -212,10 +212,10 @@
     }
 }
 
-fn granted(case: &mut TestCase) -> Option<Granted> {
+fn granted(case: &mut TestCase) -> Option<IssuedToken> {
     let token: String = opt(case, "token")?;
-    Some(Granted {
-        token: Sealed(ByteBuf::from(token.into_bytes())),
+    Some(IssuedToken {
+        token: SealedToken(ByteBuf::from(token.into_bytes())),
         floor: RequestSeq(arg(case, "floor")),
     })
 }
--- a/crates/caller/tests/random.rs
+++ b/crates/caller/tests/random.rs
@@ -23,14 +23,14 @@
 use wire::Accepted;
 use wire::Answer;
 use wire::Chunk;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Opened;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Sealed;
-use wire::Subject;
+use wire::SealedToken;
 use wire::Verdict;
 
 /// The longest that any work waits.
@@ -258,9 +258,9 @@
             } => {
                 let (flow, seq) = self.pick(pick);
                 let subject = match about {
-                    0 => Subject::Request(flow, seq),
-                    1 => Subject::Pull(flow, seq, answer_of(seq, 0).head.digest),
-                    _ => Subject::Unread(seq),
+                    0 => RefusalSubject::Request(flow, seq),
+                    1 => RefusalSubject::Pull(flow, seq, answer_of(seq, 0).head.digest),
+                    _ => RefusalSubject::Unread(seq),
                 };
                 let reasons = [Reason::Overload, Reason::OwnerGone, Reason::Token, Reason::Unknown];
                 self.note_refusal(seq, ran || about == 1, retry);
@@ -314,7 +314,7 @@
     }
 
     /// A token whose floor lies below, at or above the highest number sent.
-    fn granted(&self, token: Option<u64>) -> Option<Granted> {
+    fn granted(&self, token: Option<u64>) -> Option<IssuedToken> {
         let highest = self.sent.last_key_value().map_or(0, |(seq, _)| seq.0);
         let token = token?;
         Some(grant(
@@ -341,9 +341,9 @@
     }
 }
 
-fn grant(token: u64, floor: RequestSeq) -> Granted {
-    Granted {
-        token: Sealed(ByteBuf::from(token.to_be_bytes())),
+fn grant(token: u64, floor: RequestSeq) -> IssuedToken {
+    IssuedToken {
+        token: SealedToken(ByteBuf::from(token.to_be_bytes())),
         floor,
     }
 }
--- a/crates/jayquayd/tests/process.rs
+++ b/crates/jayquayd/tests/process.rs
@@ -165,7 +165,7 @@
         .unwrap();
     let addresses: Addresses = serde_json::from_str(&line).unwrap();
     let forged = wire::Packet::Request(wire::Request {
-        token: wire::Sealed(vec![7; 60].into()),
+        token: wire::SealedToken(vec![7; 60].into()),
         service: "availability".parse().unwrap(),
         seq: units::RequestSeq(1),
         sent: units::RequestSeq(1),
--- a/crates/jayquayd/tests/whole/limits.rs
+++ b/crates/jayquayd/tests/whole/limits.rs
@@ -14,7 +14,7 @@
 use wire::Reason;
 use wire::Reply;
 use wire::Request;
-use wire::Sealed;
+use wire::SealedToken;
 use wire::Verdict;
 
 use crate::fleet::Fleet;
@@ -25,7 +25,7 @@
 struct Flow {
     socket: UdpSocket,
     instance: SocketAddr,
-    token: Sealed,
+    token: SealedToken,
 }
 
 impl Flow {
@@ -34,7 +34,7 @@
         let mut flow = Self {
             socket,
             instance: fleet.instances[0].addresses().callers,
-            token: Sealed(ByteBuf::new()),
+            token: SealedToken(ByteBuf::new()),
         };
         let open = Packet::Open(wire::Open {
             nonce: Nonce(1),
--- a/crates/model/src/setup.rs
+++ b/crates/model/src/setup.rs
@@ -16,7 +16,7 @@
 use units::Nonce;
 use units::RequestSeq;
 use units::Time;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Member;
 use wire::MemberState;
 use wire::Open;
@@ -106,7 +106,7 @@
     })
 }
 
-pub(crate) fn request(granted: &Granted, seq: u64) -> Packet {
+pub(crate) fn request(granted: &IssuedToken, seq: u64) -> Packet {
     Packet::Request(Request {
         token: granted.token.clone(),
         service: SERVICE.parse().expect("a name"),
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -20,9 +20,9 @@
 use units::Time;
 use wire::Frame;
 use wire::Gossip;
-use wire::Granted;
+use wire::IssuedToken;
+use wire::RefusalSubject;
 use wire::Reply;
-use wire::Subject;
 use wire::Verdict;
 use wire::encode_packet;
 
@@ -70,7 +70,7 @@
     pub(crate) calls: Vec<Call>,
     /// The caller's requests, byte for byte.
     pub(crate) packets: Vec<Vec<u8>>,
-    pub(crate) granted: Option<Granted>,
+    pub(crate) granted: Option<IssuedToken>,
     pub(crate) said: BTreeSet<(u64, bool)>,
     pub(crate) runs: Vec<u8>,
     pub(crate) deliveries: u8,
@@ -210,7 +210,7 @@
             Reply::Accepted(_) => None,
             Reply::Chunk(chunk) => chunk.granted,
             Reply::Refused(refused) => {
-                if let Subject::Request(_, seq) = refused.subject {
+                if let RefusalSubject::Request(_, seq) = refused.subject {
                     self.said.insert((seq.0, refused.verdict == Verdict::NotRun));
                 }
                 refused.granted
--- a/crates/node/benches/packet.rs
+++ b/crates/node/benches/packet.rs
@@ -18,7 +18,7 @@
 use units::RequestSeq;
 use units::Revision;
 use units::Time;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Packet;
 use wire::Reply;
@@ -87,7 +87,7 @@
         self.handle(Event::Datagram(self.address, encode_packet(packet)))
     }
 
-    fn open(&mut self) -> Granted {
+    fn open(&mut self) -> IssuedToken {
         let service = SERVICE.parse().expect("a name");
         let open = Open {
             nonce: Nonce(1),
@@ -102,7 +102,7 @@
         panic!("no flow was opened");
     }
 
-    fn request(&self, granted: &Granted, seq: u64) -> Packet {
+    fn request(&self, granted: &IssuedToken, seq: u64) -> Packet {
         Packet::Request(Request {
             token: granted.token.clone(),
             service: SERVICE.parse().expect("a name"),
@@ -115,7 +115,7 @@
     }
 
     /// Runs one request to its answer.
-    fn run(&mut self, granted: &Granted, seq: u64) {
+    fn run(&mut self, granted: &IssuedToken, seq: u64) {
         let packet = self.request(granted, seq);
         let actions = self.datagram(&packet);
         for action in actions {
--- a/crates/node/src/answers.rs
+++ b/crates/node/src/answers.rs
@@ -7,12 +7,12 @@
 use units::RequestSeq;
 use wire::Answer;
 use wire::Chunk;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Pull;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Subject;
 use wire::Verdict;
 
 use crate::Action;
@@ -31,7 +31,7 @@
             let verdict = Verdict::MayHaveRun;
             let reason = Reason::AnswerGone;
             self.counters.refuse(verdict, reason);
-            let subject = Subject::Pull(key.flow, pull.seq, pull.digest);
+            let subject = RefusalSubject::Pull(key.flow, pull.seq, pull.digest);
             let refused = Refused {
                 subject,
                 verdict,
@@ -56,7 +56,7 @@
     seq: RequestSeq,
     answer: &Answer,
     index: u32,
-    granted: Option<Granted>,
+    granted: Option<IssuedToken>,
 ) {
     let Some(data) = answer.chunk(index) else {
         return;
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -12,7 +12,7 @@
 use units::ServiceName;
 use units::Time;
 use wire::Frame;
-use wire::Life;
+use wire::InstanceIncarnation;
 use wire::Reason;
 use wire::TicketId;
 
@@ -55,7 +55,7 @@
             return false;
         }
         let name = name.clone();
-        self.inherited.contains_key(&Life { name, incarnation })
+        self.inherited.contains_key(&InstanceIncarnation { name, incarnation })
     }
 
     /// Finds the owner of a flow.
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -13,15 +13,15 @@
 use units::ZoneName;
 use wire::Forward;
 use wire::Frame;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Opened;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Sealed;
-use wire::Subject;
+use wire::SealedToken;
 use wire::Verdict;
 use wire::decode_packet;
 
@@ -165,7 +165,7 @@
             pinned: None,
             issued: cx.now,
         };
-        let granted = Granted {
+        let granted = IssuedToken {
             token: self.keyring.seal(&claims),
             floor: claims.floor,
         };
@@ -183,7 +183,7 @@
 
     /// Refuses to open a flow. Nothing can have run, as there is no flow yet.
     fn refuse_open(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, open: &Open, reason: Reason, retry_after: Millis) {
-        let subject = Subject::Open(open.nonce);
+        let subject = RefusalSubject::Open(open.nonce);
         let verdict = Verdict::NotRun;
         self.counters.refuse(verdict, reason);
         let refused = Refused {
@@ -203,7 +203,7 @@
         let Packet::Request(request) = &arrival.packet else {
             return;
         };
-        let subject = Subject::Unread(request.seq);
+        let subject = RefusalSubject::Unread(request.seq);
         let refused = Refused {
             subject,
             verdict,
@@ -219,11 +219,11 @@
         let (subject, reason, granted) = match &arrival.packet {
             Packet::Request(request) => {
                 let floor = request.sent.max(request.seq).max(claims.floor);
-                let subject = Subject::Request(claims.flow, request.seq);
+                let subject = RefusalSubject::Request(claims.flow, request.seq);
                 (subject, Reason::OwnerGone, self.reissue(cx, claims, floor))
             }
             Packet::Pull(pull) => {
-                let subject = Subject::Pull(claims.flow, pull.seq, pull.digest);
+                let subject = RefusalSubject::Pull(claims.flow, pull.seq, pull.digest);
                 (subject, Reason::AnswerGone, None)
             }
             Packet::Open(_) | Packet::Done(_) | Packet::Close(_) => return,
@@ -240,7 +240,7 @@
         cx.push(Action::Reply(arrival.caller, Reply::Refused(refused)));
     }
 
-    fn reissue(&mut self, cx: &Cx<'_>, claims: &Claims, floor: RequestSeq) -> Option<Granted> {
+    fn reissue(&mut self, cx: &Cx<'_>, claims: &Claims, floor: RequestSeq) -> Option<IssuedToken> {
         let (home, _) = self.find_home(&claims.service)?;
         let claims = Claims {
             owner: home.name,
@@ -249,7 +249,7 @@
             issued: cx.now,
             ..claims.clone()
         };
-        Some(Granted {
+        Some(IssuedToken {
             token: self.keyring.seal(&claims),
             floor,
         })
@@ -257,7 +257,13 @@
 
     /// A token that should replace `sealed`: its owner is not the home any more, its upstream has changed, or it
     /// ages.
-    pub(crate) fn renew(&mut self, cx: &Cx<'_>, claims: &Claims, sealed: &Sealed, sent: RequestSeq) -> Option<Granted> {
+    pub(crate) fn renew(
+        &mut self,
+        cx: &Cx<'_>,
+        claims: &Claims,
+        sealed: &SealedToken,
+        sent: RequestSeq,
+    ) -> Option<IssuedToken> {
         let (home, _) = self.find_home(&claims.service)?;
         let moved = home.name != claims.owner || home.incarnation != claims.incarnation;
         let aged = cx.now.since(claims.issued) > self.keyring.lifetime() / 2;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -20,7 +20,7 @@
 use units::UpstreamName;
 use units::ZoneName;
 use wire::Frame;
-use wire::Life;
+use wire::InstanceIncarnation;
 use wire::Member;
 use wire::MemberState;
 use wire::TicketId;
@@ -103,7 +103,7 @@
     pub(crate) documents: Documents,
     pub(crate) membership: Membership,
     /// Whose flows this node owns besides its own, and when it took over their ledgers.
-    pub(crate) inherited: BTreeMap<Life, Time>,
+    pub(crate) inherited: BTreeMap<InstanceIncarnation, Time>,
     pub(crate) ledgers: Ledgers,
     pub(crate) tickets: BTreeMap<TicketId, Ticket>,
     pub(crate) deadlines: BTreeSet<(Time, TicketId)>,
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -10,14 +10,14 @@
 use units::UpstreamName;
 use wire::Accepted;
 use wire::Answer;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Outcome;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
 use wire::Request;
-use wire::Subject;
 use wire::TicketId;
 use wire::Verdict;
 
@@ -319,11 +319,11 @@
         seq: RequestSeq,
         (verdict, reason): (Verdict, Reason),
         retry_after: Millis,
-        granted: Option<Granted>,
+        granted: Option<IssuedToken>,
     ) {
         self.counters.refuse(verdict, reason);
         cx.record(Record::Refused(key.flow, seq, verdict, reason));
-        let subject = Subject::Request(key.flow, seq);
+        let subject = RefusalSubject::Request(key.flow, seq);
         let refused = Refused {
             subject,
             verdict,
--- a/crates/node/src/pack.rs
+++ b/crates/node/src/pack.rs
@@ -5,9 +5,9 @@
 use units::Incarnation;
 use units::Millis;
 use units::Time;
-use wire::Body;
-use wire::Entry;
 use wire::HandoverFlow;
+use wire::QueuedRequest;
+use wire::RequestRecord;
 use wire::TicketId;
 
 use crate::FlowKey;
@@ -27,9 +27,9 @@
 const LINE_BYTES: usize = 32;
 
 /// A waiting request, as it is handed over.
-pub(crate) fn body_of(ticket: Ticket, now: Time) -> Body {
+pub(crate) fn body_of(ticket: Ticket, now: Time) -> QueuedRequest {
     let remaining = Millis::from(now.until(ticket.deadline));
-    Body {
+    QueuedRequest {
         caller: ticket.caller,
         zone: ticket.zone,
         in_doubt: ticket.in_doubt,
@@ -44,7 +44,7 @@
 pub(crate) fn pack(
     key: FlowKey,
     ledger: Ledger,
-    bodies: &mut BTreeMap<TicketId, Body>,
+    bodies: &mut BTreeMap<TicketId, QueuedRequest>,
     me: Incarnation,
 ) -> Vec<HandoverFlow> {
     let empty = HandoverFlow {
@@ -58,11 +58,13 @@
     let mut size = 0;
     for line in ledger.lines {
         let entry = match line.state {
-            State::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(me), Entry::Queued),
-            State::Elsewhere(incarnation) => Entry::Running(incarnation),
-            State::Answered(answer) => Entry::Answered(*answer),
-            State::Forgotten => Entry::Forgotten,
-            State::Refused(verdict, reason) => Entry::Refused(verdict, reason),
+            State::Running(ticket) => bodies
+                .remove(&ticket)
+                .map_or(RequestRecord::Running(me), RequestRecord::Queued),
+            State::Elsewhere(incarnation) => RequestRecord::Running(incarnation),
+            State::Answered(answer) => RequestRecord::Answered(*answer),
+            State::Forgotten => RequestRecord::Forgotten,
+            State::Refused(verdict, reason) => RequestRecord::Refused(verdict, reason),
         };
         size += size_of_entry(&entry);
         if size > PART_BYTES {
@@ -101,10 +103,10 @@
     FLOW_BYTES + entries.sum::<usize>()
 }
 
-fn size_of_entry(entry: &Entry) -> usize {
+fn size_of_entry(entry: &RequestRecord) -> usize {
     match entry {
-        Entry::Queued(body) => REQUEST_BYTES + body.request.body.len(),
-        Entry::Answered(answer) => ANSWER_BYTES + answer.body.len(),
-        Entry::Running(_) | Entry::Forgotten | Entry::Refused(..) => LINE_BYTES,
+        RequestRecord::Queued(body) => REQUEST_BYTES + body.request.body.len(),
+        RequestRecord::Answered(answer) => ANSWER_BYTES + answer.body.len(),
+        RequestRecord::Running(_) | RequestRecord::Forgotten | RequestRecord::Refused(..) => LINE_BYTES,
     }
 }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -11,12 +11,12 @@
 use units::InstanceName;
 use units::RequestSeq;
 use units::Time;
-use wire::Entry;
 use wire::Frame;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Life;
+use wire::InstanceIncarnation;
 use wire::Reason;
+use wire::RequestRecord;
 use wire::Resolved;
 use wire::Successor;
 use wire::TicketId;
@@ -206,7 +206,7 @@
         state.sent_at = cx.now;
         let peer = state.successor.clone();
         let successor = record_of(&self.me, &peer);
-        let inherited: Vec<Life> = self.inherited.keys().cloned().collect();
+        let inherited: Vec<InstanceIncarnation> = self.inherited.keys().cloned().collect();
         let chunks = split(&state.flows);
         let parts = chunks.len() as u32;
         let mut frames = Vec::new();
@@ -274,9 +274,9 @@
     /// Tells the successor how a request ended that was in progress here.
     pub(crate) fn resolve(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, state: &State) {
         let entry = match state {
-            State::Answered(answer) => Entry::Answered((**answer).clone()),
-            State::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
-            State::Forgotten | State::Running(_) | State::Elsewhere(_) => Entry::Forgotten,
+            State::Answered(answer) => RequestRecord::Answered((**answer).clone()),
+            State::Refused(verdict, reason) => RequestRecord::Refused(*verdict, *reason),
+            State::Forgotten | State::Running(_) | State::Elsewhere(_) => RequestRecord::Forgotten,
         };
         self.tell_end(cx, key, seq, entry);
     }
@@ -288,11 +288,11 @@
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
-        let entry = Entry::Queued(body_of(ticket, cx.now));
+        let entry = RequestRecord::Queued(body_of(ticket, cx.now));
         self.tell_end(cx, key, seq, entry);
     }
 
-    fn tell_end(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, entry: Entry) {
+    fn tell_end(&mut self, cx: &mut Cx<'_>, key: FlowKey, seq: RequestSeq, entry: RequestRecord) {
         let resolved = Resolved {
             at: self.me.incarnation,
             owner: key.owner,
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -6,13 +6,13 @@
 use units::Incarnation;
 use units::RequestSeq;
 use units::Time;
-use wire::Body;
-use wire::Entry;
 use wire::Frame;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Life;
+use wire::InstanceIncarnation;
+use wire::QueuedRequest;
 use wire::Reason;
+use wire::RequestRecord;
 use wire::Resolved;
 use wire::Successor;
 use wire::Verdict;
@@ -38,7 +38,7 @@
 struct Queued {
     key: FlowKey,
     seq: RequestSeq,
-    body: Body,
+    body: QueuedRequest,
 }
 
 impl Node {
@@ -73,11 +73,11 @@
         cx: &mut Cx<'_>,
         peer: &Peer,
         record: Successor,
-        inherited: &[Life],
+        inherited: &[InstanceIncarnation],
         flows: Vec<HandoverFlow>,
     ) {
         self.forget_inherited(cx.now);
-        let from = Life {
+        let from = InstanceIncarnation {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         };
@@ -170,10 +170,10 @@
             return;
         }
         let state = match resolved.entry {
-            Entry::Queued(body) => return self.resume(cx, Queued { key, seq, body }),
-            Entry::Answered(answer) => State::Answered(Box::new(answer)),
-            Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
-            Entry::Forgotten | Entry::Running(_) => State::Forgotten,
+            RequestRecord::Queued(body) => return self.resume(cx, Queued { key, seq, body }),
+            RequestRecord::Answered(answer) => State::Answered(Box::new(answer)),
+            RequestRecord::Refused(verdict, reason) => State::Refused(verdict, reason),
+            RequestRecord::Forgotten | RequestRecord::Running(_) => State::Forgotten,
         };
         self.ledgers.end(key, seq, state, cx.now);
     }
@@ -183,14 +183,14 @@
     let mut lines = ThinVec::new();
     for (seq, entry) in flow.entries {
         let state = match entry {
-            Entry::Queued(body) => {
+            RequestRecord::Queued(body) => {
                 queued.push(Queued { key, seq, body });
                 State::Elsewhere(from)
             }
-            Entry::Running(incarnation) => State::Elsewhere(incarnation),
-            Entry::Answered(answer) => State::Answered(Box::new(answer)),
-            Entry::Forgotten => State::Forgotten,
-            Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
+            RequestRecord::Running(incarnation) => State::Elsewhere(incarnation),
+            RequestRecord::Answered(answer) => State::Answered(Box::new(answer)),
+            RequestRecord::Forgotten => State::Forgotten,
+            RequestRecord::Refused(verdict, reason) => State::Refused(verdict, reason),
         };
         lines.push(Line { seq, state });
     }
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -7,7 +7,7 @@
 use node::CallResult;
 use node::Event;
 use units::Incarnation;
-use wire::Life;
+use wire::InstanceIncarnation;
 
 use support::Fleet;
 use support::request;
@@ -146,7 +146,7 @@
 }
 
 #[track_caller]
-fn check_inherited(after: Duration, expected: &[Life]) {
+fn check_inherited(after: Duration, expected: &[InstanceIncarnation]) {
     let mut fleet = Fleet::new(2);
     let first = support::instance(0);
     let second = support::instance(1);
@@ -164,7 +164,7 @@
 
 #[test]
 fn incarnations_are_inherited_for_as_long_as_their_tokens_live() {
-    let first = Life {
+    let first = InstanceIncarnation {
         name: support::instance(0),
         incarnation: Incarnation(1),
     };
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -16,8 +16,8 @@
 use units::Revision;
 use units::Time;
 use wire::Frame;
-use wire::Granted;
-use wire::Life;
+use wire::InstanceIncarnation;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Packet;
 use wire::Reply;
@@ -97,7 +97,7 @@
     /// Frames from the first to the second instance are lost.
     pub cut: Vec<(InstanceName, InstanceName)>,
     /// Who each part of a hand-over says is inherited.
-    pub inherited: Vec<Vec<Life>>,
+    pub inherited: Vec<Vec<InstanceIncarnation>>,
     /// The most flows with a ledger at an instance that joins.
     pub flows: usize,
 }
@@ -212,7 +212,7 @@
         self.event(to, Event::Datagram(caller(), encode_packet(packet)));
     }
 
-    pub fn open(&mut self, to: &InstanceName, service: &str) -> Granted {
+    pub fn open(&mut self, to: &InstanceName, service: &str) -> IssuedToken {
         let address = if service == "photos" {
             "10.1.0.2:4000"
         } else {
@@ -287,7 +287,7 @@
     }
 }
 
-pub fn request(granted: &Granted, service: &str, kind: &str, seq: u64) -> Packet {
+pub fn request(granted: &IssuedToken, service: &str, kind: &str, seq: u64) -> Packet {
     Packet::Request(Request {
         token: granted.token.clone(),
         service: service.parse().unwrap(),
--- a/crates/proof/src/act.rs
+++ b/crates/proof/src/act.rs
@@ -15,9 +15,9 @@
 use wire::Chunk;
 use wire::Frame;
 use wire::Packet;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Subject;
 use wire::Verdict;
 
 use crate::fabric::hit;
@@ -147,12 +147,14 @@
                 reason,
                 ..
             }) => {
-                let (Subject::Request(_, seq) | Subject::Unread(seq) | Subject::Pull(_, seq, _)) = subject else {
+                let (RefusalSubject::Request(_, seq) | RefusalSubject::Unread(seq) | RefusalSubject::Pull(_, seq, _)) =
+                    subject
+                else {
                     return Ok(());
                 };
                 let job = self.drivers[index].job_of(*seq);
                 self.note(job, format!("{} refuses {seq}, {verdict}: {reason}", peer.name));
-                let pull = matches!(subject, Subject::Pull(..));
+                let pull = matches!(subject, RefusalSubject::Pull(..));
                 if *verdict == Verdict::NotRun && !pull {
                     let id = RequestId { caller, seq: *seq };
                     return self.book.say_not_run(self.now, id, job);
--- a/crates/token/src/keyring.rs
+++ b/crates/token/src/keyring.rs
@@ -8,7 +8,7 @@
 
 use serde_bytes::ByteBuf;
 use units::Time;
-use wire::Sealed;
+use wire::SealedToken;
 
 use crate::Claims;
 
@@ -129,23 +129,23 @@
     }
 
     /// Whether a token names the current key. The MAC is not checked.
-    pub fn is_current(&self, sealed: &Sealed) -> bool {
+    pub fn is_current(&self, sealed: &SealedToken) -> bool {
         sealed.0.first() == Some(&self.keys[0].id)
     }
 
     /// Seals `claims` with the current key.
-    pub fn seal(&self, claims: &Claims) -> Sealed {
+    pub fn seal(&self, claims: &Claims) -> SealedToken {
         let key = &self.keys[0];
         let mut bytes = Vec::with_capacity(160);
         bytes.push(key.id);
         let mut bytes = postcard::to_extend(claims, bytes).expect("claims can always be serialised");
         let mac = blake3::keyed_hash(&key.bytes, &bytes);
         bytes.extend_from_slice(&mac.as_bytes()[..MAC_LEN]);
-        Sealed(ByteBuf::from(bytes))
+        SealedToken(ByteBuf::from(bytes))
     }
 
     /// Verifies a token and decodes its claims. The MAC is checked before anything is decoded.
-    pub fn open(&self, sealed: &Sealed, now: Time) -> Result<Claims, TokenError> {
+    pub fn open(&self, sealed: &SealedToken, now: Time) -> Result<Claims, TokenError> {
         let Some(mac_start) = sealed.0.len().checked_sub(MAC_LEN) else {
             return Err(TokenError::Malformed);
         };
--- a/crates/token/tests/keyring.rs
+++ b/crates/token/tests/keyring.rs
@@ -15,11 +15,11 @@
 use units::Time;
 use wire::Answer;
 use wire::Chunk;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::MAX_PACKET_LEN;
 use wire::Packet;
 use wire::Reply;
-use wire::Sealed;
+use wire::SealedToken;
 
 const LIFETIME: Duration = Duration::from_hours(1);
 const ISSUED: Time = Time(1_000_000_000_000);
@@ -107,7 +107,7 @@
         for bit in 0..8 {
             let mut bytes = sealed.0.to_vec();
             bytes[index] ^= 1 << bit;
-            let opened = ring.open(&Sealed(ByteBuf::from(bytes)), ISSUED);
+            let opened = ring.open(&SealedToken(ByteBuf::from(bytes)), ISSUED);
             // The first byte is the key identifier.
             let expected = if index == 0 {
                 TokenError::UnknownKey
@@ -124,7 +124,7 @@
     let ring = keyring('a', &[]);
     let sealed = ring.seal(&claims());
     for len in 0..sealed.0.len() {
-        let truncated = Sealed(ByteBuf::from(&sealed.0[..len]));
+        let truncated = SealedToken(ByteBuf::from(&sealed.0[..len]));
         let expected = if len <= 16 {
             TokenError::Malformed
         } else {
@@ -134,7 +134,7 @@
     }
     let mut extended = sealed.0.to_vec();
     extended.push(0);
-    let extended = Sealed(ByteBuf::from(extended));
+    let extended = SealedToken(ByteBuf::from(extended));
     assert_eq!(ring.open(&extended, ISSUED), Err(TokenError::Forged));
 }
 
@@ -155,13 +155,13 @@
     let reply = Reply::Chunk(Chunk {
         flow: FlowId(u64::MAX),
         seq: RequestSeq(u64::MAX),
-        head: wire::Head {
+        head: wire::AnswerHeader {
             len: u32::MAX,
             ..answer.head
         },
         index: u32::MAX,
         data: ByteBuf::from(answer.chunk(0).expect("the answer has a chunk")),
-        granted: Some(Granted {
+        granted: Some(IssuedToken {
             token: ring.seal(&largest_claims()),
             floor: RequestSeq(u64::MAX),
         }),
--- a/crates/wire/benches/codec.rs
+++ b/crates/wire/benches/codec.rs
@@ -11,7 +11,7 @@
 use wire::Packet;
 use wire::Reply;
 use wire::Request;
-use wire::Sealed;
+use wire::SealedToken;
 
 fn main() {
     divan::main();
@@ -20,7 +20,7 @@
 /// A request of a usual size: a token of 80 bytes and a body of 200.
 fn request() -> Packet {
     Packet::Request(Request {
-        token: Sealed(ByteBuf::from(vec![7; 80])),
+        token: SealedToken(ByteBuf::from(vec![7; 80])),
         service: "availability".parse().expect("a valid name"),
         seq: RequestSeq(1_000),
         sent: RequestSeq(1_000),
@@ -70,7 +70,7 @@
 
 /// Random bytes cost less than a packet.
 #[divan::bench]
-fn refuse_garbage(bencher: Bencher<'_, '_>) {
+fn reject_garbage(bencher: Bencher<'_, '_>) {
     let bytes = vec![0x9f; wire::MAX_PACKET_LEN];
     bencher.bench(|| wire::decode_packet(black_box(&bytes)));
 }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -34,14 +34,14 @@
 
 /// What a caller needs to put an answer together and to check it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct AnswerHeader {
     /// The whole answer's length in bytes.
     pub len: u32,
     /// The whole answer's digest.
     pub digest: Digest,
 }
 
-impl Head {
+impl AnswerHeader {
     /// How many chunks the answer has, at least one.
     pub fn chunks(self) -> u32 {
         self.len.div_ceil(CHUNK_LEN as u32).max(1)
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// Length and digest of the body.
-    pub head: Head,
+    pub head: AnswerHeader,
     /// The body.
     pub body: ByteBuf,
 }
@@ -61,7 +61,7 @@
     /// An answer with this body.
     pub fn new(body: Vec<u8>) -> Self {
         let len = u32::try_from(body.len()).unwrap_or(u32::MAX);
-        let head = Head {
+        let head = AnswerHeader {
             len,
             digest: Digest::of(&body),
         };
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -16,7 +16,7 @@
 pub const MAX_FRAME_LEN: usize = 4 * 1_024 * 1_024;
 
 /// How deeply packets and frames may nest.
-const MAX_DEPTH: usize = 16;
+const MAX_NESTING_DEPTH: usize = 16;
 
 /// Why bytes could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -86,15 +86,15 @@
         return Err(DecodeError::TooLong);
     }
     let mut rest = bytes;
-    let item =
-        ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH).map_err(|error| read_error(&error))?;
+    let item = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_NESTING_DEPTH)
+        .map_err(|error| decode_error(&error))?;
     if !rest.is_empty() {
         return Err(DecodeError::Trailing);
     }
     Ok(item)
 }
 
-fn read_error<E>(error: &ciborium::de::Error<E>) -> DecodeError {
+fn decode_error<E>(error: &ciborium::de::Error<E>) -> DecodeError {
     match error {
         ciborium::de::Error::Io(_) => DecodeError::Truncated,
         _ => DecodeError::Malformed,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -108,7 +108,7 @@
     /// The upstream that the flow keeps, if the service pins flows.
     pub pinned: Option<UpstreamName>,
     /// Upstreams that have failed this request.
-    #[serde(deserialize_with = "crate::list::untrusted")]
+    #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub avoid: Vec<UpstreamName>,
 }
 
@@ -189,9 +189,9 @@
 
 /// What a ledger holds of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum RequestRecord {
     /// It waits for a slot. The new owner runs it.
-    Queued(Body),
+    Queued(QueuedRequest),
     /// It is in progress at this incarnation, which tells how it ends.
     Running(Incarnation),
     /// It ended with this answer.
@@ -204,7 +204,7 @@
 
 /// A request that waits, as it is handed over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Body {
+pub struct QueuedRequest {
     /// Where the reply goes.
     pub caller: SocketAddr,
     /// The availability zone in which it arrived.
@@ -212,7 +212,7 @@
     /// Whether an earlier call may have run it.
     pub in_doubt: bool,
     /// Upstreams that have failed it.
-    #[serde(deserialize_with = "crate::list::untrusted")]
+    #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub avoid: Vec<UpstreamName>,
     /// The request, with its token.
     pub request: Request,
@@ -232,13 +232,13 @@
     /// The highest number that the caller is known to have used.
     pub sent: RequestSeq,
     /// The requests still known one by one.
-    #[serde(deserialize_with = "crate::list::untrusted")]
-    pub entries: Vec<(RequestSeq, Entry)>,
+    #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
+    pub entries: Vec<(RequestSeq, RequestRecord)>,
 }
 
 /// One life of an instance. Its number alone doesn't name it: two that start in the same millisecond may draw the same.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct InstanceIncarnation {
     /// The instance.
     pub name: InstanceName,
     /// Its incarnation.
@@ -251,10 +251,10 @@
     /// The successor record that takes effect once all parts have arrived.
     pub successor: Successor,
     /// Those whose ledgers the stopping instance had taken over itself.
-    #[serde(deserialize_with = "crate::list::untrusted")]
-    pub inherited: Vec<Life>,
+    #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
+    pub inherited: Vec<InstanceIncarnation>,
     /// This part's ledgers.
-    #[serde(deserialize_with = "crate::list::untrusted")]
+    #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub flows: Vec<HandoverFlow>,
     /// This part's number, from zero.
     pub part: u32,
@@ -274,7 +274,7 @@
     /// The request.
     pub seq: RequestSeq,
     /// How it ended.
-    pub entry: Entry,
+    pub entry: RequestRecord,
 }
 
 /// A whole configuration document.
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -75,21 +75,21 @@
     #[serde(
         default,
         skip_serializing_if = "Vec::is_empty",
-        deserialize_with = "crate::list::untrusted"
+        deserialize_with = "crate::vec_without_prealloc::deserialize"
     )]
     pub members: Vec<Member>,
     /// News of hand-overs.
     #[serde(
         default,
         skip_serializing_if = "Vec::is_empty",
-        deserialize_with = "crate::list::untrusted"
+        deserialize_with = "crate::vec_without_prealloc::deserialize"
     )]
     pub successors: Vec<Successor>,
     /// News of leaving upstreams.
     #[serde(
         default,
         skip_serializing_if = "Vec::is_empty",
-        deserialize_with = "crate::list::untrusted"
+        deserialize_with = "crate::vec_without_prealloc::deserialize"
     )]
     pub leaving: Vec<LeavingUpstream>,
     /// The sender's configuration document, if it holds one.
--- a/crates/wire/src/packet.rs
+++ b/crates/wire/src/packet.rs
@@ -16,7 +16,7 @@
 /// A flow token as callers see it: opaque bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Sealed(pub ByteBuf);
+pub struct SealedToken(pub ByteBuf);
 
 /// A packet from a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     }
 
     /// The flow token, which only an `Open` lacks.
-    pub fn token(&self) -> Option<&Sealed> {
+    pub fn token(&self) -> Option<&SealedToken> {
         match self {
             Self::Open(_) => None,
             Self::Request(request) => Some(&request.token),
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// The flow's token.
-    pub token: Sealed,
+    pub token: SealedToken,
     /// The service that the caller means.
     pub service: ServiceName,
     /// This request's number within the flow.
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
     /// The flow's token.
-    pub token: Sealed,
+    pub token: SealedToken,
     /// The service that the caller means.
     pub service: ServiceName,
     /// The request whose answer is meant.
@@ -113,7 +113,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Done {
     /// The flow's token.
-    pub token: Sealed,
+    pub token: SealedToken,
     /// The service that the caller means.
     pub service: ServiceName,
     /// The request whose answer has arrived.
@@ -124,7 +124,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Close {
     /// The flow's token.
-    pub token: Sealed,
+    pub token: SealedToken,
     /// The service that the caller means.
     pub service: ServiceName,
 }
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -8,10 +8,10 @@
 use units::Nonce;
 use units::RequestSeq;
 
+use crate::AnswerHeader;
 use crate::Digest;
-use crate::Head;
 use crate::Reason;
-use crate::Sealed;
+use crate::SealedToken;
 use crate::Verdict;
 
 /// A packet to a caller.
@@ -29,9 +29,9 @@
 
 /// A token, and what a caller must know to adopt it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Granted {
+pub struct IssuedToken {
     /// The flow's token from now on.
-    pub token: Sealed,
+    pub token: SealedToken,
     /// Requests up to this number are not run under this token.
     ///
     /// A caller that has used a higher number keeps its old token and asks again.
@@ -46,7 +46,7 @@
     /// The flow, for logs and the time line.
     pub flow: FlowId,
     /// The token.
-    pub granted: Granted,
+    pub granted: IssuedToken,
 }
 
 /// The request is known, and its answer will follow.
@@ -66,18 +66,18 @@
     /// The request.
     pub seq: RequestSeq,
     /// The whole answer's length and digest.
-    pub head: Head,
+    pub head: AnswerHeader,
     /// This chunk's number, from zero.
     pub index: u32,
     /// This chunk's bytes.
     pub data: ByteBuf,
     /// A new token for the flow, when it has changed.
-    pub granted: Option<Granted>,
+    pub granted: Option<IssuedToken>,
 }
 
 /// What a refusal is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Subject {
+pub enum RefusalSubject {
     /// The `Open` with this nonce.
     Open(Nonce),
     /// This request of this flow.
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
     /// What is refused.
-    pub subject: Subject,
+    pub subject: RefusalSubject,
     /// Whether the request may have run.
     pub verdict: Verdict,
     /// Why it is refused.
@@ -100,5 +100,5 @@
     /// How long to wait before asking again.
     pub retry_after: Millis,
     /// A new token for the flow, when it has changed.
-    pub granted: Option<Granted>,
+    pub granted: Option<IssuedToken>,
 }
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/vec_without_prealloc.rs
@@ -11,17 +11,17 @@
 /// Reads a list, allocating for the items that come and not for those that are announced.
 ///
 /// Without this, a claim of a few bytes makes the library set aside up to a megabyte for each list.
-pub(crate) fn untrusted<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
+pub(crate) fn deserialize<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de>,
 {
-    deserializer.deserialize_seq(Items(PhantomData))
+    deserializer.deserialize_seq(VecVisitor(PhantomData))
 }
 
-struct Items<T>(PhantomData<T>);
+struct VecVisitor<T>(PhantomData<T>);
 
-impl<'de, T: Deserialize<'de>> Visitor<'de> for Items<T> {
+impl<'de, T: Deserialize<'de>> Visitor<'de> for VecVisitor<T> {
     type Value = Vec<T>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -17,31 +17,31 @@
 use wire::Accepted;
 use wire::Acquire;
 use wire::Answer;
-use wire::Body;
+use wire::AnswerHeader;
 use wire::Chunk;
 use wire::Digest;
 use wire::Document;
-use wire::Entry;
 use wire::Forward;
 use wire::Frame;
 use wire::Gossip;
-use wire::Granted;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Head;
+use wire::InstanceIncarnation;
+use wire::IssuedToken;
 use wire::LeavingUpstream;
-use wire::Life;
 use wire::Member;
 use wire::MemberState;
 use wire::Opened;
 use wire::Packet;
 use wire::Pull;
+use wire::QueuedRequest;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
 use wire::Request;
-use wire::Sealed;
-use wire::Subject;
+use wire::RequestRecord;
+use wire::SealedToken;
 use wire::Successor;
 use wire::TicketId;
 use wire::Verdict;
@@ -72,8 +72,8 @@
     vec(any::<u8>(), 0..=max).prop_map(ByteBuf::from)
 }
 
-fn sealed() -> impl Strategy<Value = Sealed> {
-    bytes(300).prop_map(Sealed)
+fn sealed() -> impl Strategy<Value = SealedToken> {
+    bytes(300).prop_map(SealedToken)
 }
 
 fn digest() -> impl Strategy<Value = Digest> {
@@ -92,8 +92,8 @@
     any::<u64>().prop_map(Incarnation)
 }
 
-fn granted() -> impl Strategy<Value = Granted> {
-    (sealed(), seq()).prop_map(|(token, floor)| Granted { token, floor })
+fn granted() -> impl Strategy<Value = IssuedToken> {
+    (sealed(), seq()).prop_map(|(token, floor)| IssuedToken { token, floor })
 }
 
 fn request() -> impl Strategy<Value = Request> {
@@ -146,12 +146,12 @@
     prop_oneof![Just(Reason::Overload), Just(Reason::OwnerGone), Just(Reason::Token)]
 }
 
-fn subject() -> impl Strategy<Value = Subject> {
+fn subject() -> impl Strategy<Value = RefusalSubject> {
     prop_oneof![
-        any::<u64>().prop_map(|nonce| Subject::Open(Nonce(nonce))),
-        (flow(), seq()).prop_map(|(flow, seq)| Subject::Request(flow, seq)),
-        (flow(), seq(), digest()).prop_map(|(flow, seq, digest)| Subject::Pull(flow, seq, digest)),
-        seq().prop_map(Subject::Unread),
+        any::<u64>().prop_map(|nonce| RefusalSubject::Open(Nonce(nonce))),
+        (flow(), seq()).prop_map(|(flow, seq)| RefusalSubject::Request(flow, seq)),
+        (flow(), seq(), digest()).prop_map(|(flow, seq, digest)| RefusalSubject::Pull(flow, seq, digest)),
+        seq().prop_map(RefusalSubject::Unread),
     ]
 }
 
@@ -165,7 +165,7 @@
         })
     });
     let accepted = (flow(), seq()).prop_map(|(flow, seq)| Reply::Accepted(Accepted { flow, seq }));
-    let head = (any::<u32>(), digest()).prop_map(|(len, digest)| Head { len, digest });
+    let head = (any::<u32>(), digest()).prop_map(|(len, digest)| AnswerHeader { len, digest });
     let chunk = ((flow(), seq()), head, any::<u32>(), bytes(600), option::of(granted())).prop_map(
         |((flow, seq), head, index, data, granted)| {
             Reply::Chunk(Chunk {
@@ -192,11 +192,11 @@
     prop_oneof![opened, accepted, chunk, refused]
 }
 
-fn entry() -> impl Strategy<Value = Entry> {
+fn entry() -> impl Strategy<Value = RequestRecord> {
     let place = (address(), name(), any::<(bool, u32)>());
     let queued =
         (place, vec(name(), 0..3), request()).prop_map(|((caller, zone, (in_doubt, millis)), avoid, request)| {
-            Entry::Queued(Body {
+            RequestRecord::Queued(QueuedRequest {
                 caller,
                 zone,
                 in_doubt,
@@ -205,14 +205,14 @@
                 remaining: Millis(millis),
             })
         });
-    let answered = vec(any::<u8>(), 0..500).prop_map(|body| Entry::Answered(Answer::new(body)));
-    let refused = (verdict(), reason()).prop_map(|(verdict, reason)| Entry::Refused(verdict, reason));
+    let answered = vec(any::<u8>(), 0..500).prop_map(|body| RequestRecord::Answered(Answer::new(body)));
+    let refused = (verdict(), reason()).prop_map(|(verdict, reason)| RequestRecord::Refused(verdict, reason));
     prop_oneof![
         queued,
         answered,
         refused,
-        incarnation().prop_map(Entry::Running),
-        Just(Entry::Forgotten)
+        incarnation().prop_map(RequestRecord::Running),
+        Just(RequestRecord::Forgotten)
     ]
 }
 
@@ -235,16 +235,20 @@
             entries,
         },
     );
-    let life = (name(), incarnation()).prop_map(|(name, incarnation)| Life { name, incarnation });
-    (successor(), vec(life, 0..3), vec(flow, 0..4), any::<(u32, u32)>()).prop_map(
-        |(successor, inherited, flows, (part, parts))| Handover {
+    let predecessor = (name(), incarnation()).prop_map(|(name, incarnation)| InstanceIncarnation { name, incarnation });
+    (
+        successor(),
+        vec(predecessor, 0..3),
+        vec(flow, 0..4),
+        any::<(u32, u32)>(),
+    )
+        .prop_map(|(successor, inherited, flows, (part, parts))| Handover {
             successor,
             inherited,
             flows,
             part,
             parts,
-        },
-    )
+        })
 }
 
 fn gossip() -> impl Strategy<Value = Gossip> {
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/malformed_input.rs
@@ -13,26 +13,26 @@
 use wire::MAX_PACKET_LEN;
 
 /// Allowed whatever the input is: small buffers and error texts.
-const FIXED_ALLOWANCE: usize = 16 * 1_024;
+const FIXED_ALLOCATION_LIMIT: usize = 16 * 1_024;
 /// Allowed for each byte of input. A list's items are larger in memory than on the wire, and lists grow by doubling.
-const ALLOWANCE_PER_BYTE: usize = 64;
+const ALLOCATION_LIMIT_PER_BYTE: usize = 64;
 
 thread_local! {
     static ALLOCATED: Cell<usize> = const { Cell::new(0) };
 }
 
 /// Counts what the present thread allocates.
-struct Counting;
+struct CountingAllocator;
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[expect(
     unsafe_code,
     reason = "an allocator can't be written otherwise, and only it sees what a decoder allocates"
 )]
 // SAFETY: every call goes to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED.set(ALLOCATED.get() + layout.size());
         // SAFETY: the caller's duties are the same here.
@@ -46,14 +46,14 @@
 }
 
 /// Gives the bytes to each decoder and counts what it allocates.
-fn decode_all(bytes: &[u8]) {
-    let allowed = FIXED_ALLOWANCE + ALLOWANCE_PER_BYTE * bytes.len();
-    check("packet", allowed, || wire::decode_packet(bytes).err());
-    check("reply", allowed, || wire::decode_reply(bytes).err());
-    check("frame", allowed, || wire::decode_frame(bytes).err());
+fn check_all_decoders(bytes: &[u8]) {
+    let allowed = FIXED_ALLOCATION_LIMIT + ALLOCATION_LIMIT_PER_BYTE * bytes.len();
+    check_allocation("packet", allowed, || wire::decode_packet(bytes).err());
+    check_allocation("reply", allowed, || wire::decode_reply(bytes).err());
+    check_allocation("frame", allowed, || wire::decode_frame(bytes).err());
 }
 
-fn check(what: &str, allowed: usize, decode: impl Fn() -> Option<DecodeError>) {
+fn check_allocation(what: &str, allowed: usize, decode: impl Fn() -> Option<DecodeError>) {
     ALLOCATED.set(0);
     let error = decode();
     let allocated = ALLOCATED.get();
@@ -64,7 +64,7 @@
 }
 
 /// Headers that claim four thousand millions and more of bytes, characters, items and pairs.
-const CLAIMS: [&[u8]; 8] = [
+const FALSE_LENGTH_HEADERS: [&[u8]; 8] = [
     &[0x5a, 0xff, 0xff, 0xff, 0xff],
     &[0x7a, 0xff, 0xff, 0xff, 0xff],
     &[0x9a, 0xff, 0xff, 0xff, 0xff],
@@ -76,7 +76,7 @@
 ];
 
 /// Puts claims in place of bytes: every one where a list may begin, and a sample elsewhere.
-fn claim_everywhere(bytes: &[u8]) {
+fn decode_with_false_lengths(bytes: &[u8]) {
     let step = bytes.len().div_ceil(100);
     for (at, byte) in bytes.iter().enumerate() {
         // These are the headers of lists, unless they are part of something else.
@@ -84,11 +84,11 @@
         if !list && at % step != 0 {
             continue;
         }
-        for claim in CLAIMS {
-            let mut lying = bytes[..at].to_vec();
-            lying.extend_from_slice(claim);
-            lying.extend_from_slice(&bytes[at + 1..]);
-            decode_all(&lying);
+        for header in FALSE_LENGTH_HEADERS {
+            let mut corrupted = bytes[..at].to_vec();
+            corrupted.extend_from_slice(header);
+            corrupted.extend_from_slice(&bytes[at + 1..]);
+            check_all_decoders(&corrupted);
         }
     }
 }
@@ -97,12 +97,12 @@
     #![proptest_config(common::config(24))]
 
     #[test]
-    fn random(bytes in proptest::collection::vec(any::<u8>(), 0..MAX_PACKET_LEN + 2)) {
-        decode_all(&bytes);
+    fn random_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..MAX_PACKET_LEN + 2)) {
+        check_all_decoders(&bytes);
     }
 
     #[test]
-    fn truncated(packet in common::packet(), reply in common::reply()) {
+    fn truncated_messages(packet in common::packet(), reply in common::reply()) {
         let bytes = wire::encode_packet(&packet);
         for len in 0..bytes.len() {
             prop_assert_eq!(wire::decode_packet(&bytes[..len]), Err(DecodeError::Truncated));
@@ -114,22 +114,22 @@
     }
 
     #[test]
-    fn trailing(packet in common::packet()) {
+    fn trailing_bytes(packet in common::packet()) {
         let mut bytes = wire::encode_packet(&packet);
         bytes.push(0);
         prop_assert_eq!(wire::decode_packet(&bytes), Err(DecodeError::Trailing));
     }
 
     #[test]
-    fn claims(packet in common::packet(), reply in common::reply(), frame in common::frame()) {
-        claim_everywhere(&wire::encode_packet(&packet));
-        claim_everywhere(&wire::encode_reply(&reply));
-        claim_everywhere(&wire::encode_frame(&frame));
+    fn false_lengths(packet in common::packet(), reply in common::reply(), frame in common::frame()) {
+        decode_with_false_lengths(&wire::encode_packet(&packet));
+        decode_with_false_lengths(&wire::encode_reply(&reply));
+        decode_with_false_lengths(&wire::encode_frame(&frame));
     }
 }
 
 #[test]
-fn oversized() {
+fn oversized_messages() {
     let bytes = vec![0; MAX_PACKET_LEN + 1];
     assert_eq!(wire::decode_packet(&bytes), Err(DecodeError::TooLong));
     assert_eq!(wire::decode_reply(&bytes), Err(DecodeError::TooLong));
@@ -139,9 +139,9 @@
 
 /// Arrays, maps, tags and byte strings of unknown length, one in the other.
 #[test]
-fn nested() {
+fn deeply_nested_items() {
     for opener in [0x81, 0xa1, 0xc1, 0x9f, 0xbf, 0x5f] {
-        decode_all(&[opener; MAX_PACKET_LEN]);
-        decode_all(&vec![opener; 100_000]);
+        check_all_decoders(&[opener; MAX_PACKET_LEN]);
+        check_all_decoders(&vec![opener; 100_000]);
     }
 }
--- a/crates/wire/tests/page.rs
+++ b/crates/wire/tests/protocol_page.rs
@@ -69,16 +69,16 @@
 }
 
 /// Checks that an example's two forms are the same, and that the codec writes what it reads.
-fn check(example: &Example, again: &[u8]) {
+fn check(example: &Example, reencoded: &[u8]) {
     let value: Value = ciborium::from_reader(example.bytes.as_slice()).expect("the bytes are CBOR");
     let mut text = String::new();
     notation(&value, 0, &mut text);
     assert_eq!(text, example.notation, "{}", example.title);
-    assert_eq!(again, example.bytes, "{}", example.title);
+    assert_eq!(reencoded, example.bytes, "{}", example.title);
 }
 
 #[test]
-fn examples_are_true() {
+fn protocol_examples_match_the_codec() {
     let page = include_str!("../../../docs/PROTOCOL.md");
     let packets = examples(page, "packet");
     let replies = examples(page, "reply");
@@ -99,7 +99,7 @@
 
 /// The sizes on the page are those of the code.
 #[test]
-fn sizes_are_true() {
+fn protocol_limits_match_the_constants() {
     let page = include_str!("../../../docs/PROTOCOL.md");
     let sizes = [
         format!("| Datagram, either way | {} bytes |", wire::MAX_PACKET_LEN),
@@ -113,7 +113,7 @@
 
 /// Every reason is explained on the page.
 #[test]
-fn reasons_are_explained() {
+fn every_reason_is_documented() {
     let page = include_str!("../../../docs/PROTOCOL.md");
     for reason in wire::Reason::ALL {
         let row = format!("| `{reason:?}` |");
