--- a/crates/wire/benches/codec.rs
+++ b/crates/wire/benches/codec.rs
@@ -1,4 +1,4 @@
-//! What reading and writing a packet costs.
+//! Benchmarks for encoding and decoding packets.
 
 use divan::Bencher;
 use divan::black_box;
@@ -17,23 +17,23 @@
     divan::main();
 }
 
-/// A request of a usual size: a token of 80 bytes and a body of 200.
+/// A request of typical size: an 80-byte token and a 200-byte body.
 fn request() -> Packet {
     Packet::Request(Request {
         token: SealedToken(ByteBuf::from(vec![7; 80])),
-        service: "availability".parse().expect("a valid name"),
+        service: "availability".parse().expect("valid name"),
         seq: RequestSeq(1_000),
         sent: RequestSeq(1_000),
-        kind: "hold".parse().expect("a valid name"),
+        kind: "hold".parse().expect("valid name"),
         timeout: Millis(2_000),
         body: ByteBuf::from(vec![7; 200]),
     })
 }
 
-/// A full chunk of a long answer.
+/// A chunk of maximum size from a long answer.
 fn chunk() -> Reply {
     let answer = Answer::new(vec![7; 100_000]);
-    let data = answer.chunk(1).expect("the answer has this chunk").to_vec();
+    let data = answer.chunk(1).expect("answer has more than one chunk").to_vec();
     Reply::Chunk(Chunk {
         flow: FlowId(1 << 60),
         seq: RequestSeq(1_000),
@@ -68,7 +68,7 @@
     bencher.bench(|| wire::encode_reply(black_box(&reply)));
 }
 
-/// Random bytes cost less than a packet.
+/// Rejecting garbage must cost less than decoding a valid packet.
 #[divan::bench]
 fn reject_garbage(bencher: Bencher<'_, '_>) {
     let bytes = vec![0x9f; wire::MAX_PACKET_LEN];
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of upstreams, cut into chunks that fit a datagram.
+//! Upstream answers, split into chunks that fit into a datagram.
 
 use std::fmt;
 
@@ -6,15 +6,15 @@
 use serde::Serialize;
 use serde_bytes::ByteBuf;
 
-/// How many bytes of an answer one packet carries at most. It leaves room for the largest token beside it.
+/// Maximum number of answer bytes in one packet. Leaves room in the datagram for the largest token.
 pub const CHUNK_LEN: usize = 800;
 
-/// The first 16 bytes of a BLAKE3 hash.
+/// A BLAKE3 hash truncated to its first 16 bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(#[serde(with = "serde_bytes")] pub [u8; 16]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         let hash = blake3::hash(bytes);
         let mut short = [0; 16];
@@ -32,33 +32,33 @@
     }
 }
 
-/// What a caller needs to put an answer together and to check it.
+/// Length and digest of an answer, which a caller uses to reassemble and verify it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHeader {
-    /// The whole answer's length in bytes.
+    /// Length of the complete answer in bytes.
     pub len: u32,
-    /// The whole answer's digest.
+    /// Digest of the complete answer.
     pub digest: Digest,
 }
 
 impl AnswerHeader {
-    /// How many chunks the answer has, at least one.
+    /// Number of chunks in the answer. An empty answer still has one.
     pub fn chunks(self) -> u32 {
         self.len.div_ceil(CHUNK_LEN as u32).max(1)
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// Length and digest of the body.
     pub head: AnswerHeader,
-    /// The body.
+    /// The body of the answer.
     pub body: ByteBuf,
 }
 
 impl Answer {
-    /// An answer with this body.
+    /// Creates an answer and computes the length and digest of `body`.
     pub fn new(body: Vec<u8>) -> Self {
         let len = u32::try_from(body.len()).unwrap_or(u32::MAX);
         let head = AnswerHeader {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The chunk with this number, if the answer has it.
+    /// Returns the chunk at `index`, or `None` if the index is out of range.
     pub fn chunk(&self, index: u32) -> Option<&[u8]> {
         if index >= self.head.chunks() {
             return None;
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! CBOR to and from packets, replies and frames.
+//! CBOR encoding and decoding of packets, replies and frames.
 
 use std::fmt;
 
@@ -9,35 +9,35 @@
 use crate::Packet;
 use crate::Reply;
 
-/// The longest datagram to or from a caller, in bytes.
+/// Maximum length of a datagram to or from a caller, in bytes.
 pub const MAX_PACKET_LEN: usize = 1_200;
 
-/// The longest frame between instances, in bytes.
+/// Maximum length of a frame between instances, in bytes.
 pub const MAX_FRAME_LEN: usize = 4 * 1_024 * 1_024;
 
-/// How deeply packets and frames may nest.
+/// Maximum nesting depth of CBOR items in a message.
 const MAX_NESTING_DEPTH: usize = 16;
 
-/// Why bytes could not be read.
+/// An error while decoding a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DecodeError {
-    /// There are more bytes than the kind of message may have.
+    /// The input exceeds the maximum length for this type of message.
     TooLong,
-    /// The bytes end too soon.
+    /// The input ends before the message is complete.
     Truncated,
-    /// The bytes are not CBOR, or not of the expected shape.
+    /// The input is not valid CBOR, or does not match the expected type.
     Malformed,
-    /// Bytes follow after the item.
+    /// The input continues after the end of the message.
     Trailing,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            Self::TooLong => "the message is too long",
-            Self::Truncated => "the message ends too soon",
-            Self::Malformed => "the message is malformed",
-            Self::Trailing => "the message has bytes after its end",
+            Self::TooLong => "the message exceeds the maximum length",
+            Self::Truncated => "the message is truncated",
+            Self::Malformed => "the message is not valid CBOR of the expected type",
+            Self::Trailing => "unexpected bytes after the end of the message",
         };
         f.write_str(text)
     }
@@ -45,39 +45,40 @@
 
 impl std::error::Error for DecodeError {}
 
-/// Reads a datagram from a caller.
+/// Decodes a datagram sent by a caller.
 pub fn decode_packet(bytes: &[u8]) -> Result<Packet, DecodeError> {
     decode(bytes, MAX_PACKET_LEN)
 }
 
-/// Reads a datagram from an instance.
+/// Decodes a datagram sent by an instance to a caller.
 pub fn decode_reply(bytes: &[u8]) -> Result<Reply, DecodeError> {
     decode(bytes, MAX_PACKET_LEN)
 }
 
-/// Reads a frame from another instance.
+/// Decodes a frame sent by another instance.
 pub fn decode_frame(bytes: &[u8]) -> Result<Frame, DecodeError> {
     decode(bytes, MAX_FRAME_LEN)
 }
 
-/// Writes a datagram for an instance.
+/// Encodes a datagram to be sent to an instance.
 pub fn encode_packet(packet: &Packet) -> Vec<u8> {
     encode(packet)
 }
 
-/// Writes a datagram for a caller.
+/// Encodes a datagram to be sent to a caller.
 pub fn encode_reply(reply: &Reply) -> Vec<u8> {
     encode(reply)
 }
 
-/// Writes a frame for another instance.
+/// Encodes a frame to be sent to another instance.
 pub fn encode_frame(frame: &Frame) -> Vec<u8> {
     encode(frame)
 }
 
 fn encode<T: Serialize>(item: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
-    ciborium::into_writer(item, &mut bytes).expect("a vector takes every write, and every message has a CBOR form");
+    ciborium::into_writer(item, &mut bytes)
+        .expect("writing to a Vec cannot fail, and every message type can be encoded as CBOR");
     bytes
 }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames between instances.
+//! Frames exchanged between instances.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -30,58 +30,59 @@
 /// A frame from one instance to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A caller's packet, for the instance that owns its flow.
+    /// Forwards a caller's packet to the instance that owns its flow.
     Forward(Forward),
-    /// Asks the home of a service for a slot.
+    /// Requests an upstream slot from the home of a service.
     Acquire(Acquire),
-    /// Takes an `Acquire` back.
+    /// Cancels an `Acquire`.
     Withdraw(TicketId),
-    /// Lends a slot.
+    /// Grants a slot.
     Grant(Grant),
-    /// Refuses a slot.
+    /// Denies a slot.
     Deny(Deny),
-    /// Gives a slot back and tells how it went.
+    /// Releases a slot and reports the outcome of the call.
     Settle(Settle),
-    /// Tells a new home about a slot that is already in use.
+    /// Reports a slot that is already in use to the new home of a service.
     Hold(Hold),
-    /// A part of the ledgers of an instance that stops.
+    /// Transfers a part of the request records of an instance that is stopping.
     Handover(Handover),
-    /// All parts of this incarnation's ledgers have arrived.
+    /// Confirms that all parts of this incarnation's handover have arrived.
     HandoverDone(Incarnation),
-    /// The receiver stops too: it has taken over nothing of this incarnation and never will.
+    /// Rejects the handover of this incarnation, because the receiver is stopping too. The receiver has taken over none
+    /// of it and never will.
     HandoverRefused(Incarnation),
-    /// A request that was in progress at hand-over has ended.
+    /// Reports the end of a request that was in progress during a handover.
     Resolved(Resolved),
-    /// Asks whether the receiver is alive.
+    /// Checks whether the receiver is alive.
     Probe(u64, Gossip),
-    /// Answers a probe.
+    /// Acknowledges a probe.
     ProbeAck(u64, Gossip),
-    /// Asks the receiver to probe another member.
+    /// Asks the receiver to probe another member on behalf of the sender.
     ProbeFor(u64, InstanceName),
-    /// News that should not wait for a probe.
+    /// Gossip that is sent at once, without waiting for the next probe.
     News(Gossip),
-    /// Asks for the configuration document, naming the revision already held.
+    /// Requests the configuration document, stating the revision that the sender already has.
     Want(Option<Revision>),
-    /// A whole configuration document.
+    /// Sends a complete configuration document.
     Document(Document),
-    /// What changed between two configuration documents.
+    /// Sends the difference between two configuration documents.
     Delta(Delta),
 }
 
-/// A caller's packet on its way to the owner of its flow.
+/// A caller's packet, forwarded to the owner of its flow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
-    /// Where the reply goes.
+    /// The address to which the reply is sent.
     pub caller: SocketAddr,
     /// The availability zone in which the packet arrived.
     pub zone: ZoneName,
     /// The packet.
     pub packet: Packet,
-    /// How many instances have passed the packet on.
+    /// Number of instances that have forwarded the packet.
     pub hops: u8,
 }
 
-/// Names a slot request. Unique within the owner's incarnation.
+/// Identifies a slot request. Unique within the incarnation of the flow's owner.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TicketId(pub u64);
@@ -92,10 +93,10 @@
     }
 }
 
-/// Asks the home of a service for a slot.
+/// Requests an upstream slot from the home of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Acquire {
-    /// Names this request for a slot.
+    /// Identifies this slot request.
     pub ticket: TicketId,
     /// The service.
     pub service: ServiceName,
@@ -103,56 +104,56 @@
     pub kind: KindName,
     /// The availability zone in which the packet arrived.
     pub zone: ZoneName,
-    /// How long until the deadline.
+    /// Time remaining until the deadline.
     pub remaining: Millis,
-    /// The upstream that the flow keeps, if the service pins flows.
+    /// The upstream that the flow is pinned to, if the service pins flows.
     pub pinned: Option<UpstreamName>,
-    /// Upstreams that have failed this request.
+    /// Upstreams to avoid, because a call for this request has already failed there.
     #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub avoid: Vec<UpstreamName>,
 }
 
-/// Lends a slot of an upstream.
+/// Grants a slot at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The request for a slot.
+    /// The slot request.
     pub ticket: TicketId,
     /// The upstream to call.
     pub upstream: UpstreamName,
 }
 
-/// Refuses a slot.
+/// Denies a slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Deny {
-    /// The request for a slot.
+    /// The slot request.
     pub ticket: TicketId,
-    /// Why.
+    /// The reason for the denial.
     pub reason: Reason,
-    /// When asking again makes sense.
+    /// How long to wait before retrying.
     pub retry_after: Millis,
 }
 
-/// How a call to an upstream ended.
+/// The outcome of a call to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A whole answer came.
+    /// A complete answer was received.
     Completed,
-    /// The upstream refused before it began; the request has not run.
+    /// The upstream shed the request before starting it; the request has not run.
     Shed,
-    /// The upstream says that it takes no more work; the request has not run.
+    /// The upstream is draining and accepts no new requests; the request has not run.
     Draining,
-    /// No connection could be made; the request has not run.
+    /// No connection could be established; the request has not run.
     Unreachable,
-    /// The call failed after it was sent; the request may have run.
+    /// The call failed after the request was sent; the request may have run.
     Failed,
-    /// The deadline passed; the request may have run.
+    /// The deadline expired; the request may have run.
     TimedOut,
     /// The slot was not used.
     Unused,
 }
 
 impl Outcome {
-    /// Whether a request with this outcome has run.
+    /// Returns whether a request with this outcome may have run.
     pub fn verdict(self) -> Verdict {
         match self {
             Self::Shed | Self::Draining | Self::Unreachable | Self::Unused => Verdict::NotRun,
@@ -161,111 +162,112 @@
     }
 }
 
-/// Gives a slot back.
+/// Releases a slot and reports the outcome of the call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settle {
-    /// The request for a slot.
+    /// The slot request.
     pub ticket: TicketId,
     /// The service.
     pub service: ServiceName,
-    /// How the call ended.
+    /// The outcome of the call.
     pub outcome: Outcome,
     /// How long the call took.
     pub took: Duration,
 }
 
-/// Tells a new home about a slot that is already in use.
+/// Reports a slot that is already in use to the new home of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// The request for a slot.
+    /// The slot request.
     pub ticket: TicketId,
     /// The service.
     pub service: ServiceName,
     /// The upstream in use.
     pub upstream: UpstreamName,
-    /// How long until the deadline.
+    /// Time remaining until the deadline.
     pub remaining: Millis,
 }
 
-/// What a ledger holds of one request.
+/// The recorded state of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestRecord {
-    /// It waits for a slot. The new owner runs it.
+    /// The request is waiting for a slot. The new owner runs it.
     Queued(QueuedRequest),
-    /// It is in progress at this incarnation, which tells how it ends.
+    /// The request is in progress at this incarnation, which reports its end.
     Running(Incarnation),
-    /// It ended with this answer.
+    /// The request ended with this answer.
     Answered(Answer),
-    /// It ran, and its answer is no longer held.
+    /// The request ran, and its answer has been discarded.
     Forgotten,
-    /// It was refused for good.
+    /// The request was finally refused.
     Refused(Verdict, Reason),
 }
 
-/// A request that waits, as it is handed over.
+/// A request that is waiting for a slot, as transferred in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueuedRequest {
-    /// Where the reply goes.
+    /// The address to which the reply is sent.
     pub caller: SocketAddr,
-    /// The availability zone in which it arrived.
+    /// The availability zone in which the request arrived.
     pub zone: ZoneName,
-    /// Whether an earlier call may have run it.
+    /// Whether an earlier call may have run the request.
     pub in_doubt: bool,
-    /// Upstreams that have failed it.
+    /// Upstreams to avoid, because a call for this request has already failed there.
     #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub avoid: Vec<UpstreamName>,
-    /// The request, with its token.
+    /// The request, including its token.
     pub request: Request,
-    /// How long until its deadline.
+    /// Time remaining until the deadline.
     pub remaining: Millis,
 }
 
-/// A flow's ledger, as it is handed over.
+/// The request records of a flow, as transferred in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverFlow {
     /// The incarnation that issued the flow's token.
     pub owner: Incarnation,
     /// The flow.
     pub flow: FlowId,
-    /// Requests up to this number have ended or will never run, unless `entries` tells otherwise.
+    /// Requests with sequence numbers up to this one have ended or will never run, unless `entries` says otherwise.
     pub floor: RequestSeq,
-    /// The highest number that the caller is known to have used.
+    /// The highest sequence number that the caller is known to have used.
     pub sent: RequestSeq,
-    /// The requests still known one by one.
+    /// The requests whose state is still recorded individually.
     #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub entries: Vec<(RequestSeq, RequestRecord)>,
 }
 
-/// One life of an instance. Its number alone doesn't name it: two that start in the same millisecond may draw the same.
+/// The name and incarnation of an instance. The incarnation alone is not unique: two instances that start in the same
+/// millisecond may draw the same number.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct InstanceIncarnation {
-    /// The instance.
+    /// The name of the instance.
     pub name: InstanceName,
-    /// Its incarnation.
+    /// The incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
-/// A part of the ledgers of an instance that stops.
+/// A part of the request records of an instance that is stopping.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
-    /// The successor record that takes effect once all parts have arrived.
+    /// The successor record, which takes effect once all parts have arrived.
     pub successor: Successor,
-    /// Those whose ledgers the stopping instance had taken over itself.
+    /// Incarnations whose request records the stopping instance had itself taken over.
     #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub inherited: Vec<InstanceIncarnation>,
-    /// This part's ledgers.
+    /// The flows in this part.
     #[serde(deserialize_with = "crate::vec_without_prealloc::deserialize")]
     pub flows: Vec<HandoverFlow>,
-    /// This part's number, from zero.
+    /// Zero-based index of this part.
     pub part: u32,
-    /// How many parts there are. Nothing takes effect before all have arrived.
+    /// Total number of parts. The handover takes effect only once all parts have arrived.
     pub parts: u32,
 }
 
-/// A request that was in progress at hand-over has ended.
+/// Reports the end of a request that was in progress during a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resolved {
-    /// The incarnation at which it was in progress.
+    /// The incarnation at which the request was in progress.
     pub at: Incarnation,
     /// The incarnation that issued the flow's token.
     pub owner: Incarnation,
@@ -273,32 +275,32 @@
     pub flow: FlowId,
     /// The request.
     pub seq: RequestSeq,
-    /// How it ended.
+    /// The final state of the request.
     pub entry: RequestRecord,
 }
 
-/// A whole configuration document.
+/// A complete configuration document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its revision.
+    /// The revision of the document.
     pub revision: Revision,
-    /// Its text, as it was approved.
+    /// The text of the document, as approved.
     pub text: ByteBuf,
 }
 
-/// What changed between two configuration documents.
+/// The difference between two configuration documents: one replaced byte range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The digest of the document it applies to.
+    /// Digest of the document to which the delta applies.
     pub base: Digest,
-    /// The revision that results.
+    /// Revision of the resulting document.
     pub revision: Revision,
-    /// The digest of the document that results.
+    /// Digest of the resulting document.
     pub digest: Digest,
-    /// The byte range of the old text that is replaced.
+    /// Start of the replaced byte range in the old text.
     pub start: u64,
-    /// The end of that range.
+    /// End of the replaced byte range, exclusive.
     pub end: u64,
-    /// What replaces it.
+    /// The replacement bytes.
     pub insert: ByteBuf,
 }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell one another about the fleet, riding on probes.
+//! Membership gossip between instances, piggybacked on probes.
 
 use std::net::SocketAddr;
 
@@ -12,87 +12,90 @@
 
 use crate::Digest;
 
-/// How an instance fares, from best to worst. For one incarnation the worse report wins, but for a refutation.
+/// The state of a fleet member, ordered from best to worst. Of two reports about the same incarnation, the worse one
+/// takes precedence unless the member has refuted it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The instance answers probes.
     Alive,
-    /// It missed a probe and has some time to refute this.
+    /// The instance missed a probe and can refute the suspicion within a limited time.
     Suspect,
-    /// It is on a planned stop: it is home of nothing, but still owns flows.
+    /// The instance is shutting down as planned: it is no longer home of any service, but still owns flows.
     Leaving,
-    /// It is gone.
+    /// The instance has failed or left.
     Dead,
 }
 
-/// What is known of an instance.
+/// What the sender knows about a member of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The name of the instance.
     pub name: InstanceName,
-    /// Its life.
+    /// The incarnation that this report is about.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The availability zone of the instance.
     pub zone: ZoneName,
-    /// Where it listens for other instances.
+    /// The address on which the instance listens for other instances.
     pub address: SocketAddr,
-    /// How it fares.
+    /// The reported state.
     pub state: MemberState,
-    /// Counts its refutations: a higher one replaces any report of `Alive` or `Suspect` with a lower one.
+    /// Number of refutations by this incarnation. A report with a higher number replaces any report of `Alive` or
+    /// `Suspect` with a lower one.
     pub refutation: u32,
 }
 
-/// The ledgers of an incarnation have moved to another.
+/// The successor of an incarnation: the incarnation that has taken over its request records.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Successor {
     /// The instance that stopped.
     pub from: InstanceName,
-    /// Its incarnation.
+    /// The incarnation that stopped.
     pub from_incarnation: Incarnation,
-    /// The instance that holds the ledgers now.
+    /// The instance that holds the request records now.
     pub to: InstanceName,
-    /// Its incarnation.
+    /// The incarnation that holds them.
     pub to_incarnation: Incarnation,
 }
 
-/// An incarnation of an upstream that gets no new work any more.
+/// An incarnation of an upstream that receives no new requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeavingUpstream {
     /// The upstream.
     pub name: UpstreamName,
-    /// Its incarnation.
+    /// The incarnation that is leaving.
     pub incarnation: Incarnation,
 }
 
-/// News for another instance. Every list is short; what does not fit rides on a later probe. Empty lists take no bytes.
+/// Membership updates for another instance. Every list is short: updates that do not fit are sent with a later probe.
+/// Empty lists are omitted from the encoding.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// A hash over the members, hand-overs and leaving upstreams that the sender knows. Two that differ for long
-    /// exchange all they know. Zero where the frame does not ask for that.
+    /// Hash of the members, handovers and leaving upstreams known to the sender. Instances whose hashes differ for long
+    /// exchange their full state. Zero if the frame does not ask for this comparison.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub view: u64,
-    /// News of members.
+    /// Member updates.
     #[serde(
         default,
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "crate::vec_without_prealloc::deserialize"
     )]
     pub members: Vec<Member>,
-    /// News of hand-overs.
+    /// Handover updates.
     #[serde(
         default,
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "crate::vec_without_prealloc::deserialize"
     )]
     pub successors: Vec<Successor>,
-    /// News of leaving upstreams.
+    /// Updates about leaving upstreams.
     #[serde(
         default,
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "crate::vec_without_prealloc::deserialize"
     )]
     pub leaving: Vec<LeavingUpstream>,
-    /// The sender's configuration document, if it holds one.
+    /// Revision and digest of the sender's configuration document, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub document: Option<(Revision, Digest)>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Packets between callers and instances, and frames between instances.
+//! Message types and CBOR encoding for packets between callers and instances, and frames between instances.
 //!
-//! This crate holds data and its encoding. It decides nothing, does no I/O and reads no clock. A decoder allocates
-//! no more than the input is long, whatever the input claims.
+//! This crate contains only data types and their encoding: no protocol logic, no I/O and no clock access. Decoders
+//! allocate in proportion to the bytes received, never to a length that the input declares.
 
 mod answer;
 mod codec;
--- a/crates/wire/src/packet.rs
+++ b/crates/wire/src/packet.rs
@@ -1,4 +1,4 @@
-//! What a caller sends: one CBOR item per datagram.
+//! Packets sent by callers, encoded as one CBOR item per datagram.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 
 use crate::Digest;
 
-/// A flow token as callers see it: opaque bytes.
+/// A flow token in sealed form, which callers treat as opaque bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SealedToken(pub ByteBuf);
@@ -23,18 +23,18 @@
 pub enum Packet {
     /// Starts a flow.
     Open(Open),
-    /// Asks for one piece of work.
+    /// Submits a request.
     Request(Request),
-    /// Asks for further chunks of a long answer.
+    /// Requests further chunks of a long answer.
     Pull(Pull),
-    /// Says that an answer has arrived whole and need not be kept.
+    /// Acknowledges a complete answer, which the instance may then discard.
     Done(Done),
     /// Ends a flow.
     Close(Close),
 }
 
 impl Packet {
-    /// The service that the caller means.
+    /// The service that the caller addresses.
     pub fn service(&self) -> &ServiceName {
         match self {
             Self::Open(open) => &open.service,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The flow token, which only an `Open` lacks.
+    /// The flow token. Only `Open` has none.
     pub fn token(&self) -> Option<&SealedToken> {
         match self {
             Self::Open(_) => None,
@@ -57,64 +57,64 @@
     }
 }
 
-/// Starts a flow at a service.
+/// Starts a flow with a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
-    /// Matches the answer to this packet.
+    /// Correlates the reply with this packet.
     pub nonce: Nonce,
-    /// The service that the caller means.
+    /// The service that the caller addresses.
     pub service: ServiceName,
-    /// The service address that the caller dialled.
+    /// The service address to which the caller sent the packet.
     pub address: SocketAddr,
 }
 
-/// One piece of work. A retransmission repeats the packet byte for byte.
+/// A request within a flow. A retransmission repeats the packet byte for byte.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// The flow's token.
     pub token: SealedToken,
-    /// The service that the caller means.
+    /// The service that the caller addresses.
     pub service: ServiceName,
-    /// This request's number within the flow.
+    /// The sequence number of this request within the flow.
     pub seq: RequestSeq,
-    /// The highest number that the caller has used in this flow.
+    /// The highest sequence number that the caller has used in this flow.
     pub sent: RequestSeq,
-    /// The kind of request, which the document describes.
+    /// The kind of request, as defined in the configuration document.
     pub kind: KindName,
-    /// How long the caller waits for the answer, from the first transmission on.
+    /// How long the caller waits for the answer, measured from the first transmission.
     pub timeout: Millis,
-    /// What the upstream gets.
+    /// The payload passed to the upstream.
     pub body: ByteBuf,
 }
 
-/// Asks for chunks of a long answer.
+/// Requests chunks of a long answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pull {
     /// The flow's token.
     pub token: SealedToken,
-    /// The service that the caller means.
+    /// The service that the caller addresses.
     pub service: ServiceName,
-    /// The request whose answer is meant.
+    /// The request that the answer belongs to.
     pub seq: RequestSeq,
-    /// The digest from the answer's head.
+    /// The digest from the [`AnswerHeader`](crate::AnswerHeader).
     pub digest: Digest,
-    /// The first chunk wanted.
+    /// Index of the first requested chunk.
     pub first: u32,
-    /// How many chunks are wanted, at most [`Pull::MAX_COUNT`].
+    /// Number of requested chunks, at most [`Pull::MAX_COUNT`].
     pub count: u8,
 }
 
 impl Pull {
-    /// The most chunks that one packet may ask for.
+    /// Maximum number of chunks that one packet may request.
     pub const MAX_COUNT: u8 = 16;
 }
 
-/// Says that an answer has arrived whole.
+/// Acknowledges that a complete answer has arrived.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Done {
     /// The flow's token.
     pub token: SealedToken,
-    /// The service that the caller means.
+    /// The service that the caller addresses.
     pub service: ServiceName,
     /// The request whose answer has arrived.
     pub seq: RequestSeq,
@@ -125,6 +125,6 @@
 pub struct Close {
     /// The flow's token.
     pub token: SealedToken,
-    /// The service that the caller means.
+    /// The service that the caller addresses.
     pub service: ServiceName,
 }
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -1,4 +1,4 @@
-//! What an instance sends to a caller: one CBOR item per datagram.
+//! Packets sent to callers, encoded as one CBOR item per datagram.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,42 +14,42 @@
 use crate::SealedToken;
 use crate::Verdict;
 
-/// A packet to a caller.
+/// A packet from an instance to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// A flow was started.
+    /// Confirms that a flow was started.
     Opened(Opened),
-    /// The request is known, and its answer will follow.
+    /// Acknowledges a request whose answer will follow.
     Accepted(Accepted),
-    /// A chunk of an answer. The first one comes unasked.
+    /// A chunk of an answer. The first chunk is sent without a [`Pull`](crate::Pull).
     Chunk(Chunk),
-    /// The final answer to a packet that was refused.
+    /// Refuses a packet. The refusal is final.
     Refused(Refused),
 }
 
-/// A token, and what a caller must know to adopt it.
+/// A token issued for a flow, with the sequence number that decides whether the caller may adopt it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IssuedToken {
-    /// The flow's token from now on.
+    /// The token that replaces any earlier token of the flow.
     pub token: SealedToken,
-    /// Requests up to this number are not run under this token.
+    /// Requests with sequence numbers up to this one do not run under this token.
     ///
-    /// A caller that has used a higher number keeps its old token and asks again.
+    /// A caller that has already used a higher sequence number keeps its old token and asks again.
     pub floor: RequestSeq,
 }
 
-/// A flow was started.
+/// Confirms that a flow was started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opened {
-    /// The nonce of the `Open`.
+    /// The nonce of the `Open` packet.
     pub nonce: Nonce,
-    /// The flow, for logs and the time line.
+    /// The flow, for logs and the timeline.
     pub flow: FlowId,
     /// The token.
     pub granted: IssuedToken,
 }
 
-/// The request is known, and its answer will follow.
+/// Acknowledges a request whose answer will follow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// The flow.
@@ -65,40 +65,40 @@
     pub flow: FlowId,
     /// The request.
     pub seq: RequestSeq,
-    /// The whole answer's length and digest.
+    /// Length and digest of the complete answer.
     pub head: AnswerHeader,
-    /// This chunk's number, from zero.
+    /// Zero-based index of this chunk.
     pub index: u32,
-    /// This chunk's bytes.
+    /// The bytes of this chunk.
     pub data: ByteBuf,
-    /// A new token for the flow, when it has changed.
+    /// A new token for the flow, if it has changed.
     pub granted: Option<IssuedToken>,
 }
 
-/// What a refusal is about.
+/// Identifies the packet that a refusal refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalSubject {
-    /// The `Open` with this nonce.
+    /// The `Open` packet with this nonce.
     Open(Nonce),
-    /// This request of this flow.
+    /// The request with this flow and sequence number.
     Request(FlowId, RequestSeq),
-    /// The pull of this answer.
+    /// The `Pull` of the answer with this flow, sequence number and digest.
     Pull(FlowId, RequestSeq, Digest),
-    /// A packet whose token could not be read: the request number it claims.
+    /// A packet whose token could not be opened, identified by the sequence number that it states.
     Unread(RequestSeq),
 }
 
-/// A final refusal.
+/// The final refusal of a packet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// What is refused.
+    /// The packet that is refused.
     pub subject: RefusalSubject,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it is refused.
+    /// The reason for the refusal.
     pub reason: Reason,
-    /// How long to wait before asking again.
+    /// How long to wait before retrying.
     pub retry_after: Millis,
-    /// A new token for the flow, when it has changed.
+    /// A new token for the flow, if it has changed.
     pub granted: Option<IssuedToken>,
 }
--- a/crates/wire/src/vec_without_prealloc.rs
+++ b/crates/wire/src/vec_without_prealloc.rs
@@ -1,4 +1,4 @@
-//! Lists that are read without trust in their claimed length.
+//! Deserialization of lists whose declared length is not trusted.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -8,9 +8,10 @@
 use serde::de::SeqAccess;
 use serde::de::Visitor;
 
-/// Reads a list, allocating for the items that come and not for those that are announced.
+/// Deserializes a list, allocating only for items that are actually present.
 ///
-/// Without this, a claim of a few bytes makes the library set aside up to a megabyte for each list.
+/// Serde's own implementation for `Vec` preallocates up to a megabyte per list based on the declared length, so a few
+/// bytes of input could cause large allocations.
 pub(crate) fn deserialize<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/wire/src/verdict.rs
+++ b/crates/wire/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether a request may have run, and why it was not answered.
+//! Refusals: whether the request may have run, and the reason.
 
 use std::fmt;
 
@@ -8,9 +8,9 @@
 /// Whether a refused request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// No copy of the request has run or will ever run.
+    /// No copy of the request has run, and none will.
     NotRun,
-    /// The request ran, runs or may still run.
+    /// The request has run, is running or may still run.
     MayHaveRun,
 }
 
@@ -29,32 +29,32 @@
 pub enum Reason {
     /// The deadline cannot be met, or the queue is full.
     Overload,
-    /// The deadline passed before an answer came.
+    /// The deadline expired before an answer arrived.
     Deadline,
-    /// The packet's service is not the one that its token or its address names.
+    /// The packet names a different service than its token or service address.
     WrongService,
-    /// No service of this name or address, or no such kind of request.
+    /// There is no service with this name or address, or it has no such kind of request.
     Unknown,
-    /// The token is forged, expired or of a key that is no longer held.
+    /// The token is forged or expired, or was sealed with a key that has been discarded.
     Token,
-    /// The instance that owns the flow is gone, or cannot be reached from here.
+    /// The instance that owns the flow has stopped or is unreachable from this instance.
     OwnerGone,
-    /// The request's number is too old for the owner to know what became of it.
+    /// The sequence number is so old that the owner has discarded the request's state.
     TooOld,
-    /// No upstream serves now.
+    /// No upstream is currently available.
     NoUpstream,
-    /// The upstream failed, or its answer could not be used.
+    /// The upstream failed, or returned an unusable answer.
     Upstream,
-    /// The answer is no longer held.
+    /// The answer has been discarded.
     AnswerGone,
-    /// The instance holds no configuration document yet.
+    /// The instance has not received a configuration document yet.
     NoDocument,
-    /// A limit on flows, requests or memory was reached.
+    /// A limit on flows, requests or memory has been reached.
     Limit,
 }
 
 impl Reason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Self; 12] = [
         Self::Overload,
         Self::Deadline,
@@ -70,7 +70,7 @@
         Self::Limit,
     ];
 
-    /// The reason as a metric label and in logs.
+    /// The name used in metric labels and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Overload => "overload",
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies for messages.
+//! Proptest strategies for messages.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 use wire::TicketId;
 use wire::Verdict;
 
-/// A fixed seed, so that a failure is met again.
+/// Uses a fixed seed, so that failures are reproducible.
 pub fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -61,7 +61,7 @@
     T: std::str::FromStr + std::fmt::Debug,
     T::Err: std::fmt::Debug,
 {
-    "[a-z][a-z0-9-]{0,62}".prop_map(|text| text.parse().expect("the pattern gives valid names"))
+    "[a-z][a-z0-9-]{0,62}".prop_map(|text| text.parse().expect("the pattern only matches valid names"))
 }
 
 fn address() -> impl Strategy<Value = SocketAddr> {
@@ -111,7 +111,7 @@
     })
 }
 
-/// Any packet that fits a datagram.
+/// Generates packets that fit into a datagram.
 pub fn packet() -> impl Strategy<Value = Packet> {
     let open = (any::<u64>(), name(), address()).prop_map(|(nonce, service, address)| {
         Packet::Open(wire::Open {
@@ -155,7 +155,7 @@
     ]
 }
 
-/// Any reply that fits a datagram.
+/// Generates replies that fit into a datagram.
 pub fn reply() -> impl Strategy<Value = Reply> {
     let opened = (any::<u64>(), flow(), granted()).prop_map(|(nonce, flow, granted)| {
         Reply::Opened(Opened {
@@ -295,7 +295,7 @@
     )
 }
 
-/// Frames of the kinds that carry lists, bytes and other messages.
+/// Generates the kinds of frame that contain lists, byte strings or other messages.
 pub fn frame() -> impl Strategy<Value = Frame> {
     let forward = (address(), name(), packet(), any::<u8>()).prop_map(|(caller, zone, packet, hops)| {
         Frame::Forward(Forward {
--- a/crates/wire/tests/malformed_input.rs
+++ b/crates/wire/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Decoders against bytes that lie: no panic, and no allocation in proportion to a claim.
+//! Decoders must not panic on malformed input, nor allocate memory based on a declared length.
 
 mod common;
 
@@ -12,16 +12,17 @@
 use wire::MAX_FRAME_LEN;
 use wire::MAX_PACKET_LEN;
 
-/// Allowed whatever the input is: small buffers and error texts.
+/// Allocation limit independent of the input, in bytes. Covers small buffers and error messages.
 const FIXED_ALLOCATION_LIMIT: usize = 16 * 1_024;
-/// Allowed for each byte of input. A list's items are larger in memory than on the wire, and lists grow by doubling.
+/// Additional allocation limit per byte of input. List items are larger in memory than in their encoding, and lists grow
+/// by doubling.
 const ALLOCATION_LIMIT_PER_BYTE: usize = 64;
 
 thread_local! {
     static ALLOCATED: Cell<usize> = const { Cell::new(0) };
 }
 
-/// Counts what the present thread allocates.
+/// Counts the bytes allocated by the current thread.
 struct CountingAllocator;
 
 #[global_allocator]
@@ -29,23 +30,23 @@
 
 #[expect(
     unsafe_code,
-    reason = "an allocator can't be written otherwise, and only it sees what a decoder allocates"
+    reason = "implementing GlobalAlloc requires unsafe code, and only an allocator can count what a decoder allocates"
 )]
-// SAFETY: every call goes to the system's allocator unchanged.
+// SAFETY: every call is passed to the system allocator unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED.set(ALLOCATED.get() + layout.size());
-        // SAFETY: the caller's duties are the same here.
+        // SAFETY: the caller upholds the same contract.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        // SAFETY: the caller's duties are the same here.
+        // SAFETY: the caller upholds the same contract.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
-/// Gives the bytes to each decoder and counts what it allocates.
+/// Passes the bytes to every decoder and checks how much it allocates.
 fn check_all_decoders(bytes: &[u8]) {
     let allowed = FIXED_ALLOCATION_LIMIT + ALLOCATION_LIMIT_PER_BYTE * bytes.len();
     check_allocation("packet", allowed, || wire::decode_packet(bytes).err());
@@ -59,11 +60,11 @@
     let allocated = ALLOCATED.get();
     assert!(
         allocated <= allowed,
-        "{what}: {allocated} bytes were allocated where {allowed} are allowed, {error:?}"
+        "{what}: {allocated} bytes allocated, limit is {allowed}, result {error:?}"
     );
 }
 
-/// Headers that claim four thousand millions and more of bytes, characters, items and pairs.
+/// CBOR headers that declare four billion or more bytes, characters, list items or map entries, or an indefinite length.
 const FALSE_LENGTH_HEADERS: [&[u8]; 8] = [
     &[0x5a, 0xff, 0xff, 0xff, 0xff],
     &[0x7a, 0xff, 0xff, 0xff, 0xff],
@@ -75,11 +76,11 @@
     &[0x5f],
 ];
 
-/// Puts claims in place of bytes: every one where a list may begin, and a sample elsewhere.
+/// Replaces single bytes by false length headers: every byte that may start a list, and a sample of the others.
 fn decode_with_false_lengths(bytes: &[u8]) {
     let step = bytes.len().div_ceil(100);
     for (at, byte) in bytes.iter().enumerate() {
-        // These are the headers of lists, unless they are part of something else.
+        // List headers are in this range, although such a byte may also be part of another item.
         let list = (0x80..=0x9f).contains(byte);
         if !list && at % step != 0 {
             continue;
@@ -137,7 +138,7 @@
     assert_eq!(wire::decode_frame(&bytes), Err(DecodeError::TooLong));
 }
 
-/// Arrays, maps, tags and byte strings of unknown length, one in the other.
+/// Deeply nested arrays, maps, tags and indefinite-length items.
 #[test]
 fn deeply_nested_items() {
     for opener in [0x81, 0xa1, 0xc1, 0x9f, 0xbf, 0x5f] {
--- a/crates/wire/tests/protocol_page.rs
+++ b/crates/wire/tests/protocol_page.rs
@@ -1,18 +1,19 @@
-//! The examples on the callers' page are what the codec reads and writes.
+//! Checks the examples, limits and refusal reasons in `docs/PROTOCOL.md` against the codec.
 
 use std::fmt::Write;
 
 use ciborium::Value;
 
-/// One example of the page: the message as a reader sees it, and its bytes.
+/// An example from the page: the message in diagnostic notation, and its encoding.
 struct Example {
     title: String,
     notation: String,
     bytes: Vec<u8>,
 }
 
-/// Examples are blocks that open with ```` ```cbor packet ```` or ```` ```cbor reply ````: the message in CBOR's
-/// diagnostic notation, an empty line, and its bytes in hexadecimal.
+/// Extracts the examples of one kind. An example is a code block that starts with ```` ```cbor packet ```` or
+/// ```` ```cbor reply ```` and contains the message in CBOR diagnostic notation, an empty line, and its encoding in
+/// hexadecimal.
 fn examples(page: &str, kind: &str) -> Vec<Example> {
     let fence = format!("```cbor {kind}\n");
     let blocks = page.split(&fence).skip(1);
@@ -20,10 +21,12 @@
 }
 
 fn example(block: &str, kind: &str) -> Example {
-    let (text, _) = block.split_once("```").expect("every block is closed");
-    let (notation, hex) = text.split_once("\n\n").expect("an empty line stands before the bytes");
+    let (text, _) = block.split_once("```").expect("unterminated code block");
+    let (notation, hex) = text
+        .split_once("\n\n")
+        .expect("missing empty line before the hexadecimal bytes");
     let hex: String = hex.split_whitespace().collect();
-    let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("the bytes are hexadecimal");
+    let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("invalid hexadecimal byte");
     Example {
         title: format!("{kind} {}", notation.lines().nth(1).unwrap_or_default().trim()),
         notation: notation.to_owned(),
@@ -31,7 +34,7 @@
     }
 }
 
-/// Writes an item in CBOR's diagnostic notation.
+/// Formats an item in CBOR diagnostic notation.
 fn notation(item: &Value, indent: usize, out: &mut String) {
     match item {
         Value::Integer(number) => write!(out, "{}", i128::from(*number)),
@@ -40,7 +43,7 @@
         Value::Bytes(bytes) => {
             out.push_str("h'");
             for byte in bytes {
-                write!(out, "{byte:02x}").expect("a string takes every write");
+                write!(out, "{byte:02x}").expect("writing to a String cannot fail");
             }
             write!(out, "'")
         }
@@ -57,20 +60,20 @@
             out.push('{');
             for (at, (key, value)) in pairs.iter().enumerate() {
                 let comma = if at == 0 { "" } else { "," };
-                let key = key.as_text().expect("every key is a text");
-                write!(out, "{comma}\n{:1$}\"{key}\": ", "", indent + 2).expect("a string takes every write");
+                let key = key.as_text().expect("map key is not a text string");
+                write!(out, "{comma}\n{:1$}\"{key}\": ", "", indent + 2).expect("writing to a String cannot fail");
                 notation(value, indent + 2, out);
             }
             write!(out, "\n{:1$}}}", "", indent)
         }
-        other => panic!("no message holds {other:?}"),
+        other => panic!("unexpected CBOR item in a message: {other:?}"),
     }
-    .expect("a string takes every write");
+    .expect("writing to a String cannot fail");
 }
 
-/// Checks that an example's two forms are the same, and that the codec writes what it reads.
+/// Checks that the notation of an example matches its bytes, and that reencoding yields the same bytes.
 fn check(example: &Example, reencoded: &[u8]) {
-    let value: Value = ciborium::from_reader(example.bytes.as_slice()).expect("the bytes are CBOR");
+    let value: Value = ciborium::from_reader(example.bytes.as_slice()).expect("invalid CBOR");
     let mut text = String::new();
     notation(&value, 0, &mut text);
     assert_eq!(text, example.notation, "{}", example.title);
@@ -85,7 +88,7 @@
     assert_eq!(
         (packets.len(), replies.len()),
         (5, 5),
-        "every kind of message has an example"
+        "number of examples differs from the number of message kinds"
     );
     for example in packets {
         let packet = wire::decode_packet(&example.bytes).unwrap_or_else(|error| panic!("{}: {error}", example.title));
@@ -97,7 +100,6 @@
     }
 }
 
-/// The sizes on the page are those of the code.
 #[test]
 fn protocol_limits_match_the_constants() {
     let page = include_str!("../../../docs/PROTOCOL.md");
@@ -107,16 +109,15 @@
         format!("| Chunks asked for by one `Pull` | {} |", wire::Pull::MAX_COUNT),
     ];
     for size in sizes {
-        assert!(page.contains(&size), "the page lacks: {size}");
+        assert!(page.contains(&size), "missing from the page: {size}");
     }
 }
 
-/// Every reason is explained on the page.
 #[test]
 fn every_reason_is_documented() {
     let page = include_str!("../../../docs/PROTOCOL.md");
     for reason in wire::Reason::ALL {
         let row = format!("| `{reason:?}` |");
-        assert!(page.contains(&row), "the page lacks: {row}");
+        assert!(page.contains(&row), "missing from the page: {row}");
     }
 }
--- a/crates/wire/tests/round_trip.rs
+++ b/crates/wire/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Whatever is written is read back as it was.
+//! Decoding an encoded message yields the original message.
 
 mod common;
 
