--- a/crates/apply/src/write.rs
+++ b/crates/apply/src/write.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use platform::Client;
+use platform::DocumentWrite;
 use platform::Error;
-use platform::Settled;
-use platform::Write;
+use platform::WriteOutcome;
 use units::Nonce;
 use units::Revision;
 
@@ -53,7 +53,7 @@
         let read_back = true;
         return Ok(Applied { revision, read_back });
     }
-    let write = Write {
+    let write = DocumentWrite {
         base: plan.from,
         text: plan.document.text.clone(),
         writer: plan.document.change.author.clone(),
@@ -74,7 +74,7 @@
 async fn settle(
     client: &Client,
     plan: &Plan,
-    write: &Write,
+    write: &DocumentWrite,
     patience: Patience,
     first: Error,
 ) -> Result<Applied, Refusal> {
@@ -87,13 +87,13 @@
             wait *= 2;
         }
         log::info!("apply: reading back revision {revision}, {cause}");
-        match client.settle(write).await {
-            Ok(Settled::TookEffect(revision)) => {
+        match client.resolve_write(write).await {
+            Ok(WriteOutcome::Applied(revision)) => {
                 let read_back = true;
                 return Ok(Applied { revision, read_back });
             }
-            Ok(Settled::Lost(winner)) => return Err(refusal::raced(&plan.base, &plan.document, &winner)),
-            Ok(Settled::Open) => {}
+            Ok(WriteOutcome::Conflict(winner)) => return Err(refusal::raced(&plan.base, &plan.document, &winner)),
+            Ok(WriteOutcome::Undecided) => {}
             Err(error) => {
                 cause = error;
                 continue;
--- a/crates/jayquay/src/instance.rs
+++ b/crates/jayquay/src/instance.rs
@@ -51,7 +51,7 @@
 }
 
 fn silent(error: &reqwest::Error) -> Silent {
-    Silent(transport::describe(error))
+    Silent(transport::root_cause(error))
 }
 
 /// Does the same for every address, for some of them at a time, and gives the results in their order.
--- a/crates/jayquayd/src/feed.rs
+++ b/crates/jayquayd/src/feed.rs
@@ -12,7 +12,7 @@
 use platform::Error;
 use platform::Lease;
 use platform::List;
-use platform::Scope;
+use platform::ListScope;
 use tokio::sync::watch;
 use tokio::time::Instant;
 use units::Millis;
@@ -118,8 +118,8 @@
     /// Of the list a watcher reads its own zone often and all zones seldom, and only what has changed.
     pub async fn read_list(mut self, zone: ZoneName) -> Result<(), Closed> {
         let mut backoff = Backoff::default();
-        let mut own = List::new(Scope::Zone(zone));
-        let mut all = List::new(Scope::Instances);
+        let mut own = List::new(ListScope::Zone(zone));
+        let mut all = List::new(ListScope::Instances);
         let mut first_read: Option<Instant> = None;
         let mut all_read: Option<Instant> = None;
         loop {
--- a/crates/jayquayd/src/forward/pull.rs
+++ b/crates/jayquayd/src/forward/pull.rs
@@ -60,13 +60,16 @@
             return;
         }
         Err(error) => {
-            log::info!("peers: no answer from={from} error=\"{}\"", transport::describe(&error));
+            log::info!(
+                "peers: no answer from={from} error=\"{}\"",
+                transport::root_cause(&error)
+            );
             return;
         }
     };
     let encoding = response.headers().get(CONTENT_ENCODING);
     let is_compressed = encoding.is_some_and(|encoding| encoding == relay::COMPRESSED);
-    let Ok(body) = transport::body(response, relay::MAX_CHANGE_LEN).await else {
+    let Ok(body) = transport::read_body(response, relay::MAX_CHANGE_LEN).await else {
         log::debug!("peers: an answer broke off from={from}");
         return;
     };
--- a/crates/platform/src/api.rs
+++ b/crates/platform/src/api.rs
@@ -107,7 +107,7 @@
 
 /// The body of a write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Put {
+pub struct PutRequest {
     /// Names this write, below 2^53 so that every JSON reader keeps it exact.
     pub nonce: Nonce,
     /// Who writes.
@@ -121,21 +121,21 @@
 
 /// The answer to a write that took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct PutResponse {
     /// The version that the write made.
     pub version: Revision,
 }
 
 /// The answer to a request for history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct History {
+pub struct HistoryResponse {
     /// The versions kept, newest first.
     pub versions: Vec<Object>,
 }
 
 /// The list of live and leaving instances and upstreams. It lags.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct ListResponse {
     /// Who is on the list.
     pub entries: Vec<Listed>,
 }
@@ -153,7 +153,7 @@
 
 impl Condition {
     /// The condition that the object still has this version, where zero means that there is none.
-    pub fn still(version: Revision) -> Self {
+    pub fn expect_version(version: Revision) -> Self {
         if version == Revision(0) {
             return Self::Absent;
         }
@@ -163,32 +163,32 @@
 
 /// A version as it stands in `ETag` and `If-Match`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tag(pub Revision);
+pub struct EntityTag(pub Revision);
 
 /// A header is not a version in double quotes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ParseTagError;
+pub struct ParseEntityTagError;
 
-impl fmt::Display for ParseTagError {
+impl fmt::Display for ParseEntityTagError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("not a version in double quotes")
     }
 }
 
-impl std::error::Error for ParseTagError {}
+impl std::error::Error for ParseEntityTagError {}
 
-impl fmt::Display for Tag {
+impl fmt::Display for EntityTag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "\"{}\"", self.0)
     }
 }
 
-impl FromStr for Tag {
-    type Err = ParseTagError;
+impl FromStr for EntityTag {
+    type Err = ParseEntityTagError;
 
-    fn from_str(text: &str) -> Result<Self, ParseTagError> {
+    fn from_str(text: &str) -> Result<Self, ParseEntityTagError> {
         let inner = text.strip_prefix('"').and_then(|rest| rest.strip_suffix('"'));
-        let digits = inner.ok_or(ParseTagError)?;
-        digits.parse().map(Self).map_err(|_error| ParseTagError)
+        let digits = inner.ok_or(ParseEntityTagError)?;
+        digits.parse().map(Self).map_err(|_error| ParseEntityTagError)
     }
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -19,15 +19,15 @@
 
 use crate::Error;
 use crate::api::Condition;
+use crate::api::EntityTag;
 use crate::api::Key;
 use crate::api::Object;
-use crate::api::Put;
-use crate::api::Tag;
-use crate::api::Written;
+use crate::api::PutRequest;
+use crate::api::PutResponse;
 use crate::transport::Body;
 use crate::transport::Transport;
-use crate::transport::body;
-use crate::transport::describe;
+use crate::transport::read_body;
+use crate::transport::root_cause;
 
 /// How long one address may take to answer, unless the options say otherwise.
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -52,14 +52,14 @@
 }
 
 /// The longest answer that is read, in bytes: an object with the longest value, all of it escaped, or a long list.
-pub(crate) const MAX_ANSWER_LEN: usize = 8 * 1_024 * 1_024;
+pub(crate) const MAX_RESPONSE_LEN: usize = 8 * 1_024 * 1_024;
 
 /// The longest explanation of a refusal that is kept, in bytes.
-const MAX_EXPLANATION_LEN: usize = 4 * 1_024;
+const MAX_REJECTION_LEN: usize = 4 * 1_024;
 
 /// One read.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Read<'a> {
+pub(crate) struct ReadRequest<'a> {
     pub(crate) path: &'a str,
     /// How long the platform may wait for something newer.
     pub(crate) wait: Duration,
@@ -69,13 +69,13 @@
     pub(crate) max_len: usize,
 }
 
-impl<'a> Read<'a> {
+impl<'a> ReadRequest<'a> {
     pub(crate) fn new(path: &'a str) -> Self {
         Self {
             path,
             wait: Duration::ZERO,
             tag: None,
-            max_len: MAX_ANSWER_LEN,
+            max_len: MAX_RESPONSE_LEN,
         }
     }
 }
@@ -88,13 +88,13 @@
 }
 
 /// What one address had to say.
-enum Outcome {
+enum ReadOutcome {
     /// Something, with its tag.
     Found(Option<String>, Body),
     /// Nothing lies there, or nothing new.
-    Nothing,
+    NotFoundOrUnmodified,
     /// The address does not serve, and why.
-    Unserved(String),
+    Unavailable(String),
 }
 
 /// A client of the platform. Clones share connections, the address in use and the highest revision seen.
@@ -102,8 +102,8 @@
 pub struct Client {
     transport: Transport,
     options: Arc<Options>,
-    in_use: Arc<AtomicUsize>,
-    seen: Arc<AtomicU64>,
+    active_address: Arc<AtomicUsize>,
+    highest_revision: Arc<AtomicU64>,
 }
 
 impl Client {
@@ -113,100 +113,100 @@
         Self {
             transport,
             options: Arc::new(options),
-            in_use: Arc::new(AtomicUsize::new(0)),
-            seen: Arc::new(AtomicU64::new(0)),
+            active_address: Arc::new(AtomicUsize::new(0)),
+            highest_revision: Arc::new(AtomicU64::new(0)),
         }
     }
 
     /// Notes a revision of the document and tells whether a higher one was seen before.
-    pub(crate) fn note_revision(&self, revision: Revision) -> bool {
-        self.seen.fetch_max(revision.0, Ordering::Relaxed) > revision.0
+    pub(crate) fn record_revision(&self, revision: Revision) -> bool {
+        self.highest_revision.fetch_max(revision.0, Ordering::Relaxed) > revision.0
     }
 
     /// Reads what lies at a path. `None` if nothing does, or if nothing newer came within `wait`.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str, wait: Duration) -> Result<Option<T>, Error> {
-        let read = Read {
+        let read = ReadRequest {
             wait,
-            ..Read::new(path)
+            ..ReadRequest::new(path)
         };
         let found = self.read(read).await?;
         Ok(found.map(|found| found.value))
     }
 
     /// Reads what lies at a path. `None` if nothing does, if nothing newer came in time, or if it still has the tag.
-    pub(crate) async fn read<T: DeserializeOwned>(&self, read: Read<'_>) -> Result<Option<Tagged<T>>, Error> {
+    pub(crate) async fn read<T: DeserializeOwned>(&self, read: ReadRequest<'_>) -> Result<Option<Tagged<T>>, Error> {
         let mut cause = "no address is set".to_owned();
-        let first = self.in_use.load(Ordering::Relaxed);
+        let first = self.active_address.load(Ordering::Relaxed);
         for offset in 0..self.options.addresses.len() {
             let index = first.wrapping_add(offset);
             let found = match self.read_at(index, read).await? {
-                Outcome::Found(tag, body) => Some((tag, body)),
-                Outcome::Nothing => None,
-                Outcome::Unserved(why) => {
+                ReadOutcome::Found(tag, body) => Some((tag, body)),
+                ReadOutcome::NotFoundOrUnmodified => None,
+                ReadOutcome::Unavailable(why) => {
                     cause = why;
                     continue;
                 }
             };
-            self.in_use.store(index, Ordering::Relaxed);
+            self.active_address.store(index, Ordering::Relaxed);
             let Some((tag, body)) = found else {
                 return Ok(None);
             };
-            let value = parse(&body)?;
+            let value = parse_json(&body)?;
             return Ok(Some(Tagged { value, tag }));
         }
         Err(Error::Unavailable(cause))
     }
 
     /// Reads from one address.
-    async fn read_at(&self, index: usize, read: Read<'_>) -> Result<Outcome, Error> {
+    async fn read_at(&self, index: usize, read: ReadRequest<'_>) -> Result<ReadOutcome, Error> {
         let mut request = self.request(Method::GET, index, read.path, read.wait);
         if let Some(tag) = read.tag {
             request = request.header(IF_NONE_MATCH, tag);
         }
         let response = match request.send().await {
             Ok(response) => response,
-            Err(error) => return Ok(Outcome::Unserved(describe(&error))),
+            Err(error) => return Ok(ReadOutcome::Unavailable(root_cause(&error))),
         };
         let status = response.status();
         if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
-            return Ok(Outcome::Unserved(format!("status {status}")));
+            return Ok(ReadOutcome::Unavailable(format!("status {status}")));
         }
         if matches!(status, StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED) {
-            return Ok(Outcome::Nothing);
+            return Ok(ReadOutcome::NotFoundOrUnmodified);
         }
         if !status.is_success() {
-            return Err(rejected(response).await);
+            return Err(rejection_error(response).await);
         }
         let tag = response.headers().get(ETAG).and_then(|tag| tag.to_str().ok());
         let tag = tag.map(str::to_owned);
-        match body(response, read.max_len).await {
-            Ok(body) => Ok(Outcome::Found(tag, body)),
-            Err(error) => Ok(Outcome::Unserved(describe(&error))),
+        match read_body(response, read.max_len).await {
+            Ok(body) => Ok(ReadOutcome::Found(tag, body)),
+            Err(error) => Ok(ReadOutcome::Unavailable(root_cause(&error))),
         }
     }
 
     /// Writes an object. A further address is tried only while it is sure that the write has not taken effect.
-    pub(crate) async fn put(&self, key: &Key, condition: Condition, put: &Put) -> Result<Revision, Error> {
+    pub(crate) async fn put(&self, key: &Key, condition: Condition, put: &PutRequest) -> Result<Revision, Error> {
         let mut cause = "no address is set".to_owned();
-        let first = self.in_use.load(Ordering::Relaxed);
+        let first = self.active_address.load(Ordering::Relaxed);
         for offset in 0..self.options.addresses.len() {
             let index = first.wrapping_add(offset);
             let request = self.request(Method::PUT, index, &key.path(), Duration::ZERO).json(put);
             let response = match with_condition(request, condition).send().await {
                 Ok(response) => response,
                 Err(error) if error.is_connect() => {
-                    cause = describe(&error);
+                    cause = root_cause(&error);
                     continue;
                 }
-                Err(error) => return Err(Error::InDoubt(describe(&error))),
+                Err(error) => return Err(Error::InDoubt(root_cause(&error))),
             };
             let status = response.status();
             if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
                 cause = format!("status {status}");
                 continue;
             }
-            self.in_use.store(index, Ordering::Relaxed);
-            return written(response).await;
+            self.active_address.store(index, Ordering::Relaxed);
+            return parse_write_response(response).await;
         }
         Err(Error::Unavailable(cause))
     }
@@ -221,46 +221,48 @@
     match condition {
         Condition::Any => request,
         Condition::Absent => request.header(IF_NONE_MATCH, "*"),
-        Condition::Version(version) => request.header(IF_MATCH, Tag(version).to_string()),
+        Condition::Version(version) => request.header(IF_MATCH, EntityTag(version).to_string()),
     }
 }
 
 /// Reads the answer to a write that was not refused out of hand.
-async fn written(response: Response) -> Result<Revision, Error> {
+async fn parse_write_response(response: Response) -> Result<Revision, Error> {
     let status = response.status();
     if status.is_success() {
-        let body = body(response, MAX_ANSWER_LEN).await.map_err(|error| in_doubt(&error))?;
-        let written: Written = parse(&body).map_err(|error| Error::InDoubt(error.to_string()))?;
+        let body = read_body(response, MAX_RESPONSE_LEN)
+            .await
+            .map_err(|error| in_doubt(&error))?;
+        let written: PutResponse = parse_json(&body).map_err(|error| Error::InDoubt(error.to_string()))?;
         return Ok(written.version);
     }
     if status == StatusCode::PRECONDITION_FAILED {
         // The status alone says that the write lost. Who won is a courtesy that may be missing.
-        let current = body(response, MAX_ANSWER_LEN).await.ok();
-        let current: Option<Object> = current.and_then(|body| parse(&body).ok()).flatten();
+        let current = read_body(response, MAX_RESPONSE_LEN).await.ok();
+        let current: Option<Object> = current.and_then(|body| parse_json(&body).ok()).flatten();
         return Err(Error::Conflict {
             current: current.map(Box::new),
         });
     }
     if status.is_client_error() {
-        return Err(rejected(response).await);
+        return Err(rejection_error(response).await);
     }
     Err(Error::InDoubt(format!("status {status}")))
 }
 
-async fn rejected(response: Response) -> Error {
+async fn rejection_error(response: Response) -> Error {
     let status = response.status().as_u16();
-    let body = body(response, MAX_EXPLANATION_LEN).await.unwrap_or_default();
+    let body = read_body(response, MAX_REJECTION_LEN).await.unwrap_or_default();
     let text = String::from_utf8_lossy(&body.bytes).into_owned();
     Error::Rejected { status, text }
 }
 
-fn parse<T: DeserializeOwned>(body: &Body) -> Result<T, Error> {
-    if body.is_cut {
+fn parse_json<T: DeserializeOwned>(body: &Body) -> Result<T, Error> {
+    if body.is_truncated {
         return Err(Error::Malformed(format!("longer than {} bytes", body.bytes.len())));
     }
     serde_json::from_slice(&body.bytes).map_err(|error| Error::Malformed(error.to_string()))
 }
 
 fn in_doubt(error: &reqwest::Error) -> Error {
-    Error::InDoubt(describe(error))
+    Error::InDoubt(root_cause(error))
 }
--- a/crates/platform/src/document.rs
+++ b/crates/platform/src/document.rs
@@ -12,12 +12,12 @@
 use crate::Error;
 use crate::api;
 use crate::api::Condition;
-use crate::api::History;
+use crate::api::HistoryResponse;
 use crate::api::Key;
 use crate::api::Object;
-use crate::api::Put;
-use crate::client::MAX_ANSWER_LEN;
-use crate::client::Read;
+use crate::api::PutRequest;
+use crate::client::MAX_RESPONSE_LEN;
+use crate::client::ReadRequest;
 
 /// How long to wait before a watch that ended early is begun again.
 const WATCH_PAUSE: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
 
 /// A new text for the document, made from a revision that was reviewed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Write {
+pub struct DocumentWrite {
     /// The revision that it replaces, zero if there is no document yet.
     pub base: Revision,
     /// The new text.
@@ -52,7 +52,7 @@
     pub nonce: Nonce,
 }
 
-impl Write {
+impl DocumentWrite {
     /// The revision that this write makes if it takes effect.
     pub fn revision(&self) -> Revision {
         self.base.next()
@@ -61,21 +61,21 @@
 
 /// What became of a write that was in doubt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Settled {
+pub enum WriteOutcome {
     /// It took effect and made this revision.
-    TookEffect(Revision),
+    Applied(Revision),
     /// Another write made that revision. This one has not taken effect and never will.
-    Lost(Document),
+    Conflict(Document),
     /// Neither has happened yet, as far as the replica that answered knows: the write may still take effect. Sending
     /// the same write again decides it.
-    Open,
+    Undecided,
 }
 
 impl Client {
     /// Reads the document. `None` if there is none.
     pub async fn document(&self) -> Result<Option<Document>, Error> {
         let object = self.get(&Key::document().path(), Duration::ZERO).await?;
-        self.document_from(object)
+        self.parse_current(object)
     }
 
     /// Waits until there is a revision above `newer_than`. `None` if none came within `wait`.
@@ -83,17 +83,17 @@
         let path = Key::document().path();
         let end = Instant::now() + wait;
         loop {
-            let rest = end.saturating_duration_since(Instant::now());
-            let millis = rest.as_millis();
+            let remaining = end.saturating_duration_since(Instant::now());
+            let millis = remaining.as_millis();
             let path = format!("{path}?{}={newer_than}&{}={millis}", api::NEWER_THAN, api::WAIT_MS);
-            let object: Option<Object> = self.get(&path, rest).await?;
-            let news = object.filter(|object| object.version > newer_than);
-            let rest = end.saturating_duration_since(Instant::now());
-            if news.is_some() || rest.is_zero() {
-                return self.document_from(news);
+            let object: Option<Object> = self.get(&path, remaining).await?;
+            let newer = object.filter(|object| object.version > newer_than);
+            let remaining = end.saturating_duration_since(Instant::now());
+            if newer.is_some() || remaining.is_zero() {
+                return self.parse_current(newer);
             }
             // The platform ended the watch early, and may do so again at once.
-            tokio::time::sleep(rest.min(WATCH_PAUSE)).await;
+            tokio::time::sleep(remaining.min(WATCH_PAUSE)).await;
         }
     }
 
@@ -101,23 +101,23 @@
     ///
     /// The same write may be sent again. If an earlier copy took effect, this succeeds with the revision that the copy
     /// made, even if other revisions have followed.
-    pub async fn write(&self, write: &Write) -> Result<Revision, Error> {
-        let put = Put {
+    pub async fn write(&self, write: &DocumentWrite) -> Result<Revision, Error> {
+        let put = PutRequest {
             nonce: write.nonce,
             writer: write.writer.clone(),
             value: Value::String(write.text.clone()),
             ttl_ms: None,
         };
-        let condition = Condition::still(write.base);
+        let condition = Condition::expect_version(write.base);
         let result = self.put(&Key::document(), condition, &put).await;
         let Err(Error::Conflict { .. }) = &result else {
             return result;
         };
         // The revision that this write would have made exists. It may be an earlier copy of this write that made it.
-        match self.settle(write).await {
-            Ok(Settled::TookEffect(revision)) => Ok(revision),
-            Ok(Settled::Lost(_)) => result,
-            Ok(Settled::Open) => Err(Error::InDoubt(format!("revision {} cannot be read", write.revision()))),
+        match self.resolve_write(write).await {
+            Ok(WriteOutcome::Applied(revision)) => Ok(revision),
+            Ok(WriteOutcome::Conflict(_)) => result,
+            Ok(WriteOutcome::Undecided) => Err(Error::InDoubt(format!("revision {} cannot be read", write.revision()))),
             Err(error) => Err(Error::InDoubt(error.to_string())),
         }
     }
@@ -125,14 +125,14 @@
     /// Finds out what became of a write that was in doubt, by reading back the revision that it would have made.
     ///
     /// A revision is made once, so whose nonce it bears decides for good, whichever replica answers.
-    pub async fn settle(&self, write: &Write) -> Result<Settled, Error> {
+    pub async fn resolve_write(&self, write: &DocumentWrite) -> Result<WriteOutcome, Error> {
         let Some(made) = self.revision(write.revision()).await? else {
-            return Ok(Settled::Open);
+            return Ok(WriteOutcome::Undecided);
         };
         if made.nonce == write.nonce {
-            return Ok(Settled::TookEffect(made.revision));
+            return Ok(WriteOutcome::Applied(made.revision));
         }
-        Ok(Settled::Lost(made))
+        Ok(WriteOutcome::Conflict(made))
     }
 
     /// Reads one revision of the document. `None` if the replica that answers does not hold it.
@@ -140,32 +140,35 @@
         let path = Key::document().path();
         let path = format!("{path}?{}={revision}", api::VERSION);
         let object: Option<Object> = self.get(&path, Duration::ZERO).await?;
-        object.map(|object| document(object, false)).transpose()
+        object.map(|object| parse_document(object, false)).transpose()
     }
 
     /// Reads the newest `limit` revisions, newest first.
     pub async fn history(&self, limit: u32) -> Result<Vec<Document>, Error> {
         let path = Key::document().path();
         let path = format!("{path}?{}={limit}", api::HISTORY);
-        let read = Read {
-            max_len: MAX_ANSWER_LEN.saturating_mul(limit as usize),
-            ..Read::new(&path)
+        let read = ReadRequest {
+            max_len: MAX_RESPONSE_LEN.saturating_mul(limit as usize),
+            ..ReadRequest::new(&path)
         };
-        let history = self.read::<History>(read).await?;
+        let history = self.read::<HistoryResponse>(read).await?;
         let versions = history.map(|history| history.value.versions).unwrap_or_default();
-        versions.into_iter().map(|object| document(object, false)).collect()
+        versions
+            .into_iter()
+            .map(|object| parse_document(object, false))
+            .collect()
     }
 
-    fn document_from(&self, object: Option<Object>) -> Result<Option<Document>, Error> {
+    fn parse_current(&self, object: Option<Object>) -> Result<Option<Document>, Error> {
         let Some(object) = object else {
             return Ok(None);
         };
-        let stale = self.note_revision(object.version);
-        document(object, stale).map(Some)
+        let stale = self.record_revision(object.version);
+        parse_document(object, stale).map(Some)
     }
 }
 
-fn document(object: Object, stale: bool) -> Result<Document, Error> {
+fn parse_document(object: Object, stale: bool) -> Result<Document, Error> {
     let Value::String(text) = object.value else {
         return Err(Error::Malformed("the document is not a text".to_owned()));
     };
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -6,12 +6,12 @@
 use crate::Client;
 use crate::Error;
 use crate::api;
-use crate::api::Listing;
-use crate::client::Read;
+use crate::api::ListResponse;
+use crate::client::ReadRequest;
 
 /// Which part of the list is read.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub enum Scope {
+pub enum ListScope {
     /// All of it.
     #[default]
     All,
@@ -21,7 +21,7 @@
     Zone(ZoneName),
 }
 
-impl Scope {
+impl ListScope {
     fn path(&self) -> String {
         let list = api::LIST;
         let leaving = format!("{}=leaving", api::UPSTREAMS);
@@ -36,14 +36,14 @@
 /// A part of the list as it was read last, from which a later read tells whether it has changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct List {
-    scope: Scope,
+    scope: ListScope,
     tag: Option<String>,
     entries: Vec<Listed>,
 }
 
 impl List {
     /// A part of the list that has not been read yet.
-    pub fn new(scope: Scope) -> Self {
+    pub fn new(scope: ListScope) -> Self {
         Self {
             scope,
             tag: None,
@@ -68,11 +68,11 @@
     /// Reads a part of the list again, and tells whether there may be something new. What has not changed is not sent.
     pub async fn refresh(&self, list: &mut List) -> Result<bool, Error> {
         let path = list.scope.path();
-        let read = Read {
+        let read = ReadRequest {
             tag: list.tag.as_deref(),
-            ..Read::new(&path)
+            ..ReadRequest::new(&path)
         };
-        let Some(found) = self.read::<Listing>(read).await? else {
+        let Some(found) = self.read::<ListResponse>(read).await? else {
             return Ok(false);
         };
         list.tag = found.tag;
--- a/crates/platform/src/status.rs
+++ b/crates/platform/src/status.rs
@@ -15,7 +15,7 @@
 use crate::api::Key;
 use crate::api::Kind;
 use crate::api::Object;
-use crate::api::Put;
+use crate::api::PutRequest;
 
 /// A zone's summary, as it was written last.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 impl Client {
     /// Reads a zone's summary. `None` if there is none.
     pub async fn status<T: DeserializeOwned>(&self, zone: &ZoneName) -> Result<Option<Status<T>>, Error> {
-        let object: Option<Object> = self.get(&key(zone).path(), Duration::ZERO).await?;
+        let object: Option<Object> = self.get(&status_key(zone).path(), Duration::ZERO).await?;
         let Some(object) = object else {
             return Ok(None);
         };
@@ -54,17 +54,17 @@
         value: &T,
         base: Revision,
     ) -> Result<Revision, Error> {
-        let put = Put {
+        let put = PutRequest {
             nonce: Nonce(0),
             writer: writer.to_owned(),
             value: serde_json::to_value(value).map_err(|error| Error::Malformed(error.to_string()))?,
             ttl_ms: None,
         };
-        self.put(&key(zone), Condition::still(base), &put).await
+        self.put(&status_key(zone), Condition::expect_version(base), &put).await
     }
 }
 
-fn key(zone: &ZoneName) -> Key {
+fn status_key(zone: &ZoneName) -> Key {
     Key {
         kind: Kind::Status,
         name: zone.to_string(),
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -19,11 +19,11 @@
 /// How long a connection may be idle before the system asks the other end whether it is there, and the pause between two
 /// such questions. A connection that has gone silent for good shows by them after three to four seconds, where an answer
 /// that the service holds back would be missed only when its time is up. Each costs about 100 bytes.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// How many of them go unanswered before a connection is given up.
-const KEEPALIVE_TRIES: u32 = 2;
+const KEEPALIVE_RETRIES: u32 = 2;
 /// How long sent data may stay unacknowledged before a connection is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Makes HTTP calls. Clones share connections.
 #[derive(Debug, Clone)]
@@ -55,10 +55,10 @@
             .referer(false)
             .http1_only()
             .connect_timeout(CONNECT_TIMEOUT.min(timeout))
-            .tcp_keepalive(KEEPALIVE)
-            .tcp_keepalive_interval(KEEPALIVE)
-            .tcp_keepalive_retries(KEEPALIVE_TRIES)
-            .tcp_user_timeout(UNACKNOWLEDGED)
+            .tcp_keepalive(KEEPALIVE_INTERVAL)
+            .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
+            .tcp_keepalive_retries(KEEPALIVE_RETRIES)
+            .tcp_user_timeout(UNACKNOWLEDGED_TIMEOUT)
             .build()
             .expect("a client without TLS, proxies and resolvers needs nothing from the system");
         Self { http, timeout }
@@ -78,17 +78,17 @@
     /// The bytes.
     pub bytes: Vec<u8>,
     /// Whether there was more than may be read.
-    pub is_cut: bool,
+    pub is_truncated: bool,
 }
 
 /// Reads at most `max_len` bytes of a body, whatever length it claims.
-pub async fn body(mut response: Response, max_len: usize) -> reqwest::Result<Body> {
+pub async fn read_body(mut response: Response, max_len: usize) -> reqwest::Result<Body> {
     let mut body = Body::default();
     while let Some(chunk) = response.chunk().await? {
-        let room = max_len - body.bytes.len();
-        body.bytes.extend_from_slice(&chunk[..chunk.len().min(room)]);
-        if chunk.len() > room {
-            body.is_cut = true;
+        let remaining = max_len - body.bytes.len();
+        body.bytes.extend_from_slice(&chunk[..chunk.len().min(remaining)]);
+        if chunk.len() > remaining {
+            body.is_truncated = true;
             break;
         }
     }
@@ -96,7 +96,7 @@
 }
 
 /// The innermost cause of a failed call, which is the one that tells an operator something.
-pub fn describe(error: &reqwest::Error) -> String {
+pub fn root_cause(error: &reqwest::Error) -> String {
     if error.is_timeout() {
         return "no answer in time".to_owned();
     }
--- a/crates/platform/tests/answers.rs
+++ b/crates/platform/tests/answers.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use platform::Client;
+use platform::DocumentWrite;
 use platform::Error;
 use platform::Options;
-use platform::Write;
 use platform::api::Key;
 use standin::platform::Handle;
 use tokio::io::AsyncReadExt;
@@ -20,40 +20,40 @@
 use units::Revision;
 
 /// Longer than any answer that is taken, in bytes.
-const LONG: usize = 9 * 1_024 * 1_024;
+const OVERSIZED_LEN: usize = 9 * 1_024 * 1_024;
 
 /// A server that gives this answer to whatever it is asked, an empty one being a closed connection.
-async fn canned(answer: String, tasks: &mut JoinSet<()>) -> SocketAddr {
-    counted(answer, tasks).await.0
+async fn serve_response(answer: String, tasks: &mut JoinSet<()>) -> SocketAddr {
+    serve_counted_response(answer, tasks).await.0
 }
 
 /// The same, and how often it was asked.
-async fn counted(answer: String, tasks: &mut JoinSet<()>) -> (SocketAddr, Arc<AtomicU32>) {
+async fn serve_counted_response(answer: String, tasks: &mut JoinSet<()>) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
     let address = listener.local_addr().expect("bound");
-    let asked = Arc::new(AtomicU32::new(0));
-    let count = Arc::clone(&asked);
+    let request_count = Arc::new(AtomicU32::new(0));
+    let count = Arc::clone(&request_count);
     tasks.spawn(async move {
         loop {
             let (mut connection, _from) = listener.accept().await.expect("loopback works");
             let mut seen = Vec::new();
-            while !is_whole(&seen) {
+            while !is_complete_request(&seen) {
                 connection.read_buf(&mut seen).await.expect("the client sends");
             }
             count.fetch_add(1, Ordering::Relaxed);
             connection.write_all(answer.as_bytes()).await.expect("the client waits");
         }
     });
-    (address, asked)
+    (address, request_count)
 }
 
 /// Whether a request has come with its body, which ends in a brace if there is one.
-fn is_whole(request: &[u8]) -> bool {
+fn is_complete_request(request: &[u8]) -> bool {
     let is_read = request.starts_with(b"GET");
     request.ends_with(if is_read { b"\r\n\r\n" } else { b"}" })
 }
 
-fn kind(error: &Error) -> &'static str {
+fn error_kind(error: &Error) -> &'static str {
     match error {
         Error::Unavailable(_) => "unavailable",
         Error::Conflict { .. } => "conflict",
@@ -63,31 +63,31 @@
     }
 }
 
-async fn served() -> Handle {
+async fn start_platform() -> Handle {
     let handle = standin::platform::start(standin::platform::Options::default()).await;
     handle.expect("loopback has free ports")
 }
 
 /// What a read and a write come to when the first address answers like this, alone and with a second one that serves.
-async fn check(answer: &str, alone: [&str; 2], with_another: [&str; 2]) {
+async fn check_read_and_write(answer: &str, alone: [&str; 2], with_another: [&str; 2]) {
     let mut tasks = JoinSet::new();
-    let first = canned(answer.to_owned(), &mut tasks).await;
-    let platform = served().await;
+    let first = serve_response(answer.to_owned(), &mut tasks).await;
+    let platform = start_platform().await;
     for (addresses, expected) in [(vec![first], alone), (vec![first, platform.address()], with_another)] {
         // A new client each time, as one keeps to the address that served it.
         let read = Client::new(Options::new(addresses.clone())).document().await;
         let read = read.map_or_else(
-            |error| kind(&error),
+            |error| error_kind(&error),
             |document| document.map_or("nothing", |_document| "document"),
         );
-        let write = Write {
+        let write = DocumentWrite {
             base: Revision(0),
             text: "text".to_owned(),
             writer: "ann".to_owned(),
             nonce: Nonce(1),
         };
         let written = Client::new(Options::new(addresses)).write(&write).await;
-        let written = written.map_or_else(|error| kind(&error), |_revision| "written");
+        let written = written.map_or_else(|error| error_kind(&error), |_revision| "written");
         assert_eq!([read, written], expected, "{answer}");
     }
     let reached = platform.object(&Key::document()).is_some();
@@ -95,38 +95,53 @@
 }
 
 #[tokio::test]
-async fn each_answer_is_judged() {
-    let lost = ["unavailable", "in doubt"];
-    let passed_on = ["nothing", "in doubt"];
-    check(
+async fn responses_are_classified() {
+    let read_unavailable = ["unavailable", "in doubt"];
+    let read_from_second = ["nothing", "in doubt"];
+    check_read_and_write(
         "HTTP/1.1 503 \r\ncontent-length: 0\r\n\r\n",
         ["unavailable"; 2],
         ["nothing", "written"],
     )
     .await;
-    check(
+    check_read_and_write(
         "HTTP/1.1 429 \r\ncontent-length: 0\r\n\r\n",
         ["unavailable"; 2],
         ["nothing", "written"],
     )
     .await;
-    check("HTTP/1.1 500 \r\ncontent-length: 0\r\n\r\n", lost, passed_on).await;
-    check("HTTP/1.1 504 \r\ncontent-length: 0\r\n\r\n", lost, passed_on).await;
-    check("", lost, passed_on).await;
-    check("HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{", lost, passed_on).await;
-    check(
+    check_read_and_write(
+        "HTTP/1.1 500 \r\ncontent-length: 0\r\n\r\n",
+        read_unavailable,
+        read_from_second,
+    )
+    .await;
+    check_read_and_write(
+        "HTTP/1.1 504 \r\ncontent-length: 0\r\n\r\n",
+        read_unavailable,
+        read_from_second,
+    )
+    .await;
+    check_read_and_write("", read_unavailable, read_from_second).await;
+    check_read_and_write(
+        "HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\n{",
+        read_unavailable,
+        read_from_second,
+    )
+    .await;
+    check_read_and_write(
         "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
         ["malformed", "in doubt"],
         ["malformed", "in doubt"],
     )
     .await;
-    check(
+    check_read_and_write(
         "HTTP/1.1 400 \r\ncontent-length: 0\r\n\r\n",
         ["rejected"; 2],
         ["rejected"; 2],
     )
     .await;
-    check(
+    check_read_and_write(
         "HTTP/1.1 302 \r\ncontent-length: 0\r\n\r\n",
         ["rejected", "in doubt"],
         ["rejected", "in doubt"],
@@ -135,18 +150,18 @@
 }
 
 /// A server that gives a long answer to one request, even if nobody reads it to its end.
-async fn long(status: &str, body: &str, tasks: &mut JoinSet<()>) -> SocketAddr {
+async fn serve_oversized_response(status: &str, body: &str, tasks: &mut JoinSet<()>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
     let address = listener.local_addr().expect("bound");
     // The length is not told, so that only reading finds it out.
     let answer = format!(
         "HTTP/1.1 {status}\r\nconnection: close\r\n\r\n{body}{}",
-        " ".repeat(LONG)
+        " ".repeat(OVERSIZED_LEN)
     );
     tasks.spawn(async move {
         let (mut connection, _from) = listener.accept().await.expect("loopback works");
         let mut seen = Vec::new();
-        while !is_whole(&seen) {
+        while !is_complete_request(&seen) {
             connection.read_buf(&mut seen).await.expect("the client sends");
         }
         let _hung_up = connection.write_all(answer.as_bytes()).await;
@@ -155,22 +170,22 @@
 }
 
 #[tokio::test]
-async fn no_more_than_a_bound_is_read_of_an_answer() {
+async fn response_length_is_bounded() {
     let mut tasks = JoinSet::new();
     let object = r#"{"version": 1, "nonce": 1, "writer": "ann", "written_at": 0, "value": "text"}"#;
-    let address = long("200 OK", object, &mut tasks).await;
+    let address = serve_oversized_response("200 OK", object, &mut tasks).await;
     let read = Client::new(Options::new(vec![address])).document().await;
-    assert_eq!(read.map_err(|error| kind(&error)), Err("malformed"));
-    let address = long("200 OK", object, &mut tasks).await;
-    let write = Write {
+    assert_eq!(read.map_err(|error| error_kind(&error)), Err("malformed"));
+    let address = serve_oversized_response("200 OK", object, &mut tasks).await;
+    let write = DocumentWrite {
         base: Revision(0),
         text: "text".to_owned(),
         writer: "ann".to_owned(),
         nonce: Nonce(1),
     };
     let written = Client::new(Options::new(vec![address])).write(&write).await;
-    assert_eq!(written.map_err(|error| kind(&error)), Err("in doubt"));
-    let address = long("400 Bad", "no", &mut tasks).await;
+    assert_eq!(written.map_err(|error| error_kind(&error)), Err("in doubt"));
+    let address = serve_oversized_response("400 Bad", "no", &mut tasks).await;
     let refused = Client::new(Options::new(vec![address])).document().await;
     let Err(Error::Rejected { text, .. }) = refused else {
         panic!("the read was not rejected");
@@ -179,41 +194,41 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_ends_early_is_not_begun_again_in_a_tight_loop() {
+async fn early_end_of_a_watch_is_retried_after_a_delay() {
     let old = r#"{"version": 2, "nonce": 1, "writer": "ann", "written_at": 0, "value": "old"}"#;
     let old = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{old}", old.len());
     let ended = "HTTP/1.1 304 \r\ncontent-length: 0\r\n\r\n".to_owned();
     for answer in [ended, old] {
         let mut tasks = JoinSet::new();
-        let (address, asked) = counted(answer, &mut tasks).await;
+        let (address, request_count) = serve_counted_response(answer, &mut tasks).await;
         let client = Client::new(Options::new(vec![address]));
         let news = client.watch(Revision(2), Duration::from_millis(700)).await;
         assert_eq!(news, Ok(None));
         // At the start, after the pause, and at the end.
-        let asked = asked.load(Ordering::Relaxed);
-        assert!((1..=3).contains(&asked), "{asked} calls");
+        let request_count = request_count.load(Ordering::Relaxed);
+        assert!((1..=3).contains(&request_count), "{request_count} calls");
     }
 }
 
 #[tokio::test]
 async fn redirects_are_not_followed() {
-    let platform = served().await;
+    let platform = start_platform().await;
     let target = format!("http://{}{}", platform.address(), Key::document().path());
     let answer = format!("HTTP/1.1 307 \r\nlocation: {target}\r\ncontent-length: 0\r\n\r\n");
-    check(&answer, ["rejected", "in doubt"], ["rejected", "in doubt"]).await;
+    check_read_and_write(&answer, ["rejected", "in doubt"], ["rejected", "in doubt"]).await;
     assert_eq!(platform.counts(), standin::platform::Counts::default());
 }
 
 #[tokio::test]
-async fn without_addresses_nothing_is_available() {
+async fn client_without_addresses_is_unavailable() {
     let client = Client::new(Options::new(Vec::new()));
-    let read = client.document().await.map_err(|error| kind(&error));
+    let read = client.document().await.map_err(|error| error_kind(&error));
     assert_eq!(read, Err("unavailable"));
 }
 
 #[tokio::test]
-async fn a_client_keeps_to_the_address_that_serves() {
-    let (first, second) = (served().await, served().await);
+async fn client_keeps_using_a_working_address() {
+    let (first, second) = (start_platform().await, start_platform().await);
     let client = Client::new(Options::new(vec![first.address(), second.address()]));
     let down = standin::platform::Behaviour {
         down: true,
--- a/crates/platform/tests/document.rs
+++ b/crates/platform/tests/document.rs
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn one_of_two_writers_wins_and_the_loser_is_told_who_did() {
+async fn conflicting_write_reports_the_winner() {
     assert_snapshot!(run(r"
         ann write 0 1 one
         ann write 1 2 anns
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_truthfully() {
+async fn write_with_a_lost_response_is_resolved() {
     assert_snapshot!(run(r#"
         ann write 0 1 one
         platform {"lose_answers": 1}
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_late_write_is_open_until_a_revision_decides() {
+async fn delayed_write_is_undecided_until_the_revision_exists() {
     assert_snapshot!(run(r#"
         ann write 0 1 one
         platform {"hold": 2}
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_write_has_not_taken_effect() {
+async fn refused_write_is_not_applied() {
     assert_snapshot!(run(r#"
         platform {"unavailable": true}
         ann write 0 1 one
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test]
-async fn a_stalled_platform_leaves_a_write_in_doubt() {
+async fn stalled_platform_leaves_a_write_in_doubt() {
     assert_snapshot!(run(r#"
         platform {"stalled": true}
         hasty write 0 1 one
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_platform_is_waited_for() {
+async fn slow_response_within_the_timeout_is_accepted() {
     assert_snapshot!(run(r#"
         platform {"slow": 60}
         ann write 0 1 one
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn a_lagging_replica_is_passed_on_as_stale() {
+async fn response_of_a_lagging_replica_is_marked_stale() {
     assert_snapshot!(run(r#"
         ann write 0 1 one
         ann write 1 2 two
--- a/crates/platform/tests/lease.rs
+++ b/crates/platform/tests/lease.rs
@@ -21,10 +21,10 @@
 use units::ZoneName;
 
 /// Longer than any test takes.
-const LONG: Millis = Millis(600_000);
+const LONG_TTL: Millis = Millis(600_000);
 
 /// Over before it can be looked at.
-const BRIEF: Millis = Millis(1);
+const SHORT_TTL: Millis = Millis(1);
 
 async fn start() -> (Handle, Client) {
     let platform = standin::platform::start(standin::platform::Options::default())
@@ -77,7 +77,7 @@
 }
 
 /// Renews leases in this order, each named `name@incarnation`, and tells what came of each and what is listed.
-async fn check(script: &str) -> String {
+async fn run_renewals(script: &str) -> String {
     let (platform, client) = start().await;
     let mut leases = BTreeMap::new();
     let mut out = String::new();
@@ -89,7 +89,7 @@
         let (who, what) = line.split_once(' ').expect("a line has a subject");
         let (name, incarnation) = who.split_once('@').expect("a subject has an incarnation");
         let entry = entry(name, incarnation.parse().expect("a number"));
-        let lease = leases.entry(who).or_insert_with(|| Lease::new(entry, LONG));
+        let lease = leases.entry(who).or_insert_with(|| Lease::new(entry, LONG_TTL));
         if what == "leaves" {
             lease.mark_leaving();
         }
@@ -113,7 +113,7 @@
 
 #[tokio::test]
 async fn leases_are_renewed_marked_and_replaced() {
-    assert_snapshot!(check(r"
+    assert_snapshot!(run_renewals(r"
         a@1 renews
         b@1 renews
         a@1 renews
@@ -135,8 +135,8 @@
 }
 
 #[tokio::test]
-async fn a_renewal_in_doubt_or_refused_is_made_up_for() {
-    assert_snapshot!(check(r#"
+async fn renewal_recovers_after_a_failed_or_doubtful_one() {
+    assert_snapshot!(run_renewals(r#"
         a@1 renews
         {"lose_answers": 1}
         a@1 leaves
@@ -158,23 +158,23 @@
 }
 
 #[tokio::test]
-async fn a_lease_lapses() {
+async fn lease_expires() {
     let (_platform, client) = start().await;
-    let mut brief = Lease::new(entry("a", 1), BRIEF);
-    let mut lasting = Lease::new(upstream("u", 4), LONG);
-    client.renew(&mut lasting).await.expect("the platform serves");
-    client.renew(&mut brief).await.expect("the platform serves");
+    let mut short_lease = Lease::new(entry("a", 1), SHORT_TTL);
+    let mut long_lease = Lease::new(upstream("u", 4), LONG_TTL);
+    client.renew(&mut long_lease).await.expect("the platform serves");
+    client.renew(&mut short_lease).await.expect("the platform serves");
     while list(&client).await != "u@4" {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     client
-        .renew(&mut brief)
+        .renew(&mut short_lease)
         .await
         .expect("a lapsed lease can be taken again");
 }
 
 #[tokio::test]
-async fn a_summary_is_written_over_the_version_that_was_read() {
+async fn status_is_written_only_over_the_expected_version() {
     let (_platform, client) = start().await;
     let zone: ZoneName = "north".parse().expect("a name");
     let none: Option<Status<u32>> = client.status(&zone).await.expect("the platform serves");
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn a_value_that_is_too_long_is_rejected() {
+async fn oversized_value_is_rejected() {
     let (platform, client) = start().await;
     let zone: ZoneName = "north".parse().expect("a name");
     for (len, fits) in [
--- a/crates/platform/tests/list.rs
+++ b/crates/platform/tests/list.rs
@@ -6,9 +6,9 @@
 use platform::Client;
 use platform::Lease;
 use platform::List;
+use platform::ListScope;
 use platform::Listed;
 use platform::Options;
-use platform::Scope;
 use standin::platform as stand_in;
 use standin::platform::Handle;
 use units::Incarnation;
@@ -59,7 +59,7 @@
 }
 
 /// How many entries a part of the list has, and how many bytes a first and a second read of it take.
-async fn check(platform: &Handle, client: &Client, scope: Scope) -> (usize, u64, u64) {
+async fn read_twice(platform: &Handle, client: &Client, scope: ListScope) -> (usize, u64, u64) {
     let mut list = List::new(scope);
     let mut taken = Vec::new();
     for expected in [true, false] {
@@ -71,12 +71,12 @@
 }
 
 #[tokio::test]
-async fn a_part_costs_less_and_what_has_not_changed_costs_nothing() {
+async fn partial_lists_are_smaller_and_unchanged_lists_are_not_resent() {
     let (platform, client, _leases) = start().await;
-    let zone = Scope::Zone("south".parse().expect("a name"));
-    let (all_len, all, all_again) = check(&platform, &client, Scope::All).await;
-    let (instances_len, instances, instances_again) = check(&platform, &client, Scope::Instances).await;
-    let (zone_len, zone, zone_again) = check(&platform, &client, zone).await;
+    let zone = ListScope::Zone("south".parse().expect("a name"));
+    let (all_len, all, all_again) = read_twice(&platform, &client, ListScope::All).await;
+    let (instances_len, instances, instances_again) = read_twice(&platform, &client, ListScope::Instances).await;
+    let (zone_len, zone, zone_again) = read_twice(&platform, &client, zone).await;
     assert_eq!(all_len, 3 * INSTANCES + UPSTREAMS);
     assert_eq!(instances_len, 3 * INSTANCES + 1);
     assert_eq!(zone_len, INSTANCES + 1);
@@ -88,9 +88,9 @@
 }
 
 #[tokio::test]
-async fn a_renewal_changes_nothing_and_news_is_read() {
+async fn renewals_leave_the_list_unchanged_and_changes_are_read() {
     let (platform, client, mut leases) = start().await;
-    let mut list = List::new(Scope::Zone("north".parse().expect("a name")));
+    let mut list = List::new(ListScope::Zone("north".parse().expect("a name")));
     assert_eq!(client.refresh(&mut list).await, Ok(true));
     client.renew(&mut leases[0]).await.expect("the platform serves");
     assert_eq!(client.refresh(&mut list).await, Ok(false));
--- a/crates/platform/tests/race.rs
+++ b/crates/platform/tests/race.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use platform::Client;
+use platform::DocumentWrite;
 use platform::Error;
 use platform::Options;
-use platform::Settled;
-use platform::Write;
+use platform::WriteOutcome;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -28,15 +28,15 @@
 const WRITES: u64 = 20;
 
 /// How long an operator waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(100);
+const TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How long a fault lasts.
-const FAULT: Duration = Duration::from_millis(10);
+const FAULT_DURATION: Duration = Duration::from_millis(10);
 
 /// What a writer was told of a write in the end: the revision that it made, or none for ever.
-type Verdict = Option<Revision>;
+type FinalOutcome = Option<Revision>;
 
-fn draw(random: &mut StdRng) -> Behaviour {
+fn random_behaviour(random: &mut StdRng) -> Behaviour {
     let mut behaviour = Behaviour::default();
     match random.random_range(0..8) {
         0 => behaviour.down = true,
@@ -52,29 +52,29 @@
 }
 
 /// Misbehaves in one way after another, until this is dropped.
-async fn misbehave(platform: &Handle, seed: u64) {
+async fn inject_faults(platform: &Handle, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     loop {
-        platform.behave(draw(&mut random)).await;
-        tokio::time::sleep(FAULT).await;
+        platform.behave(random_behaviour(&mut random)).await;
+        tokio::time::sleep(FAULT_DURATION).await;
     }
 }
 
-async fn pause() {
+async fn retry_delay() {
     tokio::time::sleep(Duration::from_millis(2)).await;
 }
 
-async fn base(client: &Client) -> Revision {
+async fn current_revision(client: &Client) -> Revision {
     loop {
         match client.document().await {
             Ok(document) => return document.map(|document| document.revision).unwrap_or_default(),
-            Err(_) => pause().await,
+            Err(_) => retry_delay().await,
         }
     }
 }
 
 /// Writes, and follows up a write in doubt until it is decided.
-async fn write(client: &Client, write: &Write) -> Verdict {
+async fn write_until_decided(client: &Client, write: &DocumentWrite) -> FinalOutcome {
     match client.write(write).await {
         Ok(revision) => return Some(revision),
         Err(error) if !error.may_have_taken_effect() => return None,
@@ -83,57 +83,57 @@
     loop {
         // Both ways have to work: reading back first, and only sending again.
         if write.nonce.0.is_multiple_of(2) {
-            match client.settle(write).await {
-                Ok(Settled::TookEffect(revision)) => return Some(revision),
-                Ok(Settled::Lost(_)) => return None,
-                Ok(Settled::Open) => {}
-                Err(_) => pause().await,
+            match client.resolve_write(write).await {
+                Ok(WriteOutcome::Applied(revision)) => return Some(revision),
+                Ok(WriteOutcome::Conflict(_)) => return None,
+                Ok(WriteOutcome::Undecided) => {}
+                Err(_) => retry_delay().await,
             }
         }
         match client.write(write).await {
             Ok(revision) => return Some(revision),
             Err(Error::Conflict { .. }) => return None,
             // This copy did nothing, but an earlier one may still take effect.
-            Err(_) => pause().await,
+            Err(_) => retry_delay().await,
         }
     }
 }
 
-async fn operate(client: Client, writer: u64) -> Vec<(Nonce, Verdict)> {
-    let mut told = Vec::new();
+async fn run_writer(client: Client, writer: u64) -> Vec<(Nonce, FinalOutcome)> {
+    let mut outcomes = Vec::new();
     for number in 1..=WRITES {
         let nonce = Nonce(writer * WRITES + number);
-        let draft = Write {
-            base: base(&client).await,
+        let draft = DocumentWrite {
+            base: current_revision(&client).await,
             text: format!("text {nonce}"),
             writer: format!("writer {writer}"),
             nonce,
         };
-        told.push((nonce, write(&client, &draft).await));
+        outcomes.push((nonce, write_until_decided(&client, &draft).await));
     }
-    told
+    outcomes
 }
 
 async fn check(seed: u64) {
     let platform = standin::platform::start(standin::platform::Options::default()).await;
     let platform = platform.expect("loopback has free ports");
-    let mut operators = JoinSet::new();
+    let mut writers = JoinSet::new();
     for writer in 0..WRITERS {
         let mut options = Options::new(vec![platform.address()]);
-        options.timeout = PATIENCE;
-        operators.spawn(operate(Client::new(options), writer));
+        options.timeout = TIMEOUT;
+        writers.spawn(run_writer(Client::new(options), writer));
     }
-    let told = tokio::select! {
-        told = operators.join_all() => told,
-        () = misbehave(&platform, seed) => unreachable!("faults go on until the operators are done"),
+    let outcomes = tokio::select! {
+        outcomes = writers.join_all() => outcomes,
+        () = inject_faults(&platform, seed) => unreachable!("faults go on until the writers are done"),
     };
     platform.behave(Behaviour::default()).await;
     let client = Client::new(Options::new(vec![platform.address()]));
     let history = client.history(1_000).await.expect("the faults have ended");
     let made: BTreeMap<Nonce, Revision> = history.iter().map(|made| (made.nonce, made.revision)).collect();
     assert_eq!(made.len(), history.len(), "seed {seed}: no write took effect twice");
-    for (nonce, verdict) in told.into_iter().flatten() {
-        assert_eq!(verdict, made.get(&nonce).copied(), "seed {seed}: write {nonce}");
+    for (nonce, outcome) in outcomes.into_iter().flatten() {
+        assert_eq!(outcome, made.get(&nonce).copied(), "seed {seed}: write {nonce}");
     }
     let revisions: Vec<u64> = history.iter().rev().map(|made| made.revision.0).collect();
     let whole: Vec<u64> = (1..=platform.counts().taken).collect();
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn writers_under_faults_are_told_the_truth() {
+async fn write_outcomes_match_the_history_under_faults() {
     let seeds = std::env::var("JAYQUAY_SEEDS").map_or(SEEDS, |seeds| seeds.parse().expect("a number of seeds"));
     for seed in 1..=seeds {
         check(seed).await;
--- a/crates/platform/tests/script/mod.rs
+++ b/crates/platform/tests/script/mod.rs
@@ -13,10 +13,10 @@
 
 use platform::Client;
 use platform::Document;
+use platform::DocumentWrite;
 use platform::Error;
 use platform::Options;
-use platform::Settled;
-use platform::Write;
+use platform::WriteOutcome;
 use platform::api::Key;
 use standin::platform::Handle;
 use tokio::task::JoinHandle;
@@ -24,17 +24,17 @@
 use units::Revision;
 
 /// How long the hasty one waits.
-const MOMENT: Duration = Duration::from_millis(50);
+const HASTY_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How long a watch waits that is to end without news.
 const SHORT_WATCH: Duration = Duration::from_millis(20);
 
 /// Far longer than any answer takes that is to come.
-const LONG: Duration = Duration::from_mins(1);
+const LONG_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Runs a script and returns what each line led to.
 pub async fn run(script: &str) -> String {
-    let mut world = World {
+    let mut runner = ScriptRunner {
         platform: standin::platform::start(standin::platform::Options::default())
             .await
             .expect("loopback has free ports"),
@@ -42,28 +42,28 @@
     };
     let mut out = String::new();
     for line in script.lines().map(str::trim).filter(|line| !line.is_empty()) {
-        let result = world.step(line).await;
+        let result = runner.step(line).await;
         writeln!(out, "{line} -> {result}").expect("a string takes every write");
     }
     out
 }
 
-struct World {
+struct ScriptRunner {
     platform: Handle,
     operators: BTreeMap<String, Operator>,
 }
 
 struct Operator {
     client: Client,
-    write: Option<Write>,
-    begun: Option<JoinHandle<String>>,
+    write: Option<DocumentWrite>,
+    pending: Option<JoinHandle<String>>,
 }
 
-impl World {
+impl ScriptRunner {
     async fn step(&mut self, line: &str) -> String {
         let (who, what) = line.split_once(' ').expect("a line has a subject");
         if who == "platform" {
-            return self.tell(what).await;
+            return self.run_platform_command(what).await;
         }
         let address = self.platform.address();
         let operator = self
@@ -73,31 +73,31 @@
         let words: Vec<&str> = what.split(' ').collect();
         match words.as_slice() {
             ["write", base, nonce, text] => {
-                operator.prepare(who, base, nonce, text);
-                send(&operator.client, operator.last()).await
+                operator.prepare_write(who, base, nonce, text);
+                send(&operator.client, operator.last_write()).await
             }
             ["begin", base, nonce, text] => {
-                operator.prepare(who, base, nonce, text);
+                operator.prepare_write(who, base, nonce, text);
                 let client = operator.client.clone();
-                let write = operator.last().clone();
-                operator.begun = Some(tokio::spawn(async move { send(&client, &write).await }));
+                let write = operator.last_write().clone();
+                operator.pending = Some(tokio::spawn(async move { send(&client, &write).await }));
                 "begun".to_owned()
             }
-            ["end"] => operator.begun.take().expect("begun").await.expect("no panic"),
-            ["again"] => send(&operator.client, operator.last()).await,
-            ["settle"] => operator.settle().await,
-            ["read"] => show(operator.client.document().await),
-            ["watch", newer_than] => show(operator.watch(newer_than, LONG).await),
-            ["glance", newer_than] => show(operator.watch(newer_than, SHORT_WATCH).await),
+            ["end"] => operator.pending.take().expect("begun").await.expect("no panic"),
+            ["again"] => send(&operator.client, operator.last_write()).await,
+            ["settle"] => operator.resolve_write().await,
+            ["read"] => format_read(operator.client.document().await),
+            ["watch", newer_than] => format_read(operator.watch(newer_than, LONG_TIMEOUT).await),
+            ["glance", newer_than] => format_read(operator.watch(newer_than, SHORT_WATCH).await),
             ["history"] => match operator.client.history(10).await {
-                Ok(documents) => documents.iter().map(text).collect::<Vec<_>>().join(", "),
-                Err(error) => cause(&error),
+                Ok(documents) => documents.iter().map(format_document).collect::<Vec<_>>().join(", "),
+                Err(error) => format_error(&error),
             },
             _ => panic!("no such line: {line}"),
         }
     }
 
-    async fn tell(&self, what: &str) -> String {
+    async fn run_platform_command(&self, what: &str) -> String {
         if what == "counts" {
             let counts = self.platform.counts();
             return format!(
@@ -135,20 +135,20 @@
         // Nothing listens on port 1, so the client has to go on to the address that serves.
         let dead = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
         let mut options = Options::new(vec![dead, address]);
-        options.timeout = if who == "hasty" { MOMENT } else { LONG };
+        options.timeout = if who == "hasty" { HASTY_TIMEOUT } else { LONG_TIMEOUT };
         Self {
             client: Client::new(options),
             write: None,
-            begun: None,
+            pending: None,
         }
     }
 
-    fn last(&self) -> &Write {
+    fn last_write(&self) -> &DocumentWrite {
         self.write.as_ref().expect("something was written")
     }
 
-    fn prepare(&mut self, who: &str, base: &str, nonce: &str, text: &str) {
-        self.write = Some(Write {
+    fn prepare_write(&mut self, who: &str, base: &str, nonce: &str, text: &str) {
+        self.write = Some(DocumentWrite {
             base: base.parse().expect("a revision"),
             text: text.to_owned(),
             writer: who.to_owned(),
@@ -156,12 +156,12 @@
         });
     }
 
-    async fn settle(&self) -> String {
-        match self.client.settle(self.last()).await {
-            Ok(Settled::TookEffect(revision)) => format!("took effect as {revision}"),
-            Ok(Settled::Lost(winner)) => format!("lost to {}", text(&winner)),
-            Ok(Settled::Open) => "open".to_owned(),
-            Err(error) => cause(&error),
+    async fn resolve_write(&self) -> String {
+        match self.client.resolve_write(self.last_write()).await {
+            Ok(WriteOutcome::Applied(revision)) => format!("took effect as {revision}"),
+            Ok(WriteOutcome::Conflict(winner)) => format!("lost to {}", format_document(&winner)),
+            Ok(WriteOutcome::Undecided) => "open".to_owned(),
+            Err(error) => format_error(&error),
         }
     }
 
@@ -171,23 +171,23 @@
     }
 }
 
-async fn send(client: &Client, write: &Write) -> String {
+async fn send(client: &Client, write: &DocumentWrite) -> String {
     match client.write(write).await {
         Ok(revision) => format!("made {revision}"),
-        Err(error) => cause(&error),
+        Err(error) => format_error(&error),
     }
 }
 
-fn show(result: Result<Option<Document>, Error>) -> String {
+fn format_read(result: Result<Option<Document>, Error>) -> String {
     match result {
-        Ok(Some(document)) if document.stale => format!("{}, stale", text(&document)),
-        Ok(Some(document)) => text(&document),
+        Ok(Some(document)) if document.stale => format!("{}, stale", format_document(&document)),
+        Ok(Some(document)) => format_document(&document),
         Ok(None) => "nothing".to_owned(),
-        Err(error) => cause(&error),
+        Err(error) => format_error(&error),
     }
 }
 
-fn text(document: &Document) -> String {
+fn format_document(document: &Document) -> String {
     let Nonce(nonce) = document.nonce;
     format!(
         "{} {:?} by {} ({nonce})",
@@ -196,7 +196,7 @@
 }
 
 /// The kind of an error, without the words that differ between machines.
-fn cause(error: &Error) -> String {
+fn format_error(error: &Error) -> String {
     match error {
         Error::Unavailable(_) => "unavailable".to_owned(),
         Error::InDoubt(_) => "in doubt".to_owned(),
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -15,7 +15,7 @@
 use ::platform::api::Condition;
 use ::platform::api::Key;
 use ::platform::api::Object;
-use ::platform::api::Put;
+use ::platform::api::PutRequest;
 use serde_json::Value;
 use tokio::sync::watch;
 use units::Nonce;
@@ -154,7 +154,7 @@
 
     /// Writes the configuration document, as an operator beside the system would.
     pub fn put_document(&self, text: String) -> Revision {
-        let put = Put {
+        let put = PutRequest {
             nonce: Nonce(0),
             writer: WRITER.to_owned(),
             value: Value::String(text),
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -5,14 +5,14 @@
 
 use ::platform::api;
 use ::platform::api::Condition;
-use ::platform::api::History;
+use ::platform::api::EntityTag;
+use ::platform::api::HistoryResponse;
 use ::platform::api::Key;
 use ::platform::api::Kind;
-use ::platform::api::Listing;
+use ::platform::api::ListResponse;
 use ::platform::api::Object;
-use ::platform::api::Put;
-use ::platform::api::Tag;
-use ::platform::api::Written;
+use ::platform::api::PutRequest;
+use ::platform::api::PutResponse;
 use axum::Extension;
 use axum::Json;
 use axum::Router;
@@ -104,7 +104,7 @@
     let behind = shared.behaviour.borrow().behind;
     if let Some(limit) = ask.history {
         let versions = shared.store.history(&key, limit, behind);
-        return Json(History { versions }).into_response();
+        return Json(HistoryResponse { versions }).into_response();
     }
     let Some(found) = shared.store.find(&key, ask.version, behind) else {
         return StatusCode::NOT_FOUND.into_response();
@@ -141,7 +141,7 @@
     Extension(line): Extension<Line>,
     Path((kind, name)): Path<(Kind, String)>,
     headers: HeaderMap,
-    Json(put): Json<Put>,
+    Json(put): Json<PutRequest>,
 ) -> Response {
     shared.store.count(|counts| counts.writes += 1);
     let Some(condition) = condition(&headers) else {
@@ -168,7 +168,7 @@
         return line.cut().await;
     }
     match result {
-        Ok(version) => (tag(version), Json(Written { version })).into_response(),
+        Ok(version) => (tag(version), Json(PutResponse { version })).into_response(),
         Err(current) => (StatusCode::PRECONDITION_FAILED, Json(current)).into_response(),
     }
 }
@@ -181,7 +181,7 @@
     let lag = shared.behaviour.borrow().list_lag.duration();
     let mut entries = shared.store.list(lag);
     entries.retain(|entry| part.holds(entry));
-    let body = serde_json::to_string(&Listing { entries }).expect("entries have a JSON form");
+    let body = serde_json::to_string(&ListResponse { entries }).expect("entries have a JSON form");
     // The tag follows from what is listed, so that a renewal that changes nothing leaves it as it is.
     let tag = format!("\"{}\"", &blake3::hash(body.as_bytes()).to_hex()[..TAG_LEN]);
     if headers.get(IF_NONE_MATCH).is_some_and(|held| held == tag.as_str()) {
@@ -211,7 +211,7 @@
 
 fn condition(headers: &HeaderMap) -> Option<Condition> {
     if let Some(value) = headers.get(IF_MATCH) {
-        let tag: Tag = value.to_str().ok()?.parse().ok()?;
+        let tag: EntityTag = value.to_str().ok()?.parse().ok()?;
         return Some(Condition::Version(tag.0));
     }
     if let Some(value) = headers.get(IF_NONE_MATCH) {
@@ -225,7 +225,7 @@
 }
 
 fn tag(version: Revision) -> [(axum::http::HeaderName, String); 1] {
-    [(ETAG, Tag(version).to_string())]
+    [(ETAG, EntityTag(version).to_string())]
 }
 
 /// Counts a watch, and that it waits until this is dropped.
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -13,7 +13,7 @@
 use ::platform::api::Key;
 use ::platform::api::Kind;
 use ::platform::api::Object;
-use ::platform::api::Put;
+use ::platform::api::PutRequest;
 use node::Listed;
 use tokio::sync::watch;
 use units::Millis;
@@ -59,7 +59,7 @@
 
 impl Store {
     /// Writes an object if the condition holds, else tells what stands there.
-    pub(crate) fn put(&self, key: &Key, condition: Condition, put: Put) -> Result<Revision, Option<Object>> {
+    pub(crate) fn put(&self, key: &Key, condition: Condition, put: PutRequest) -> Result<Revision, Option<Object>> {
         let mut state = self.lock();
         let versions = state.objects.entry(key.clone()).or_default();
         let current = versions.last().map(|version| version.object.version);
--- a/deploy/ablation.py
+++ b/deploy/ablation.py
@@ -51,7 +51,7 @@
     ("grace for lapsed entries", [(FLOW + "core/opening.rs", "const LAPSED_GRACE: Duration = Duration::from_secs(2);", "const LAPSED_GRACE: Duration = Duration::ZERO;")]),
     ("gathering of changes", [(DAEMON + "role.rs", "const GATHER: Duration = Duration::from_secs(1);", "const GATHER: Duration = Duration::from_millis(1);")]),
     ("one watcher a zone", [(DAEMON + "role.rs", "const ENOUGH_ZONES: usize = 3;", "const ENOUGH_ZONES: usize = 300;")]),
-    ("the system's probes of connections", [("crates/platform/src/transport.rs", "            .tcp_keepalive(KEEPALIVE)\n            .tcp_keepalive_interval(KEEPALIVE)\n            .tcp_keepalive_retries(KEEPALIVE_TRIES)\n", "")]),
+    ("the system's probes of connections", [("crates/platform/src/transport.rs", "            .tcp_keepalive(KEEPALIVE_INTERVAL)\n            .tcp_keepalive_interval(KEEPALIVE_INTERVAL)\n            .tcp_keepalive_retries(KEEPALIVE_RETRIES)\n", "")]),
     ("checks each second", [(DAEMON + "check.rs", "(first == Some(&members.me().name)).then(|| Question::first(round))", "(first == Some(&members.me().name) && round == 0).then(|| Question::first(round))")]),
     ("ejection of failing upstreams", [(FLOW + "outcome.rs", "const ENOUGH: f64 = 13.8;", "const ENOUGH: f64 = 1e300;")]),
     ("refused openings as silence", [(FLOW + "core/failing.rs", "            health.note_copy(flow, now);\n", "            let _off = (&health, &flow);\n")]),
