--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -5,9 +5,9 @@
 use units::Incarnation;
 use units::Millis;
 use units::Time;
-use wire::Body;
-use wire::Entry;
 use wire::HandoverFlow;
+use wire::QueuedRequest;
+use wire::RequestRecord;
 use wire::TicketId;
 
 use crate::FlowKey;
@@ -28,9 +28,9 @@
 const OTHER_ENTRY_BYTES: usize = 32;
 
 /// Converts a waiting request into the form in which it is handed over.
-pub(crate) fn handover_body(ticket: Ticket, now: Time) -> Body {
+pub(crate) fn handover_body(ticket: Ticket, now: Time) -> QueuedRequest {
     let remaining = Millis::from(now.until(ticket.deadline));
-    Body {
+    QueuedRequest {
         caller: ticket.caller,
         zone: ticket.zone,
         in_doubt: ticket.in_doubt,
@@ -45,7 +45,7 @@
 pub(crate) fn pack_ledger(
     key: FlowKey,
     ledger: Ledger,
-    bodies: &mut BTreeMap<TicketId, Body>,
+    bodies: &mut BTreeMap<TicketId, QueuedRequest>,
     local: Incarnation,
 ) -> Vec<HandoverFlow> {
     let empty = HandoverFlow {
@@ -59,11 +59,13 @@
     let mut size = 0;
     for recorded in ledger.entries {
         let entry = match recorded.state {
-            RequestState::Running(ticket) => bodies.remove(&ticket).map_or(Entry::Running(local), Entry::Queued),
-            RequestState::RunningElsewhere(incarnation) => Entry::Running(incarnation),
-            RequestState::Answered(answer) => Entry::Answered(*answer),
-            RequestState::AnswerDiscarded => Entry::Forgotten,
-            RequestState::Refused(verdict, reason) => Entry::Refused(verdict, reason),
+            RequestState::Running(ticket) => bodies
+                .remove(&ticket)
+                .map_or(RequestRecord::Running(local), RequestRecord::Queued),
+            RequestState::RunningElsewhere(incarnation) => RequestRecord::Running(incarnation),
+            RequestState::Answered(answer) => RequestRecord::Answered(*answer),
+            RequestState::AnswerDiscarded => RequestRecord::Forgotten,
+            RequestState::Refused(verdict, reason) => RequestRecord::Refused(verdict, reason),
         };
         size += size_of_entry(&entry);
         if size > PART_BYTES {
@@ -102,10 +104,10 @@
     FLOW_BYTES + entries.sum::<usize>()
 }
 
-fn size_of_entry(entry: &Entry) -> usize {
+fn size_of_entry(entry: &RequestRecord) -> usize {
     match entry {
-        Entry::Queued(body) => REQUEST_BYTES + body.request.body.len(),
-        Entry::Answered(answer) => ANSWER_BYTES + answer.body.len(),
-        Entry::Running(_) | Entry::Forgotten | Entry::Refused(..) => OTHER_ENTRY_BYTES,
+        RequestRecord::Queued(body) => REQUEST_BYTES + body.request.body.len(),
+        RequestRecord::Answered(answer) => ANSWER_BYTES + answer.body.len(),
+        RequestRecord::Running(_) | RequestRecord::Forgotten | RequestRecord::Refused(..) => OTHER_ENTRY_BYTES,
     }
 }
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -13,15 +13,15 @@
 use units::ZoneName;
 use wire::Forward;
 use wire::Frame;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Opened;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Sealed;
-use wire::Subject;
+use wire::SealedToken;
 use wire::Verdict;
 use wire::decode_packet;
 
@@ -166,7 +166,7 @@
             pinned: None,
             issued: cx.now,
         };
-        let granted = Granted {
+        let granted = IssuedToken {
             token: self.keyring.seal(&claims),
             floor: claims.floor,
         };
@@ -191,7 +191,7 @@
         reason: Reason,
         retry_after: Millis,
     ) {
-        let subject = Subject::Open(open.nonce);
+        let subject = RefusalSubject::Open(open.nonce);
         let verdict = Verdict::NotRun;
         self.counters.count_refusal(verdict, reason);
         let refused = Refused {
@@ -211,7 +211,7 @@
         let Packet::Request(request) = &routed.packet else {
             return;
         };
-        let subject = Subject::Unread(request.seq);
+        let subject = RefusalSubject::Unread(request.seq);
         let refused = Refused {
             subject,
             verdict,
@@ -227,11 +227,11 @@
         let (subject, reason, granted) = match &routed.packet {
             Packet::Request(request) => {
                 let floor = request.sent.max(request.seq).max(claims.floor);
-                let subject = Subject::Request(claims.flow, request.seq);
+                let subject = RefusalSubject::Request(claims.flow, request.seq);
                 (subject, Reason::OwnerGone, self.reissue_token(cx, claims, floor))
             }
             Packet::Pull(pull) => {
-                let subject = Subject::Pull(claims.flow, pull.seq, pull.digest);
+                let subject = RefusalSubject::Pull(claims.flow, pull.seq, pull.digest);
                 (subject, Reason::AnswerGone, None)
             }
             Packet::Open(_) | Packet::Done(_) | Packet::Close(_) => return,
@@ -248,7 +248,7 @@
         cx.push(Action::Reply(routed.caller, Reply::Refused(refused)));
     }
 
-    fn reissue_token(&mut self, cx: &Context<'_>, claims: &Claims, floor: RequestSeq) -> Option<Granted> {
+    fn reissue_token(&mut self, cx: &Context<'_>, claims: &Claims, floor: RequestSeq) -> Option<IssuedToken> {
         let (home, _) = self.find_home(&claims.service)?;
         let claims = Claims {
             owner: home.name,
@@ -257,7 +257,7 @@
             issued: cx.now,
             ..claims.clone()
         };
-        Some(Granted {
+        Some(IssuedToken {
             token: self.keyring.seal(&claims),
             floor,
         })
@@ -269,9 +269,9 @@
         &mut self,
         cx: &Context<'_>,
         claims: &Claims,
-        sealed: &Sealed,
+        sealed: &SealedToken,
         sent: RequestSeq,
-    ) -> Option<Granted> {
+    ) -> Option<IssuedToken> {
         let (home, _) = self.find_home(&claims.service)?;
         let moved = home.name != claims.owner || home.incarnation != claims.incarnation;
         let aged = cx.now.since(claims.issued) > self.keyring.lifetime() / 2;
--- a/crates/node/src/replies.rs
+++ b/crates/node/src/replies.rs
@@ -7,12 +7,12 @@
 use units::RequestSeq;
 use wire::Answer;
 use wire::Chunk;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Pull;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Subject;
 use wire::Verdict;
 
 use crate::Action;
@@ -32,7 +32,7 @@
             let verdict = Verdict::MayHaveRun;
             let reason = Reason::AnswerGone;
             self.counters.count_refusal(verdict, reason);
-            let subject = Subject::Pull(key.flow, pull.seq, pull.digest);
+            let subject = RefusalSubject::Pull(key.flow, pull.seq, pull.digest);
             let refused = Refused {
                 subject,
                 verdict,
@@ -60,11 +60,11 @@
         seq: RequestSeq,
         (verdict, reason): (Verdict, Reason),
         retry_after: Millis,
-        granted: Option<Granted>,
+        granted: Option<IssuedToken>,
     ) {
         self.counters.count_refusal(verdict, reason);
         cx.record(Record::Refused(key.flow, seq, verdict, reason));
-        let subject = Subject::Request(key.flow, seq);
+        let subject = RefusalSubject::Request(key.flow, seq);
         let refused = Refused {
             subject,
             verdict,
@@ -84,7 +84,7 @@
     seq: RequestSeq,
     answer: &Answer,
     index: u32,
-    granted: Option<Granted>,
+    granted: Option<IssuedToken>,
 ) {
     let Some(data) = answer.chunk(index) else {
         return;
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -13,12 +13,12 @@
 use units::InstanceName;
 use units::RequestSeq;
 use units::Time;
-use wire::Entry;
 use wire::Frame;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Life;
+use wire::InstanceIncarnation;
 use wire::Reason;
+use wire::RequestRecord;
 use wire::Resolved;
 use wire::Successor;
 use wire::TicketId;
@@ -211,7 +211,7 @@
         state.sent_at = cx.now;
         let peer = state.successor.clone();
         let successor = successor_record(&self.local, &peer);
-        let inherited: Vec<Life> = self.inherited.keys().cloned().collect();
+        let inherited: Vec<InstanceIncarnation> = self.inherited.keys().cloned().collect();
         let chunks = split_into_parts(&state.flows);
         let parts = chunks.len() as u32;
         let mut frames = Vec::new();
@@ -285,10 +285,10 @@
         state: &RequestState,
     ) {
         let entry = match state {
-            RequestState::Answered(answer) => Entry::Answered((**answer).clone()),
-            RequestState::Refused(verdict, reason) => Entry::Refused(*verdict, *reason),
+            RequestState::Answered(answer) => RequestRecord::Answered((**answer).clone()),
+            RequestState::Refused(verdict, reason) => RequestRecord::Refused(*verdict, *reason),
             RequestState::AnswerDiscarded | RequestState::Running(_) | RequestState::RunningElsewhere(_) => {
-                Entry::Forgotten
+                RequestRecord::Forgotten
             }
         };
         self.send_request_end(cx, key, seq, entry);
@@ -301,11 +301,11 @@
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
-        let entry = Entry::Queued(handover_body(ticket, cx.now));
+        let entry = RequestRecord::Queued(handover_body(ticket, cx.now));
         self.send_request_end(cx, key, seq, entry);
     }
 
-    fn send_request_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, entry: Entry) {
+    fn send_request_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, entry: RequestRecord) {
         let resolved = Resolved {
             at: self.local.incarnation,
             owner: key.owner,
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -6,13 +6,13 @@
 use units::Incarnation;
 use units::RequestSeq;
 use units::Time;
-use wire::Body;
-use wire::Entry;
 use wire::Frame;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Life;
+use wire::InstanceIncarnation;
+use wire::QueuedRequest;
 use wire::Reason;
+use wire::RequestRecord;
 use wire::Resolved;
 use wire::Successor;
 use wire::Verdict;
@@ -35,10 +35,10 @@
 }
 
 /// A request that was handed over while it waited for a slot.
-struct QueuedRequest {
+struct HandedOverRequest {
     key: FlowKey,
     seq: RequestSeq,
-    body: Body,
+    body: QueuedRequest,
 }
 
 impl Node {
@@ -74,11 +74,11 @@
         cx: &mut Context<'_>,
         peer: &Peer,
         record: Successor,
-        inherited: &[Life],
+        inherited: &[InstanceIncarnation],
         flows: Vec<HandoverFlow>,
     ) {
         self.expire_inherited(cx.now);
-        let from = Life {
+        let from = InstanceIncarnation {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         };
@@ -120,8 +120,8 @@
     }
 
     /// Starts a request that was waiting at another instance when it was handed over.
-    fn resume_request(&mut self, cx: &mut Context<'_>, queued: QueuedRequest) {
-        let QueuedRequest { key, seq, body } = queued;
+    fn resume_request(&mut self, cx: &mut Context<'_>, queued: HandedOverRequest) {
+        let HandedOverRequest { key, seq, body } = queued;
         let id = self.next_ticket();
         if !self.ledgers.resume(key, seq, id) {
             return;
@@ -171,27 +171,27 @@
             return;
         }
         let state = match resolved.entry {
-            Entry::Queued(body) => return self.resume_request(cx, QueuedRequest { key, seq, body }),
-            Entry::Answered(answer) => RequestState::Answered(Box::new(answer)),
-            Entry::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
-            Entry::Forgotten | Entry::Running(_) => RequestState::AnswerDiscarded,
+            RequestRecord::Queued(body) => return self.resume_request(cx, HandedOverRequest { key, seq, body }),
+            RequestRecord::Answered(answer) => RequestState::Answered(Box::new(answer)),
+            RequestRecord::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
+            RequestRecord::Forgotten | RequestRecord::Running(_) => RequestState::AnswerDiscarded,
         };
         self.ledgers.end(key, seq, state, cx.now);
     }
 }
 
-fn unpack_ledger(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<QueuedRequest>) -> Ledger {
+fn unpack_ledger(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<HandedOverRequest>) -> Ledger {
     let mut entries = ThinVec::new();
     for (seq, entry) in flow.entries {
         let state = match entry {
-            Entry::Queued(body) => {
-                queued.push(QueuedRequest { key, seq, body });
+            RequestRecord::Queued(body) => {
+                queued.push(HandedOverRequest { key, seq, body });
                 RequestState::RunningElsewhere(from)
             }
-            Entry::Running(incarnation) => RequestState::RunningElsewhere(incarnation),
-            Entry::Answered(answer) => RequestState::Answered(Box::new(answer)),
-            Entry::Forgotten => RequestState::AnswerDiscarded,
-            Entry::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
+            RequestRecord::Running(incarnation) => RequestState::RunningElsewhere(incarnation),
+            RequestRecord::Answered(answer) => RequestState::Answered(Box::new(answer)),
+            RequestRecord::Forgotten => RequestState::AnswerDiscarded,
+            RequestRecord::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
         };
         entries.push(LedgerEntry { seq, state });
     }
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies for messages.
+//! Proptest strategies for messages.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -17,36 +17,36 @@
 use wire::Accepted;
 use wire::Acquire;
 use wire::Answer;
-use wire::Body;
+use wire::AnswerHeader;
 use wire::Chunk;
 use wire::Digest;
 use wire::Document;
-use wire::Entry;
 use wire::Forward;
 use wire::Frame;
 use wire::Gossip;
-use wire::Granted;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Head;
+use wire::InstanceIncarnation;
+use wire::IssuedToken;
 use wire::LeavingUpstream;
-use wire::Life;
 use wire::Member;
 use wire::MemberState;
 use wire::Opened;
 use wire::Packet;
 use wire::Pull;
+use wire::QueuedRequest;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
 use wire::Request;
-use wire::Sealed;
-use wire::Subject;
+use wire::RequestRecord;
+use wire::SealedToken;
 use wire::Successor;
 use wire::TicketId;
 use wire::Verdict;
 
-/// A fixed seed, so that a failure is met again.
+/// Uses a fixed seed, so that failures are reproducible.
 pub fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -61,7 +61,7 @@
     T: std::str::FromStr + std::fmt::Debug,
     T::Err: std::fmt::Debug,
 {
-    "[a-z][a-z0-9-]{0,62}".prop_map(|text| text.parse().expect("the pattern gives valid names"))
+    "[a-z][a-z0-9-]{0,62}".prop_map(|text| text.parse().expect("the pattern only matches valid names"))
 }
 
 fn address() -> impl Strategy<Value = SocketAddr> {
@@ -72,8 +72,8 @@
     vec(any::<u8>(), 0..=max).prop_map(ByteBuf::from)
 }
 
-fn sealed() -> impl Strategy<Value = Sealed> {
-    bytes(300).prop_map(Sealed)
+fn sealed() -> impl Strategy<Value = SealedToken> {
+    bytes(300).prop_map(SealedToken)
 }
 
 fn digest() -> impl Strategy<Value = Digest> {
@@ -92,8 +92,8 @@
     any::<u64>().prop_map(Incarnation)
 }
 
-fn granted() -> impl Strategy<Value = Granted> {
-    (sealed(), seq()).prop_map(|(token, floor)| Granted { token, floor })
+fn granted() -> impl Strategy<Value = IssuedToken> {
+    (sealed(), seq()).prop_map(|(token, floor)| IssuedToken { token, floor })
 }
 
 fn request() -> impl Strategy<Value = Request> {
@@ -111,7 +111,7 @@
     })
 }
 
-/// Any packet that fits a datagram.
+/// Generates packets that fit into a datagram.
 pub fn packet() -> impl Strategy<Value = Packet> {
     let open = (any::<u64>(), name(), address()).prop_map(|(nonce, service, address)| {
         Packet::Open(wire::Open {
@@ -146,16 +146,16 @@
     prop_oneof![Just(Reason::Overload), Just(Reason::OwnerGone), Just(Reason::Token)]
 }
 
-fn subject() -> impl Strategy<Value = Subject> {
+fn subject() -> impl Strategy<Value = RefusalSubject> {
     prop_oneof![
-        any::<u64>().prop_map(|nonce| Subject::Open(Nonce(nonce))),
-        (flow(), seq()).prop_map(|(flow, seq)| Subject::Request(flow, seq)),
-        (flow(), seq(), digest()).prop_map(|(flow, seq, digest)| Subject::Pull(flow, seq, digest)),
-        seq().prop_map(Subject::Unread),
+        any::<u64>().prop_map(|nonce| RefusalSubject::Open(Nonce(nonce))),
+        (flow(), seq()).prop_map(|(flow, seq)| RefusalSubject::Request(flow, seq)),
+        (flow(), seq(), digest()).prop_map(|(flow, seq, digest)| RefusalSubject::Pull(flow, seq, digest)),
+        seq().prop_map(RefusalSubject::Unread),
     ]
 }
 
-/// Any reply that fits a datagram.
+/// Generates replies that fit into a datagram.
 pub fn reply() -> impl Strategy<Value = Reply> {
     let opened = (any::<u64>(), flow(), granted()).prop_map(|(nonce, flow, granted)| {
         Reply::Opened(Opened {
@@ -165,7 +165,7 @@
         })
     });
     let accepted = (flow(), seq()).prop_map(|(flow, seq)| Reply::Accepted(Accepted { flow, seq }));
-    let head = (any::<u32>(), digest()).prop_map(|(len, digest)| Head { len, digest });
+    let head = (any::<u32>(), digest()).prop_map(|(len, digest)| AnswerHeader { len, digest });
     let chunk = ((flow(), seq()), head, any::<u32>(), bytes(600), option::of(granted())).prop_map(
         |((flow, seq), head, index, data, granted)| {
             Reply::Chunk(Chunk {
@@ -192,11 +192,11 @@
     prop_oneof![opened, accepted, chunk, refused]
 }
 
-fn entry() -> impl Strategy<Value = Entry> {
+fn entry() -> impl Strategy<Value = RequestRecord> {
     let place = (address(), name(), any::<(bool, u32)>());
     let queued =
         (place, vec(name(), 0..3), request()).prop_map(|((caller, zone, (in_doubt, millis)), avoid, request)| {
-            Entry::Queued(Body {
+            RequestRecord::Queued(QueuedRequest {
                 caller,
                 zone,
                 in_doubt,
@@ -205,14 +205,14 @@
                 remaining: Millis(millis),
             })
         });
-    let answered = vec(any::<u8>(), 0..500).prop_map(|body| Entry::Answered(Answer::new(body)));
-    let refused = (verdict(), reason()).prop_map(|(verdict, reason)| Entry::Refused(verdict, reason));
+    let answered = vec(any::<u8>(), 0..500).prop_map(|body| RequestRecord::Answered(Answer::new(body)));
+    let refused = (verdict(), reason()).prop_map(|(verdict, reason)| RequestRecord::Refused(verdict, reason));
     prop_oneof![
         queued,
         answered,
         refused,
-        incarnation().prop_map(Entry::Running),
-        Just(Entry::Forgotten)
+        incarnation().prop_map(RequestRecord::Running),
+        Just(RequestRecord::Forgotten)
     ]
 }
 
@@ -235,16 +235,20 @@
             entries,
         },
     );
-    let life = (name(), incarnation()).prop_map(|(name, incarnation)| Life { name, incarnation });
-    (successor(), vec(life, 0..3), vec(flow, 0..4), any::<(u32, u32)>()).prop_map(
-        |(successor, inherited, flows, (part, parts))| Handover {
+    let predecessor = (name(), incarnation()).prop_map(|(name, incarnation)| InstanceIncarnation { name, incarnation });
+    (
+        successor(),
+        vec(predecessor, 0..3),
+        vec(flow, 0..4),
+        any::<(u32, u32)>(),
+    )
+        .prop_map(|(successor, inherited, flows, (part, parts))| Handover {
             successor,
             inherited,
             flows,
             part,
             parts,
-        },
-    )
+        })
 }
 
 fn gossip() -> impl Strategy<Value = Gossip> {
@@ -291,7 +295,7 @@
     )
 }
 
-/// Frames of the kinds that carry lists, bytes and other messages.
+/// Generates the kinds of frame that contain lists, byte strings or other messages.
 pub fn frame() -> impl Strategy<Value = Frame> {
     let forward = (address(), name(), packet(), any::<u8>()).prop_map(|(caller, zone, packet, hops)| {
         Frame::Forward(Forward {
