--- a/crates/flow/src/compat.rs
+++ b/crates/flow/src/compat.rs
@@ -47,7 +47,7 @@
     pub fn read_without_epochs(&self, change: Change) -> Option<Change> {
         let held = self.positions();
         let is_first_epoch = self.epoch() == Epoch(0);
-        (is_first_epoch || !self.has_come_back()).then(|| change.in_epochs(&held))
+        (is_first_epoch || !self.was_restored()).then(|| change.in_epochs(&held))
     }
 
     /// Converts the level of an instance without epochs so that it can be compared with the local one.
--- a/crates/flow/src/core.rs
+++ b/crates/flow/src/core.rs
@@ -25,7 +25,7 @@
 use crate::checks::Checks;
 use crate::decision::Decision;
 use crate::directory::Directory;
-use crate::directory::Followed;
+use crate::directory::IndexUpdate;
 use crate::flows::FlowKey;
 use crate::flows::Flows;
 use crate::health::Health;
@@ -183,7 +183,7 @@
             return false;
         }
         if let Some(&(at, ref document)) = self.knowledge.document()
-            && !self.routes.are_of(at, document)
+            && !self.routes.are_from(at, document)
         {
             let warnings = document
                 .warnings
@@ -201,10 +201,10 @@
         }
         let mut changed = self.knowledge.take_changed();
         changed.is_all |= self.knowledge.evacuated() != evacuated;
-        let Followed { indexed, restarted } = self.directory.follow(&self.knowledge, &changed, now);
+        let IndexUpdate { indexed, restarted } = self.directory.apply_changes(&self.knowledge, &changed, now);
         self.stats.indexed += indexed;
         debug_assert!(
-            self.directory.is_of(&self.knowledge),
+            self.directory.matches(&self.knowledge),
             "the directory follows what is known"
         );
         for id in restarted {
@@ -225,7 +225,7 @@
     /// Its flows are lost, but no resets are sent for them here: some may have been opened to the new process before
     /// this instance learned of the restart. The upstream itself resets the flows that it doesn't hold.
     fn discard_start(&mut self, id: UpstreamId) {
-        let flows = self.flows.take_of(id).len();
+        let flows = self.flows.take_by_upstream(id).len();
         self.health.remove(&id);
         self.decisions.push(Decision::Restarted { upstream: id, flows });
     }
@@ -233,7 +233,7 @@
     /// Returns the verdict for a packet from a client.
     pub fn handle_packet(&mut self, packet: &Packet, now: Time) -> Verdict {
         self.run_due_checks(now);
-        let verdict = if packet.flags.has(Flags::SYN) {
+        let verdict = if packet.flags.contains(Flags::SYN) {
             self.open_flow(packet, now)
         } else {
             self.handle_established(packet, now)
@@ -323,6 +323,6 @@
             }
         }
         let then = now.before(self.options.max_flow * 2);
-        self.learn(now, |knowledge| knowledge.settle(now) | knowledge.forget(then));
+        self.learn(now, |knowledge| knowledge.end_grace(now) | knowledge.forget(then));
     }
 }
--- a/crates/flow/src/core/cold.rs
+++ b/crates/flow/src/core/cold.rs
@@ -12,7 +12,7 @@
 use units::Time;
 
 use super::Core;
-use crate::directory::Listed;
+use crate::directory::DirectoryEntry;
 use crate::health::Health;
 use crate::upstream::UpstreamId;
 
@@ -30,7 +30,7 @@
 impl Core {
     /// Cold upstreams with a configured rate limit.
     pub fn rate_limited(&self, now: Time) -> Vec<UpstreamId> {
-        self.directory.rationed(now)
+        self.directory.rate_limited(now)
     }
 
     /// Sets the rate-limited upstreams that this instance is responsible for, replacing any earlier set.
@@ -39,7 +39,13 @@
     }
 
     /// Whether the rate limit of an upstream permits a new flow from here now.
-    pub(super) fn permits_new_flow(&self, id: UpstreamId, listed: &Listed, health: Option<&Health>, now: Time) -> bool {
+    pub(super) fn permits_new_flow(
+        &self,
+        id: UpstreamId,
+        listed: &DirectoryEntry,
+        health: Option<&Health>,
+        now: Time,
+    ) -> bool {
         if listed.cold_rate(now).is_none() {
             return true;
         }
--- a/crates/flow/src/core/established.rs
+++ b/crates/flow/src/core/established.rs
@@ -5,7 +5,7 @@
 use super::Core;
 use crate::flows::Flow;
 use crate::flows::FlowKey;
-use crate::flows::Sign;
+use crate::flows::Observation;
 use crate::flows::Stage;
 use crate::health::Progress;
 use crate::packet::Flags;
@@ -25,7 +25,7 @@
             return Verdict::Drop(unroutable_cause(packet));
         };
         let key = FlowKey::from(packet);
-        if packet.flags.has(Flags::RST) || packet.flags.has(Flags::FIN) {
+        if packet.flags.contains(Flags::RST) || packet.flags.contains(Flags::FIN) {
             self.record_last_response(&key, packet, now);
             self.close(&key);
             return self.forward(id);
@@ -36,7 +36,7 @@
             self.close(&key);
             return Verdict::Reset(reset_for_established(packet, ResetCause::Dead));
         }
-        if sign.is_copy && self.is_stalled(&key, now) {
+        if sign.is_retransmission && self.is_stalled(&key, now) {
             self.close(&key);
             return Verdict::Reset(reset_for_established(packet, ResetCause::Stalled));
         }
@@ -44,23 +44,23 @@
     }
 
     /// Updates the state of a flow and its upstream from a packet.
-    fn observe(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Sign {
+    fn observe(&mut self, key: &FlowKey, id: UpstreamId, packet: &Packet, now: Time) -> Observation {
         if self.flows.get_mut(key).is_none_or(|flow| flow.upstream != id) {
             self.close(key);
             self.flows.insert(*key, Flow::new(id, Stage::Adopted, packet, now));
             self.health.entry(id).or_default().flows += 1;
         }
         let Some(flow) = self.flows.get_mut(key) else {
-            return Sign::default();
+            return Observation::default();
         };
-        let sign = flow.see(packet, now);
+        let sign = flow.observe(packet, now);
         let health = self.health.entry(id).or_default();
         let progress = if sign.is_progress {
             health.record_progress(now)
         } else {
             Progress::default()
         };
-        if let Some(at) = sign.reached {
+        if let Some(at) = sign.answered_sent_at {
             self.answer_log.record(id, at, now);
         }
         self.loss.note_losses(progress.losses, now);
@@ -68,7 +68,7 @@
             health.record_request(now);
             self.loss.note_attempt(now);
         }
-        if sign.is_copy {
+        if sign.is_retransmission {
             let is_lost = health.record_retransmission(flow, now);
             self.loss.note_losses(is_lost.into(), now);
             self.evaluate(id, now);
@@ -82,14 +82,14 @@
     }
 
     /// Records the client waits that a packet ends, for metrics.
-    fn record_waits(&mut self, id: UpstreamId, sign: Sign) {
+    fn record_waits(&mut self, id: UpstreamId, sign: Observation) {
         let Some(listed) = self.directory.get(id) else {
             return;
         };
         let is_local_zone = listed.upstream().zone == self.options.zone;
         let waits = [
-            (WaitKind::Handshake, sign.opened_after),
-            (WaitKind::Response, sign.waited),
+            (WaitKind::Handshake, sign.handshake_time),
+            (WaitKind::Response, sign.response_time),
         ];
         for (kind, time) in waits {
             let Some(time) = time else {
--- a/crates/flow/src/core/outliers.rs
+++ b/crates/flow/src/core/outliers.rs
@@ -17,9 +17,9 @@
 use super::Core;
 use crate::checks::Check;
 use crate::decision::Decision;
-use crate::ejection::Turn;
+use crate::ejection::Transition;
 use crate::flows::FlowKey;
-use crate::flows::Sign;
+use crate::flows::Observation;
 use crate::flows::Stage;
 use crate::outcome::FailureReport;
 use crate::outcome::Outcome;
@@ -70,7 +70,7 @@
         let Some(flow) = self.flows.get_mut(&check.key) else {
             return;
         };
-        let Some(asked) = flow.asked.filter(|asked| asked.at == check.started_at) else {
+        let Some(asked) = flow.request.filter(|asked| asked.at == check.started_at) else {
             return;
         };
         if asked.progress_at.is_some_and(|at| now.since(at) < COMPLETE_AFTER) {
@@ -79,9 +79,9 @@
                 .add_request(check.key, check.started_at, now + COMPLETE_AFTER);
         }
         let upstream = flow.upstream;
-        let is_sent_again = flow.pending.is_some_and(|pending| pending.copies > 0);
-        let answered = flow.answered();
-        flow.asked = None;
+        let is_sent_again = flow.pending.is_some_and(|pending| pending.retransmissions > 0);
+        let answered = flow.answer_len();
+        flow.request = None;
         if now.since(check.due) > MAX_CHECK_DELAY {
             return;
         }
@@ -94,11 +94,11 @@
     }
 
     /// Records attempts that a packet completes or starts.
-    pub(super) fn record_attempts(&mut self, key: &FlowKey, id: UpstreamId, sign: Sign, now: Time) {
-        if sign.opened_after.is_some() {
+    pub(super) fn record_attempts(&mut self, key: &FlowKey, id: UpstreamId, sign: Observation, now: Time) {
+        if sign.handshake_time.is_some() {
             self.record_outcome(id, Outcome::Good, now);
         }
-        if let Some(bytes) = sign.answered {
+        if let Some(bytes) = sign.answer_len {
             self.record_response(key, id, bytes, now);
         }
         let Some(service) = self.directory.get(id).map(|listed| &listed.upstream().service) else {
@@ -108,7 +108,7 @@
             Some(service) => service,
             None => self.typical_services.entry(service.clone()).or_default(),
         };
-        if let Some(waited) = sign.waited {
+        if let Some(waited) = sign.response_time {
             service.record_response_time(waited);
             let sample = waited.as_secs_f64().max(service.min_response_sample());
             self.health.entry(id).or_default().record_response_time(sample, now);
@@ -121,14 +121,14 @@
 
     /// Records the last response of a flow, which is complete when the client closes the flow.
     pub(super) fn record_last_response(&mut self, key: &FlowKey, packet: &Packet, now: Time) {
-        if !packet.flags.has(Flags::FIN) {
+        if !packet.flags.contains(Flags::FIN) {
             return;
         }
         let Some(flow) = self.flows.get_mut(key) else {
             return;
         };
-        flow.see(packet, now);
-        if let Some(bytes) = flow.answered() {
+        flow.observe(packet, now);
+        if let Some(bytes) = flow.answer_len() {
             let upstream = flow.upstream;
             self.record_response(key, upstream, bytes, now);
         }
@@ -148,10 +148,10 @@
         let health = self.health.entry(id).or_default();
         health.record.add(outcome, now);
         let was_ejected = health.ejection.is_ejected();
-        match health.ejection.settle(outcome, now) {
-            Turn::None => {}
-            Turn::OutAgain => self.announce_ejection(id),
-            Turn::Back => {
+        match health.ejection.note_outcome(outcome, now) {
+            Transition::None => {}
+            Transition::EjectedAgain => self.announce_ejection(id),
+            Transition::Readmitted => {
                 self.decisions.push(Decision::Readmitted(id));
                 self.announce_ejection(id);
             }
@@ -191,13 +191,13 @@
         let service = self.typical_services.get(&listed.upstream().service);
         let health = self.health.entry(id).or_default();
         let usual = service.copied().unwrap_or_default().tally;
-        let usual = usual.usual_without(&health.record.tally, now);
-        let is_failing = health.record.hear(report, instances, usual, now);
+        let usual = usual.baseline_without(&health.record.tally, now);
+        let is_failing = health.record.add_report(report, instances, usual, now);
         if !is_failing || health.ejection.is_ejected() || !self.may_eject(id) {
             return;
         }
         let health = self.health.entry(id).or_default();
-        health.record.forget_evidence();
+        health.record.clear_evidence();
         health.ejection.eject(now);
         let usual_percent = (usual * 100.0).round() as u32;
         self.decisions.push(Decision::Ejected {
--- a/crates/flow/src/ejection.rs
+++ b/crates/flow/src/ejection.rs
@@ -1,7 +1,8 @@
-//! Whether an upstream that fails while it answers gets new flows: out for a while, then single flows on trial, then back.
+//! Ejection of upstreams that fail while they still respond: an upstream is ejected for a while, then probed with
+//! single flows, and finally readmitted.
 //!
-//! One instance leads: it has found the upstream failing, tries it again and tells the others how that ended. These follow, and
-//! try for themselves only if they hear nothing more.
+//! The instance that detects the failure is the leader: it probes the upstream and reports the result to the others.
+//! These follow its reports and only probe on their own if no further report arrives.
 
 use std::time::Duration;
 
@@ -12,89 +13,90 @@
 use crate::status_update::StatusUpdate;
 use crate::upstream::UpstreamId;
 
-/// How long an upstream is out at first. What fails for a moment is back soon.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// How long it is out at most until it is tried again. A trial costs one flow or two.
-const LAST_PAUSE: Duration = Duration::from_secs(4);
-/// How long those that follow leave it out without further notice: twice as long as the leader's longest pause, and a little for
-/// the trial.
-const FOLLOWED: Duration = Duration::from_secs(10);
-/// How long it must have been back until its next pause is short again.
-const FORGIVEN: Duration = Duration::from_secs(20);
-/// How far apart flows on trial are.
-const TRIAL_SPACE: Duration = Duration::from_millis(200);
-/// How many tries must end well on trial until it is back: one that fails two of five gets as far once in thirteen times.
-const TRIALS: u32 = 5;
-
-/// Where an upstream stands here.
+/// The first ejection period. It is short so that an upstream with a brief failure is readmitted soon.
+const MIN_EJECTION: Duration = Duration::from_secs(1);
+/// The longest ejection period before the next probe. A probe costs only one or two flows.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// How long followers keep an upstream ejected without a further report: twice the leader's longest ejection period,
+/// plus a margin for probing.
+const FOLLOWER_EJECTION: Duration = Duration::from_secs(10);
+/// How long an upstream must have been readmitted before its next ejection period starts from the shortest again.
+const BACKOFF_RESET: Duration = Duration::from_secs(20);
+/// The interval between probe flows.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// The number of successful probes that readmit an upstream. An upstream at which two of five attempts fail passes
+/// once in thirteen times.
+const REQUIRED_PROBES: u32 = 5;
+
+/// The ejection state of an upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It gets flows like any other.
+    /// The upstream receives flows as usual.
     #[default]
-    In,
-    /// It gets none until then, unless its service has no other.
-    Out { until: Time },
-    /// It gets single flows. So many tries have ended well.
-    Trial { good: u32, next: Time },
+    Admitted,
+    /// The upstream receives no flows until `until`, unless its service has no other upstream.
+    Ejected { until: Time },
+    /// The upstream receives single probe flows, of which `successes` have succeeded.
+    Probing { successes: u32, next: Time },
 }
 
-/// What a try has changed.
+/// The state transition that an outcome caused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Turn {
-    /// Nothing.
+pub(crate) enum Transition {
+    /// The state is unchanged.
     None,
-    /// A try on trial has failed, so it is out again.
-    OutAgain,
-    /// It is back.
-    Back,
+    /// A probe has failed, so the upstream is ejected again.
+    EjectedAgain,
+    /// The upstream is readmitted.
+    Readmitted,
 }
 
-/// Whether an upstream gets new flows.
+/// Tracks the ejection of one upstream.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct Ejection {
     phase: Phase,
     round: u32,
-    pause: Duration,
-    back_at: Time,
+    period: Duration,
+    readmitted_at: Time,
 }
 
 impl Ejection {
-    /// Takes it out, as this instance has found it failing.
+    /// Ejects the upstream because this instance has detected that it is failing.
     pub(crate) fn eject(&mut self, now: Time) {
-        if now.since(self.back_at) >= FORGIVEN {
-            self.pause = Duration::ZERO;
+        if now.since(self.readmitted_at) >= BACKOFF_RESET {
+            self.period = Duration::ZERO;
         }
-        self.pause_again(now);
+        self.extend(now);
     }
 
-    fn pause_again(&mut self, now: Time) {
+    fn extend(&mut self, now: Time) {
         self.round = self.round.saturating_add(1);
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LAST_PAUSE);
-        let until = now + self.pause;
-        self.phase = Phase::Out { until };
+        self.period = (self.period * 2).clamp(MIN_EJECTION, MAX_EJECTION);
+        let until = now + self.period;
+        self.phase = Phase::Ejected { until };
     }
 
     fn readmit(&mut self, now: Time) {
-        self.phase = Phase::In;
-        self.back_at = now;
+        self.phase = Phase::Admitted;
+        self.readmitted_at = now;
     }
 
-    /// Follows another instance. Tells whether that was news.
-    pub(crate) fn follow(&mut self, round: u32, is_out: bool, now: Time) -> bool {
+    /// Applies a report from another instance. Returns whether it was newer than the current state.
+    pub(crate) fn apply_report(&mut self, round: u32, is_out: bool, now: Time) -> bool {
         if round <= self.round {
             return false;
         }
         self.round = round;
         if is_out {
-            let until = now + FOLLOWED;
-            self.phase = Phase::Out { until };
+            let until = now + FOLLOWER_EJECTION;
+            self.phase = Phase::Ejected { until };
         } else {
             self.readmit(now);
         }
         true
     }
 
-    /// What others should know.
+    /// The standing to report to other instances.
     pub(crate) fn standing(&self, upstream: UpstreamId) -> StatusUpdate {
         let status = if self.is_ejected() {
             Status::Failing
@@ -108,54 +110,58 @@
         }
     }
 
-    /// Whether it has to show first that it serves again.
+    /// Whether the upstream is ejected or still being probed.
     pub(crate) fn is_ejected(&self) -> bool {
-        self.phase != Phase::In
+        self.phase != Phase::Admitted
     }
 
-    /// Whether others go before it now.
+    /// Whether other upstreams are preferred at this time.
     pub(crate) fn is_avoided(&self, now: Time) -> bool {
         match self.phase {
-            Phase::In => false,
-            Phase::Out { until } => now < until,
-            Phase::Trial { next, .. } => now < next,
+            Phase::Admitted => false,
+            Phase::Ejected { until } => now < until,
+            Phase::Probing { next, .. } => now < next,
         }
     }
 
-    /// A new flow goes to it.
+    /// Records that a new flow was placed on the upstream.
     pub(crate) fn note_placed(&mut self, now: Time) {
-        let good = match self.phase {
-            Phase::In => return,
-            Phase::Out { until } if now < until => return,
-            Phase::Out { .. } => 0,
-            Phase::Trial { good, .. } => good,
+        let successes = match self.phase {
+            Phase::Admitted => return,
+            Phase::Ejected { until } if now < until => return,
+            Phase::Ejected { .. } => 0,
+            Phase::Probing { successes, .. } => successes,
         };
-        let next = now + TRIAL_SPACE;
-        self.phase = Phase::Trial { good, next };
+        let next = now + PROBE_INTERVAL;
+        self.phase = Phase::Probing { successes, next };
     }
 
-    /// A try has ended. While it is out, its open flows go on: as long as they fail, it stays out.
-    pub(crate) fn settle(&mut self, outcome: Outcome, now: Time) -> Turn {
+    /// Records the outcome of an attempt. Existing flows continue while the upstream is ejected; as long as they fail,
+    /// it stays ejected.
+    pub(crate) fn note_outcome(&mut self, outcome: Outcome, now: Time) -> Transition {
         let is_good = outcome == Outcome::Good;
-        let (good, next) = match self.phase {
-            Phase::Trial { good, next } => (good, next),
-            Phase::Out { until } => {
-                let until = if is_good { until } else { until.max(now + FIRST_PAUSE) };
-                self.phase = Phase::Out { until };
-                return Turn::None;
+        let (successes, next) = match self.phase {
+            Phase::Probing { successes, next } => (successes, next),
+            Phase::Ejected { until } => {
+                let until = if is_good { until } else { until.max(now + MIN_EJECTION) };
+                self.phase = Phase::Ejected { until };
+                return Transition::None;
             }
-            Phase::In => return Turn::None,
+            Phase::Admitted => return Transition::None,
         };
         if !is_good {
-            self.pause_again(now);
-            return Turn::OutAgain;
+            self.extend(now);
+            return Transition::EjectedAgain;
         }
-        if good + 1 >= TRIALS {
+        if successes + 1 >= REQUIRED_PROBES {
             self.round = self.round.saturating_add(1);
             self.readmit(now);
-            return Turn::Back;
+            return Transition::Readmitted;
         }
-        self.phase = Phase::Trial { good: good + 1, next };
-        Turn::None
+        self.phase = Phase::Probing {
+            successes: successes + 1,
+            next,
+        };
+        Transition::None
     }
 }
--- a/crates/flow/src/health.rs
+++ b/crates/flow/src/health.rs
@@ -11,7 +11,7 @@
 use crate::flows::Flow;
 use crate::loss;
 use crate::loss::Percent;
-use crate::outcome::Record;
+use crate::outcome::AttemptRecord;
 use crate::report::Report;
 use crate::report::ReporterId;
 use crate::upstream::UpstreamId;
@@ -101,7 +101,7 @@
     /// When the next new flow from here may go to it, while it is cold and rate-limited.
     pub(crate) next_cold_flow_at: Time,
     /// Results of attempts at it.
-    pub(crate) record: Record,
+    pub(crate) record: AttemptRecord,
     /// Whether it is excluded from new flows because of those results.
     pub(crate) ejection: Ejection,
 }
@@ -148,19 +148,19 @@
     /// Returns whether only a packet of this flow was lost, which is so if the upstream has answered another flow in
     /// the meantime. Nothing is counted then.
     pub(crate) fn record_retransmission(&mut self, flow: &mut Flow, now: Time) -> bool {
-        if self.last_progress > flow.waits_since() {
+        if self.last_progress > flow.waiting_since() {
             return true;
         }
         self.retransmissions += 1;
         self.retransmitted_at = now;
         if self.stalled == 0 {
             self.stall_number = self.stall_number.wrapping_add(1).max(1);
-            self.stalled_since = flow.waits_since();
-            self.last_stalled_since = flow.waits_since();
+            self.stalled_since = flow.waiting_since();
+            self.last_stalled_since = flow.waiting_since();
         }
-        self.last_stalled_since = self.last_stalled_since.max(flow.waits_since());
-        if flow.counted_in != self.stall_number {
-            flow.counted_in = self.stall_number;
+        self.last_stalled_since = self.last_stalled_since.max(flow.waiting_since());
+        if flow.counted_in_stall != self.stall_number {
+            flow.counted_in_stall = self.stall_number;
             self.stalled += 1;
         }
         self.is_reported = false;
@@ -210,7 +210,7 @@
     /// Marks it dead if local observations alone show it: more flows are stalled than chance explains at the given loss
     /// rate. Returns whether it was marked.
     pub(crate) fn mark_dead_if_stalled(&mut self, loss: Percent, now: Time) -> bool {
-        if self.stalled < loss::flows_beyond_chance(loss) || self.is_dead(now) {
+        if self.stalled < loss::significant_flow_count(loss) || self.is_dead(now) {
             return false;
         }
         self.mark_dead(now);
@@ -269,7 +269,7 @@
         let is_known = self.is_silence_announced && self.is_dead(now);
         let signs = self.reports(now).map(|received| received.signs);
         let signs = signs.fold(self.signs(), u32::saturating_add);
-        !is_known && signs >= loss::signs_beyond_chance(0.0)
+        !is_known && signs >= loss::significant_loss_count(0.0)
     }
 
     /// Number of retransmissions since its last answer, limited to two for each stalled flow. A packet that is lost
--- a/crates/flow/src/inquiry.rs
+++ b/crates/flow/src/inquiry.rs
@@ -139,7 +139,7 @@
         }
         // An instance that reports may see more loss than the rest of the zone.
         let lost = most_lost.max(total.share());
-        let is_beyond_chance = silence.signs >= loss::signs_beyond_chance(lost);
+        let is_beyond_chance = silence.signs >= loss::significant_loss_count(lost);
         if silence.instances < MIN_INSTANCES || !is_beyond_chance {
             return Finding::Unclear;
         }
--- a/crates/flow/src/verdict.rs
+++ b/crates/flow/src/verdict.rs
@@ -50,7 +50,7 @@
 
 /// Reason for dropping a packet whose echo doesn't identify an upstream.
 pub(crate) fn unroutable_cause(packet: &Packet) -> DropCause {
-    if packet.flags.has(Flags::RST) {
+    if packet.flags.contains(Flags::RST) {
         return DropCause::Reset;
     }
     if packet.echo == Echo::NONE {
--- a/crates/flow/tests/draft.rs
+++ b/crates/flow/tests/draft.rs
@@ -1,4 +1,4 @@
-//! What of a document can't be read costs as little as it can, whatever was in force before.
+//! An unreadable part of a document affects as little else as possible, whatever document was in effect before.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -8,20 +8,20 @@
 use flow::Decision;
 use flow::Document;
 use flow::Echo;
+use flow::Fallback;
 use flow::Flags;
 use flow::Options;
 use flow::Packet;
-use flow::Reading;
 use flow::ResetCause;
 use flow::Subject;
 use flow::Upstream;
 use flow::UpstreamId;
 use flow::Verdict;
 use flow::draft;
+use flow::draft::DraftValue;
 use flow::draft::Kind;
 use flow::draft::LONGEST_IDLE;
 use flow::draft::NoRouteError;
-use flow::draft::Told;
 use units::Position;
 use units::Revision;
 use units::Slots;
@@ -34,17 +34,17 @@
 
 fn share(service: &str) -> draft::Share {
     draft::Share {
-        service: Told::Known(service.to_owned()),
-        weight: Told::Known(Weight(1)),
+        service: DraftValue::Known(service.to_owned()),
+        weight: DraftValue::Known(Weight(1)),
     }
 }
 
 fn route(port: u16) -> draft::Route {
     draft::Route {
         name: format!("r-{port}"),
-        address: Told::Known(address(port)),
-        kind: Told::Known(Kind::Idempotent),
-        aim: Told::Known(Duration::from_millis(120)),
+        address: DraftValue::Known(address(port)),
+        kind: DraftValue::Known(Kind::Idempotent),
+        aim: DraftValue::Known(Duration::from_millis(120)),
         shares: vec![share("search")],
     }
 }
@@ -53,24 +53,24 @@
     draft::Document {
         revision: Revision(revision),
         routes,
-        idle_timeout: Told::Known(Duration::from_secs(15)),
+        idle_timeout: DraftValue::Known(Duration::from_secs(15)),
         services: Vec::new(),
     }
 }
 
-fn unknown<T>() -> Told<T> {
-    Told::Unknown("later".to_owned())
+fn unknown<T>() -> DraftValue<T> {
+    DraftValue::Unknown("later".to_owned())
 }
 
-/// Reads a document of two routes, the first of which was changed.
-fn read(change: impl FnOnce(&mut draft::Route)) -> Document {
+/// Reads a document of two routes after changing the first.
+fn read_changed(change: impl FnOnce(&mut draft::Route)) -> Document {
     let mut changed = route(1);
     change(&mut changed);
     Document::try_from(document(1, vec![changed, route(2)])).unwrap()
 }
 
-/// The one warning of a document.
-fn warning(document: &Document) -> (Subject, Reading) {
+/// The only warning of a document.
+fn warning(document: &Document) -> (Subject, Fallback) {
     let [warning] = document.warnings.as_slice() else {
         panic!("one warning expected: {:?}", document.warnings);
     };
@@ -78,34 +78,37 @@
 }
 
 #[test]
-fn a_route_whose_kind_is_unknown_is_served_and_runs_once_at_most() {
-    for kind in [unknown(), Told::Absent] {
-        let document = read(|route| route.kind = kind);
-        assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Reading::Once));
+fn a_route_of_unknown_kind_is_served_as_not_idempotent() {
+    for kind in [unknown(), DraftValue::Absent] {
+        let document = read_changed(|route| route.kind = kind);
+        assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Fallback::Once));
         assert!(!document.routes["r-1"].idempotent && document.routes["r-2"].idempotent);
     }
 }
 
 #[test]
-fn a_value_that_little_hangs_on_is_taken_for_not_told() {
-    let document = read(|route| route.aim = unknown());
-    assert_eq!(warning(&document).1, Reading::Absent);
+fn an_unknown_optional_value_is_treated_as_absent() {
+    let document = read_changed(|route| route.aim = unknown());
+    assert_eq!(warning(&document).1, Fallback::Absent);
     assert_eq!(document.routes["r-1"].aim, Duration::ZERO);
-    let not_told = read(|route| route.aim = Told::Absent);
-    assert_eq!(not_told.warnings, []);
+    let absent = read_changed(|route| route.aim = DraftValue::Absent);
+    assert_eq!(absent.warnings, []);
 
-    let mut draft = document_with_service(unknown(), Told::Known("4".parse().unwrap()));
+    let mut draft = document_with_service(unknown(), DraftValue::Known("4".parse().unwrap()));
     let cold = Document::try_from(draft.clone()).unwrap();
-    assert_eq!(warning(&cold), (Subject::Service("search".to_owned()), Reading::Absent));
+    assert_eq!(
+        warning(&cold),
+        (Subject::Service("search".to_owned()), Fallback::Absent)
+    );
     assert_eq!(cold.cold_starts["search"].lasts, Duration::ZERO);
     draft.idle_timeout = unknown();
     draft.services.clear();
     let idle = Document::try_from(draft).unwrap();
-    assert_eq!(warning(&idle), (Subject::Document, Reading::LongestIdle));
+    assert_eq!(warning(&idle), (Subject::Document, Fallback::LongestIdle));
     assert_eq!(idle.idle_timeout, LONGEST_IDLE);
 }
 
-fn document_with_service(lasts: Told<Duration>, rate: Told<units::Rate>) -> draft::Document {
+fn document_with_service(lasts: DraftValue<Duration>, rate: DraftValue<units::Rate>) -> draft::Document {
     let service = draft::Service {
         name: "search".to_owned(),
         lasts,
@@ -118,23 +121,23 @@
 }
 
 #[test]
-fn a_share_is_left_out_alone_and_one_without_a_weight_gets_nothing_beside_others() {
-    let document = read(|route| {
+fn an_unknown_share_alone_is_omitted_and_one_without_a_weight_gets_no_flows() {
+    let document = read_changed(|route| {
         route.shares.push(draft::Share {
             service: unknown(),
-            weight: Told::Known(Weight(3)),
+            weight: DraftValue::Known(Weight(3)),
         });
     });
-    assert_eq!(warning(&document).1, Reading::ShareLeftOut);
+    assert_eq!(warning(&document).1, Fallback::ShareLeftOut);
     assert_eq!(document.routes["r-1"].shares.len(), 1);
 
-    let document = read(|route| {
+    let document = read_changed(|route| {
         route.shares.push(draft::Share {
-            service: Told::Known("photos".to_owned()),
+            service: DraftValue::Known("photos".to_owned()),
             weight: unknown(),
         });
     });
-    assert_eq!(warning(&document).1, Reading::NoWeight);
+    assert_eq!(warning(&document).1, Fallback::NoWeight);
     for port in 1..200 {
         let client = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
         assert_eq!(document.routes["r-1"].service_for(client), Some("search"));
@@ -142,17 +145,20 @@
 }
 
 #[test]
-fn a_route_that_cannot_be_used_is_left_out_alone() {
+fn an_unusable_route_alone_is_omitted() {
     let without_services = |route: &mut draft::Route| route.shares.clear();
     let without_address = |route: &mut draft::Route| route.address = unknown();
-    for document in [read(without_services), read(without_address)] {
-        assert_eq!(warning(&document), (Subject::Route("r-1".to_owned()), Reading::LeftOut));
+    for document in [read_changed(without_services), read_changed(without_address)] {
+        assert_eq!(
+            warning(&document),
+            (Subject::Route("r-1".to_owned()), Fallback::LeftOut)
+        );
         assert_eq!(document.routes.keys().collect::<Vec<_>>(), ["r-2"]);
     }
 }
 
 #[test]
-fn a_document_none_of_whose_routes_can_be_used_is_none() {
+fn a_document_without_any_usable_route_is_rejected() {
     let mut unusable = route(1);
     unusable.address = unknown();
     let error = Document::try_from(document(1, vec![unusable])).unwrap_err();
@@ -160,24 +166,24 @@
     assert_eq!(first.subject, Subject::Route("r-1".to_owned()));
     assert!(error.to_string().contains("\"later\""), "{error}");
     let empty = Document::try_from(document(1, Vec::new())).unwrap();
-    assert_eq!(empty.warnings, [], "one without routes says what it means");
+    assert_eq!(empty.warnings, [], "a document without routes is valid");
 }
 
 #[test]
-fn warnings_travel_with_a_document_and_are_no_part_of_its_digest() {
-    let with = read(|route| route.kind = unknown());
+fn warnings_are_not_part_of_the_digest_of_a_document() {
+    let with = read_changed(|route| route.kind = unknown());
     let mut without = with.clone();
     without.warnings.clear();
     assert_eq!(with.digest(), without.digest());
 }
 
-/// A core that holds documents, one after the other, and an upstream of each service.
-struct World {
+/// A core with one upstream, to which documents are applied one after the other.
+struct Harness {
     core: Core,
     now: Time,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         let core = Core::new(Options {
             zone: "zone-a".parse().unwrap(),
@@ -185,8 +191,8 @@
             awaits_evacuations: false,
             seed: 1,
         });
-        let mut world = Self { core, now: Time(1) };
-        let now = world.now;
+        let mut harness = Self { core, now: Time(1) };
+        let now = harness.now;
         let upstream = Upstream {
             service: "search".into(),
             address: address(9),
@@ -197,17 +203,17 @@
             started: None,
         };
         let list = vec![(UpstreamId(1), Revision(1), upstream)];
-        world
+        harness
             .core
-            .learn(now, |knowledge| knowledge.take_list(Revision(1), list, now));
-        world
+            .learn(now, |knowledge| knowledge.apply_list(Revision(1), list, now));
+        harness
     }
 
-    fn take(&mut self, at: u64, draft: draft::Document) {
+    fn apply(&mut self, at: u64, draft: draft::Document) {
         let document = Document::try_from(draft).unwrap();
         let at = Position::from(Revision(at));
         self.core
-            .learn(self.now, |knowledge| knowledge.take_document(at, document));
+            .learn(self.now, |knowledge| knowledge.apply_document(at, document));
     }
 
     fn open(&mut self, port: u16) -> Verdict {
@@ -223,59 +229,59 @@
         self.core.handle_packet(&packet, self.now)
     }
 
-    /// The documents of which something new can't be read.
-    fn unread(&mut self) -> Vec<Revision> {
+    /// The revisions of the documents with new warnings.
+    fn documents_with_warnings(&mut self) -> Vec<Revision> {
         let decisions = self.core.take_decisions().into_iter();
-        let unread = decisions.filter_map(|decision| match decision {
+        let documents_with_warnings = decisions.filter_map(|decision| match decision {
             Decision::DocumentWarning { document, .. } => Some(document),
             _ => None,
         });
-        unread.collect()
+        documents_with_warnings.collect()
     }
 }
 
-fn is_refused(verdict: Verdict) -> bool {
+fn has_no_route(verdict: Verdict) -> bool {
     matches!(verdict, Verdict::Reset(reset) if reset.cause == ResetCause::NoRoute)
 }
 
-/// The first of two ways: nothing was in force.
+/// No document was in effect before.
 #[test]
-fn at_a_start_all_routes_are_served_but_the_one_that_is_left_out() {
-    let mut world = World::new();
+fn without_an_earlier_document_only_the_unusable_route_is_refused() {
+    let mut harness = Harness::new();
     let mut unusable = route(1);
     unusable.address = unknown();
-    world.take(2, document(1, vec![unusable, route(2)]));
-    assert!(is_refused(world.open(1)));
-    assert!(matches!(world.open(2), Verdict::Forward { .. }));
+    harness.apply(2, document(1, vec![unusable, route(2)]));
+    assert!(has_no_route(harness.open(1)));
+    assert!(matches!(harness.open(2), Verdict::Forward { .. }));
 }
 
-/// The second: an earlier document was. What the newer one says of other routes is in force, and the route that it leaves out is
-/// refused at every instance, whether it knew the earlier one or not.
+/// An earlier document was in effect. The newer one takes effect for the other routes, and the omitted route is refused
+/// at every instance, whether it knew the earlier document or not.
 #[test]
-fn after_an_earlier_document_the_same_holds_as_at_a_start() {
-    let mut world = World::new();
-    world.take(2, document(1, vec![route(1)]));
-    assert!(matches!(world.open(1), Verdict::Forward { .. }));
+fn after_an_earlier_document_only_the_unusable_route_is_refused() {
+    let mut harness = Harness::new();
+    harness.apply(2, document(1, vec![route(1)]));
+    assert!(matches!(harness.open(1), Verdict::Forward { .. }));
     let mut unusable = route(1);
     unusable.shares.clear();
-    world.take(3, document(2, vec![unusable, route(2)]));
-    assert!(is_refused(world.open(1)));
-    assert!(matches!(world.open(2), Verdict::Forward { .. }));
+    harness.apply(3, document(2, vec![unusable, route(2)]));
+    assert!(has_no_route(harness.open(1)));
+    assert!(matches!(harness.open(2), Verdict::Forward { .. }));
 }
 
 #[test]
-fn what_cannot_be_read_is_told_once_for_each_cause() {
-    let mut world = World::new();
+fn a_warning_is_reported_once_for_each_cause() {
+    let mut harness = Harness::new();
     let with_unknown = || {
         let mut later = route(1);
         later.kind = unknown();
         later
     };
-    world.take(2, document(1, vec![with_unknown()]));
-    assert_eq!(world.unread(), [Revision(1)]);
-    world.take(3, document(2, vec![with_unknown(), route(2)]));
-    assert_eq!(world.unread(), []);
-    world.take(4, document(3, vec![route(1)]));
-    world.take(5, document(4, vec![with_unknown()]));
-    assert_eq!(world.unread(), [Revision(4)], "it has come back");
+    harness.apply(2, document(1, vec![with_unknown()]));
+    assert_eq!(harness.documents_with_warnings(), [Revision(1)]);
+    harness.apply(3, document(2, vec![with_unknown(), route(2)]));
+    assert_eq!(harness.documents_with_warnings(), []);
+    harness.apply(4, document(3, vec![route(1)]));
+    harness.apply(5, document(4, vec![with_unknown()]));
+    assert_eq!(harness.documents_with_warnings(), [Revision(4)], "the cause reappeared");
 }
--- a/crates/model/src/setup.rs
+++ b/crates/model/src/setup.rs
@@ -6,7 +6,7 @@
 use node::Limits;
 use node::Listed;
 use node::Node;
-use node::Setup;
+use node::NodeConfig;
 use serde_bytes::ByteBuf;
 use token::Keyring;
 use token::Secret;
@@ -16,7 +16,7 @@
 use units::Nonce;
 use units::RequestSeq;
 use units::Time;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Member;
 use wire::MemberState;
 use wire::Open;
@@ -61,7 +61,7 @@
 
 pub(crate) fn node(index: usize, incarnation: Incarnation, now: Time) -> Node {
     let secret: Secret = SECRET.parse().expect("the secret is long enough");
-    let setup = Setup {
+    let setup = NodeConfig {
         name: name(index),
         incarnation,
         zone: "brugge".parse().expect("a zone"),
@@ -106,7 +106,7 @@
     })
 }
 
-pub(crate) fn request(granted: &Granted, seq: u64) -> Packet {
+pub(crate) fn request(granted: &IssuedToken, seq: u64) -> Packet {
     Packet::Request(Request {
         token: granted.token.clone(),
         service: SERVICE.parse().expect("a name"),
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -20,9 +20,9 @@
 use units::Time;
 use wire::Frame;
 use wire::Gossip;
-use wire::Granted;
+use wire::IssuedToken;
+use wire::RefusalSubject;
 use wire::Reply;
-use wire::Subject;
 use wire::Verdict;
 use wire::encode_packet;
 
@@ -70,7 +70,7 @@
     pub(crate) calls: Vec<Call>,
     /// The caller's requests, byte for byte.
     pub(crate) packets: Vec<Vec<u8>>,
-    pub(crate) granted: Option<Granted>,
+    pub(crate) granted: Option<IssuedToken>,
     pub(crate) said: BTreeSet<(u64, bool)>,
     pub(crate) runs: Vec<u8>,
     pub(crate) deliveries: u8,
@@ -118,8 +118,8 @@
     }
 
     fn introduce(&mut self, index: usize) {
-        self.event(index, Event::List(setup::list(&self.incarnations)));
-        self.event(index, Event::Loaded(Revision(1), setup::DOCUMENT.to_owned()));
+        self.event(index, Event::InstanceList(setup::list(&self.incarnations)));
+        self.event(index, Event::DocumentLoaded(Revision(1), setup::DOCUMENT.to_owned()));
     }
 
     /// Gives a node an event, and carries out what follows at once.
@@ -210,7 +210,7 @@
             Reply::Accepted(_) => None,
             Reply::Chunk(chunk) => chunk.granted,
             Reply::Refused(refused) => {
-                if let Subject::Request(_, seq) = refused.subject {
+                if let RefusalSubject::Request(_, seq) = refused.subject {
                     self.said.insert((seq.0, refused.verdict == Verdict::NotRun));
                 }
                 refused.granted
@@ -242,7 +242,7 @@
         call.shed = result == CallResult::Shed;
         let (by, incarnation, id) = (call.by, call.incarnation, call.id);
         if self.incarnations[by] == incarnation {
-            self.event(by, Event::Called(id, result));
+            self.event(by, Event::CallEnded(id, result));
         }
     }
 
--- a/crates/node/benches/packet.rs
+++ b/crates/node/benches/packet.rs
@@ -1,4 +1,4 @@
-//! How long a node takes for one event: `cargo bench -p node`.
+//! Benchmarks of the time a node takes to handle an event: `cargo bench -p node`.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use node::Event;
 use node::Limits;
 use node::Node;
-use node::Setup;
+use node::NodeConfig;
 use serde_bytes::ByteBuf;
 use token::Keyring;
 use units::Incarnation;
@@ -18,7 +18,7 @@
 use units::RequestSeq;
 use units::Revision;
 use units::Time;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Packet;
 use wire::Reply;
@@ -51,7 +51,7 @@
         let secret = "a secret of at least thirty-two characters"
             .parse()
             .expect("long enough");
-        let setup = Setup {
+        let setup = NodeConfig {
             name: "a".parse().expect("a name"),
             incarnation: Incarnation(1),
             zone: document.zones[0].name.clone(),
@@ -65,7 +65,7 @@
         let mut out = Vec::new();
         node.handle(
             now,
-            Event::Loaded(Revision(document.revision.0), DOCUMENT.to_owned()),
+            Event::DocumentLoaded(Revision(document.revision.0), DOCUMENT.to_owned()),
             &mut out,
         );
         Self {
@@ -87,7 +87,7 @@
         self.handle(Event::Datagram(self.address, encode_packet(packet)))
     }
 
-    fn open(&mut self) -> Granted {
+    fn open(&mut self) -> IssuedToken {
         let service = SERVICE.parse().expect("a name");
         let open = Open {
             nonce: Nonce(1),
@@ -102,7 +102,7 @@
         panic!("no flow was opened");
     }
 
-    fn request(&self, granted: &Granted, seq: u64) -> Packet {
+    fn request(&self, granted: &IssuedToken, seq: u64) -> Packet {
         Packet::Request(Request {
             token: granted.token.clone(),
             service: SERVICE.parse().expect("a name"),
@@ -114,26 +114,26 @@
         })
     }
 
-    /// Runs one request to its answer.
-    fn run(&mut self, granted: &Granted, seq: u64) {
+    /// Runs one request until it is answered.
+    fn run(&mut self, granted: &IssuedToken, seq: u64) {
         let packet = self.request(granted, seq);
         let actions = self.datagram(&packet);
         for action in actions {
             if let Action::Call(call) = action {
-                self.handle(Event::Called(call.id, CallResult::Answered(vec![1; 200])));
+                self.handle(Event::CallEnded(call.id, CallResult::Answered(vec![1; 200])));
             }
         }
     }
 }
 
-/// Opens a flow.
+/// Opening a flow.
 #[divan::bench]
 fn open(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
     bencher.bench_local(|| black_box(bench.open()));
 }
 
-/// A packet of an established flow whose request is known: decode, token, ledger, answer.
+/// A repeated request of an established flow: decoding, token check, ledger look-up and reply.
 #[divan::bench]
 fn established_packet(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
@@ -144,7 +144,7 @@
     bencher.bench_local(|| black_box(bench.handle(Event::Datagram(address, bytes.clone()))));
 }
 
-/// A whole request at the owner: packet, slot, call, answer.
+/// A complete request at the owner: packet, slot, call and answer.
 #[divan::bench]
 fn whole_request(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
@@ -156,7 +156,7 @@
     });
 }
 
-/// A forged packet.
+/// A packet with an invalid token.
 #[divan::bench]
 fn forged_packet(bencher: Bencher<'_, '_>) {
     let mut bench = Bench::new();
--- a/crates/node/examples/flow_state.rs
+++ b/crates/node/examples/flow_state.rs
@@ -1,16 +1,17 @@
-//! How many bytes a flow costs its owner: `cargo run --release -p node --example flow_state`.
+//! Measures how many bytes of memory a flow takes at its owner:
+//! `cargo run --release -p node --example flow_state`.
 //!
-//! Counts what the allocator hands out, before and after many flows have each run one request.
+//! Compares the allocated bytes before and after many flows have each run one request.
 
-#![expect(unsafe_code, reason = "an allocator can't be written without")]
+#![expect(unsafe_code, reason = "a global allocator can't be implemented in safe code")]
 
-mod counting;
+mod counting_allocator;
 
 use std::time::Duration;
 
 use node::FlowKey;
 use node::Ledgers;
-use node::State;
+use node::RequestState;
 use units::FlowId;
 use units::Incarnation;
 use units::RequestSeq;
@@ -18,15 +19,15 @@
 use wire::TicketId;
 
 fn main() {
-    println!("flows  bytes per flow after its requests have sunk below the floor");
+    println!("flows  bytes per flow after the entries of its requests were evicted");
     for flows in [10_000, 28_000, 100_000, 300_000] {
-        let before = counting::held();
+        let before = counting_allocator::allocated_bytes();
         let ledgers = fill(flows);
-        let held = counting::held() - before;
+        let held = counting_allocator::allocated_bytes() - before;
         println!("{flows:>6}  {:>5}", held / flows as usize);
         drop(ledgers);
     }
-    println!("a flow that is open and has made no request has no ledger: 0 bytes");
+    println!("an open flow without requests has no ledger: 0 bytes");
 }
 
 fn fill(flows: u64) -> Ledgers {
@@ -39,7 +40,7 @@
         };
         ledgers.look_up(key, RequestSeq(0), RequestSeq(1), RequestSeq(1), start);
         ledgers.begin(key, RequestSeq(1), TicketId(flow));
-        ledgers.end(key, RequestSeq(1), State::Forgotten, start);
+        ledgers.end(key, RequestSeq(1), RequestState::AnswerDiscarded, start);
     }
     ledgers.expire(start + Duration::from_mins(1), u64::MAX);
     ledgers
--- a/crates/node/examples/scale.rs
+++ b/crates/node/examples/scale.rs
@@ -1,11 +1,12 @@
-//! What a node costs at the size of letter 1: `cargo run --release -p node --example scale`.
+//! Measures the CPU time and memory of one node at the size of a large region:
+//! `cargo run --release -p node --example scale`.
 //!
-//! A region of letter 1 has 600 instances, 650 services and 3,250 upstreams. Everything but one node is silent, so the
-//! figures are the node's own processor time and memory without sockets.
+//! The target size is a region of 600 instances, 650 services and 3,250 upstreams. All other instances are silent, so
+//! the figures cover the node itself, without sockets.
 
-#![expect(unsafe_code, reason = "an allocator can't be written without")]
+#![expect(unsafe_code, reason = "a global allocator can't be implemented in safe code")]
 
-mod counting;
+mod counting_allocator;
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -14,10 +15,10 @@
 
 use node::Event;
 use node::Limits;
+use node::MAX_TICK_INTERVAL;
 use node::Node;
+use node::NodeConfig;
 use node::Peer;
-use node::Setup;
-use node::TICK;
 use token::Keyring;
 use units::Incarnation;
 use units::Revision;
@@ -31,39 +32,39 @@
 const UPSTREAMS_PER_SERVICE: usize = 5;
 
 fn main() {
-    println!("services  members  text     memory    load     tick      change of view");
+    println!("services  members  text     memory    load     tick      view change");
     for (services, members) in [(10, 9), (65, 60), (260, 240), (650, 600), (2_000, 600)] {
         measure(services, members);
     }
 }
 
 fn measure(services: usize, members: usize) {
-    let before = counting::held();
+    let before = counting_allocator::allocated_bytes();
     let text = document(1, services);
     let len = text.len();
     let mut now = Time(1_000_000_000);
     let mut node = Node::new(setup(), now);
     let mut out = Vec::new();
 
-    let load = timed(|| node.handle(now, Event::Loaded(Revision(1), text), &mut out));
+    let load = timed(|| node.handle(now, Event::DocumentLoaded(Revision(1), text), &mut out));
     for index in 0..members {
         let peer = Peer {
             name: name(index),
             incarnation: Incarnation(1),
         };
-        node.handle(now, Event::Frame(peer, news(index)), &mut out);
+        node.handle(now, Event::Frame(peer, gossip(index)), &mut out);
     }
     out.clear();
-    // The first tick works all homes out.
+    // The first tick computes the homes of all services.
     let change = timed(|| node.handle(now, Event::Tick, &mut out));
     out = Vec::new();
-    let memory = counting::held() - before;
+    let memory = counting_allocator::allocated_bytes() - before;
 
-    // Shorter than a probe's timeout, so that no silent member is given up.
+    // Shorter in total than a probe's timeout, so that no silent member is suspected.
     let ticks = 20;
     let all = timed(|| {
         for _ in 0..ticks {
-            now = now + TICK;
+            now = now + MAX_TICK_INTERVAL;
             node.handle(now, Event::Tick, &mut out);
             out.clear();
         }
@@ -84,11 +85,11 @@
     start.elapsed()
 }
 
-fn setup() -> Setup {
+fn setup() -> NodeConfig {
     let secret = "a secret of at least thirty-two characters"
         .parse()
         .expect("long enough");
-    Setup {
+    NodeConfig {
         name: "me".parse().expect("a name"),
         incarnation: Incarnation(1),
         zone: "zone-0".parse().expect("a name"),
@@ -108,7 +109,7 @@
     SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_000))
 }
 
-fn news(index: usize) -> Frame {
+fn gossip(index: usize) -> Frame {
     let member = Member {
         name: name(index),
         incarnation: Incarnation(1),
--- a/crates/node/src/ingress.rs
+++ b/crates/node/src/ingress.rs
@@ -1,6 +1,6 @@
-//! Where packets come in: decode, authenticate, find the owner.
+//! Ingress of packets: decodes and authenticates them and routes them to the owner of their flow.
 //!
-//! This part never says `not run` of a request; only an owner may.
+//! This module never refuses a request with the verdict `not run`; only the owner may.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,47 +13,47 @@
 use units::ZoneName;
 use wire::Forward;
 use wire::Frame;
-use wire::Granted;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Opened;
 use wire::Packet;
 use wire::Reason;
+use wire::RefusalSubject;
 use wire::Refused;
 use wire::Reply;
-use wire::Sealed;
-use wire::Subject;
+use wire::SealedToken;
 use wire::Verdict;
 use wire::decode_packet;
 
 use crate::Action;
 use crate::Node;
 use crate::Record;
-use crate::fleet::Place;
-use crate::node::Cx;
+use crate::node::Context;
+use crate::peers::OwnerLocation;
 
-/// How many instances may pass a packet on before it is dropped.
+/// How often a packet may be forwarded between instances before it is dropped.
 const MAX_HOPS: u8 = 4;
-/// How long an instance named by a new token may still be unheard of elsewhere.
-const SPREAD: Duration = Duration::from_secs(5);
-/// When to come back after a refusal that time alone may mend.
+/// How long gossip may take to spread an instance that new tokens name as owner.
+const GOSSIP_PROPAGATION: Duration = Duration::from_secs(5);
+/// The retry delay for refusals whose cause may be transient.
 pub(crate) const RETRY_SOON: Millis = Millis(200);
-/// When to come back after a refusal that only a change of configuration mends.
+/// The retry delay for refusals that are unlikely to change without a new token or configuration.
 const RETRY_LATE: Millis = Millis(5_000);
 
-/// A caller's packet on its way through the instances.
+/// A caller's packet while it is routed between instances.
 #[derive(Debug, Clone)]
-pub(crate) struct Arrival {
-    /// Where the reply goes.
+pub(crate) struct RoutedPacket {
+    /// The address to which the reply is sent.
     pub caller: SocketAddr,
     /// The availability zone in which it arrived.
     pub zone: ZoneName,
     /// The packet.
     pub packet: Packet,
-    /// How many instances have passed it on.
+    /// How often it has been forwarded.
     pub hops: u8,
 }
 
-impl From<Forward> for Arrival {
+impl From<Forward> for RoutedPacket {
     fn from(forward: Forward) -> Self {
         Self {
             caller: forward.caller,
@@ -64,20 +64,20 @@
     }
 }
 
-impl From<Arrival> for Forward {
-    fn from(arrival: Arrival) -> Self {
-        let hops = arrival.hops.saturating_add(1);
+impl From<RoutedPacket> for Forward {
+    fn from(routed: RoutedPacket) -> Self {
+        let hops = routed.hops.saturating_add(1);
         Self {
-            caller: arrival.caller,
-            zone: arrival.zone,
-            packet: arrival.packet,
+            caller: routed.caller,
+            zone: routed.zone,
+            packet: routed.packet,
             hops,
         }
     }
 }
 
 impl Node {
-    pub(crate) fn take_datagram(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, bytes: &[u8]) {
+    pub(crate) fn handle_datagram(&mut self, cx: &mut Context<'_>, caller: SocketAddr, bytes: &[u8]) {
         let Ok(packet) = decode_packet(bytes) else {
             self.counters.malformed += 1;
             return;
@@ -86,7 +86,7 @@
         let zone = self.zone.clone();
         self.route(
             cx,
-            Arrival {
+            RoutedPacket {
                 caller,
                 zone,
                 packet,
@@ -95,54 +95,55 @@
         );
     }
 
-    /// Takes a packet to the part of the system that answers it.
-    pub(crate) fn route(&mut self, cx: &mut Cx<'_>, arrival: Arrival) {
-        let Some(sealed) = arrival.packet.token() else {
-            if let Packet::Open(open) = &arrival.packet {
-                self.open(cx, arrival.caller, open);
+    /// Routes a packet to the instance that answers it.
+    pub(crate) fn route(&mut self, cx: &mut Context<'_>, routed: RoutedPacket) {
+        let Some(sealed) = routed.packet.token() else {
+            if let Packet::Open(open) = &routed.packet {
+                self.open_flow(cx, routed.caller, open);
             }
             return;
         };
         let Ok(claims) = self.keyring.open(sealed, cx.now) else {
-            return self.refuse_unread(cx, &arrival, Reason::Token);
+            return self.refuse_invalid_token(cx, &routed, Reason::Token);
         };
-        if &claims.service != arrival.packet.service() {
-            return self.refuse_unread(cx, &arrival, Reason::WrongService);
+        if &claims.service != routed.packet.service() {
+            return self.refuse_invalid_token(cx, &routed, Reason::WrongService);
         }
         match self.locate(&claims) {
-            Place::Here => self.own(cx, claims, &arrival),
-            Place::There(peer, address) => self.forward(cx, peer.name, address, arrival),
-            Place::Unknown => self.ask_around(cx, &claims, arrival),
-            Place::Gone => self.refuse_orphan(cx, &claims, &arrival),
+            OwnerLocation::Local => self.handle_owned_packet(cx, claims, &routed),
+            OwnerLocation::Remote(peer, address) => self.forward(cx, peer.name, address, routed),
+            OwnerLocation::Unknown => self.route_to_unknown_owner(cx, &claims, routed),
+            OwnerLocation::Gone => self.refuse_owner_gone(cx, &claims, &routed),
         }
     }
 
-    fn forward(&mut self, cx: &mut Cx<'_>, to: units::InstanceName, address: SocketAddr, arrival: Arrival) {
-        if arrival.hops >= MAX_HOPS {
+    fn forward(&mut self, cx: &mut Context<'_>, to: units::InstanceName, address: SocketAddr, routed: RoutedPacket) {
+        if routed.hops >= MAX_HOPS {
             self.counters.hops_exceeded += 1;
             return;
         }
         self.counters.forwarded += 1;
-        let frame = Frame::Forward(arrival.into());
+        let frame = Frame::Forward(routed.into());
         cx.push(Action::Send { to, address, frame });
     }
 
-    /// A newcomer may not have heard of an owner that lives. Another instance may know better.
-    fn ask_around(&mut self, cx: &mut Cx<'_>, claims: &Claims, arrival: Arrival) {
-        if arrival.hops == 0
-            && let Some((name, address)) = self.pick_peer()
+    /// Handles a packet whose owner this node has not heard of. The owner may still be alive and known to others, so
+    /// the packet is first forwarded to a random instance.
+    fn route_to_unknown_owner(&mut self, cx: &mut Context<'_>, claims: &Claims, routed: RoutedPacket) {
+        if routed.hops == 0
+            && let Some((name, address)) = self.random_peer()
         {
-            return self.forward(cx, name, address, arrival);
+            return self.forward(cx, name, address, routed);
         }
-        let young = cx.now.since(claims.issued) < SPREAD;
-        if young || !self.is_settled(cx.now) {
-            // The caller sends its packet again, and by then more is known.
+        let recently_issued = cx.now.since(claims.issued) < GOSSIP_PROPAGATION;
+        if recently_issued || !self.is_discovery_complete(cx.now) {
+            // The caller will resend the packet, and gossip may have reached this node by then.
             return;
         }
-        self.refuse_orphan(cx, claims, &arrival);
+        self.refuse_owner_gone(cx, claims, &routed);
     }
 
-    fn open(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, open: &Open) {
+    fn open_flow(&mut self, cx: &mut Context<'_>, caller: SocketAddr, open: &Open) {
         if self.documents.current().is_none() {
             return self.refuse_open(cx, caller, open, Reason::NoDocument, RETRY_SOON);
         }
@@ -165,7 +166,7 @@
             pinned: None,
             issued: cx.now,
         };
-        let granted = Granted {
+        let granted = IssuedToken {
             token: self.keyring.seal(&claims),
             floor: claims.floor,
         };
@@ -181,11 +182,18 @@
         cx.record(Record::Opened(claims.service, flow));
     }
 
-    /// Refuses to open a flow. Nothing can have run, as there is no flow yet.
-    fn refuse_open(&mut self, cx: &mut Cx<'_>, caller: SocketAddr, open: &Open, reason: Reason, retry_after: Millis) {
-        let subject = Subject::Open(open.nonce);
+    /// Refuses to open a flow. As there is no flow yet, nothing can have run.
+    fn refuse_open(
+        &mut self,
+        cx: &mut Context<'_>,
+        caller: SocketAddr,
+        open: &Open,
+        reason: Reason,
+        retry_after: Millis,
+    ) {
+        let subject = RefusalSubject::Open(open.nonce);
         let verdict = Verdict::NotRun;
-        self.counters.refuse(verdict, reason);
+        self.counters.count_refusal(verdict, reason);
         let refused = Refused {
             subject,
             verdict,
@@ -196,14 +204,14 @@
         cx.push(Action::Reply(caller, Reply::Refused(refused)));
     }
 
-    /// Refuses a packet whose token does not name a flow of its service.
-    fn refuse_unread(&mut self, cx: &mut Cx<'_>, arrival: &Arrival, reason: Reason) {
+    /// Refuses a packet whose token is invalid or belongs to another service.
+    fn refuse_invalid_token(&mut self, cx: &mut Context<'_>, routed: &RoutedPacket, reason: Reason) {
         let verdict = Verdict::MayHaveRun;
-        self.counters.refuse(verdict, reason);
-        let Packet::Request(request) = &arrival.packet else {
+        self.counters.count_refusal(verdict, reason);
+        let Packet::Request(request) = &routed.packet else {
             return;
         };
-        let subject = Subject::Unread(request.seq);
+        let subject = RefusalSubject::Unread(request.seq);
         let refused = Refused {
             subject,
             verdict,
@@ -211,25 +219,25 @@
             retry_after: RETRY_LATE,
             granted: None,
         };
-        cx.push(Action::Reply(arrival.caller, Reply::Refused(refused)));
+        cx.push(Action::Reply(routed.caller, Reply::Refused(refused)));
     }
 
-    /// Refuses a packet whose owner is gone, and offers a token of a living one.
-    fn refuse_orphan(&mut self, cx: &mut Cx<'_>, claims: &Claims, arrival: &Arrival) {
-        let (subject, reason, granted) = match &arrival.packet {
+    /// Refuses a packet whose owner is gone, and offers a token that names the current home as owner.
+    fn refuse_owner_gone(&mut self, cx: &mut Context<'_>, claims: &Claims, routed: &RoutedPacket) {
+        let (subject, reason, granted) = match &routed.packet {
             Packet::Request(request) => {
                 let floor = request.sent.max(request.seq).max(claims.floor);
-                let subject = Subject::Request(claims.flow, request.seq);
-                (subject, Reason::OwnerGone, self.reissue(cx, claims, floor))
+                let subject = RefusalSubject::Request(claims.flow, request.seq);
+                (subject, Reason::OwnerGone, self.reissue_token(cx, claims, floor))
             }
             Packet::Pull(pull) => {
-                let subject = Subject::Pull(claims.flow, pull.seq, pull.digest);
+                let subject = RefusalSubject::Pull(claims.flow, pull.seq, pull.digest);
                 (subject, Reason::AnswerGone, None)
             }
             Packet::Open(_) | Packet::Done(_) | Packet::Close(_) => return,
         };
         let verdict = Verdict::MayHaveRun;
-        self.counters.refuse(verdict, reason);
+        self.counters.count_refusal(verdict, reason);
         let refused = Refused {
             subject,
             verdict,
@@ -237,10 +245,10 @@
             retry_after: Millis(0),
             granted,
         };
-        cx.push(Action::Reply(arrival.caller, Reply::Refused(refused)));
+        cx.push(Action::Reply(routed.caller, Reply::Refused(refused)));
     }
 
-    fn reissue(&mut self, cx: &Cx<'_>, claims: &Claims, floor: RequestSeq) -> Option<Granted> {
+    fn reissue_token(&mut self, cx: &Context<'_>, claims: &Claims, floor: RequestSeq) -> Option<IssuedToken> {
         let (home, _) = self.find_home(&claims.service)?;
         let claims = Claims {
             owner: home.name,
@@ -249,15 +257,21 @@
             issued: cx.now,
             ..claims.clone()
         };
-        Some(Granted {
+        Some(IssuedToken {
             token: self.keyring.seal(&claims),
             floor,
         })
     }
 
-    /// A token that should replace `sealed`: its owner is not the home any more, its upstream has changed, or it
-    /// ages.
-    pub(crate) fn renew(&mut self, cx: &Cx<'_>, claims: &Claims, sealed: &Sealed, sent: RequestSeq) -> Option<Granted> {
+    /// Returns a replacement for the token `sealed` if its owner is no longer the home, its pinned upstream has
+    /// changed, it is past half of its lifetime, or it was sealed with an old key.
+    pub(crate) fn renew_token(
+        &mut self,
+        cx: &Context<'_>,
+        claims: &Claims,
+        sealed: &SealedToken,
+        sent: RequestSeq,
+    ) -> Option<IssuedToken> {
         let (home, _) = self.find_home(&claims.service)?;
         let moved = home.name != claims.owner || home.incarnation != claims.incarnation;
         let aged = cx.now.since(claims.issued) > self.keyring.lifetime() / 2;
@@ -268,6 +282,6 @@
         if !moved && !aged && !repinned && self.keyring.is_current(sealed) {
             return None;
         }
-        self.reissue(cx, claims, sent)
+        self.reissue_token(cx, claims, sent)
     }
 }
--- a/crates/node/src/reports.rs
+++ b/crates/node/src/reports.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, and which of them are leaving.
+//! Reports from upstreams, and the upstreams that are leaving.
 
 use units::Incarnation;
 use units::UpstreamName;
@@ -6,12 +6,17 @@
 
 use crate::Node;
 use crate::Record;
-use crate::Report;
-use crate::node::Cx;
+use crate::UpstreamReport;
+use crate::node::Context;
 
 impl Node {
-    /// Takes what an upstream says of itself.
-    pub(crate) fn take_report(&mut self, cx: &mut Cx<'_>, name: &UpstreamName, report: Option<Report>) {
+    /// Handles the result of a poll. `report` is `None` if the poll failed.
+    pub(crate) fn handle_poll_result(
+        &mut self,
+        cx: &mut Context<'_>,
+        name: &UpstreamName,
+        report: Option<UpstreamReport>,
+    ) {
         let Some(service) = self.documents.service_of(name) else {
             return;
         };
@@ -19,41 +24,41 @@
         if let Some(report) = report {
             let known = self.upstreams.get(name).copied();
             if known.is_some_and(|known| known > report.incarnation) {
-                // The answer is older than what is known, or belongs to another process.
+                // The report is outdated, or comes from another process.
                 return;
             }
             self.upstreams.insert(name.clone(), report.incarnation);
             if report.draining {
-                self.mark_leaving(cx, name.clone(), report.incarnation);
+                self.mark_upstream_leaving(cx, name.clone(), report.incarnation);
             }
-            let fresh = known != Some(report.incarnation);
-            if fresh && !self.membership.is_leaving(name, report.incarnation) {
+            let is_new_incarnation = known != Some(report.incarnation);
+            if is_new_incarnation && !self.membership.is_leaving(name, report.incarnation) {
                 self.with_pool(&service, now, |pool, _| pool.reset_after_restart(name, now));
             }
         }
-        let said = report.map(|report| balance::Report {
+        let report = report.map(|report| balance::Report {
             healthy: report.healthy,
             draining: report.draining,
             busy: report.busy,
             age: report.age,
         });
-        self.with_pool(&service, now, |pool, out| pool.report(name, said, now, out));
+        self.with_pool(&service, now, |pool, out| pool.report(name, report, now, out));
     }
 
-    /// Spreads that an incarnation of an upstream gets no new work.
-    pub(crate) fn mark_leaving(&mut self, cx: &mut Cx<'_>, name: UpstreamName, incarnation: Incarnation) {
+    /// Marks an incarnation of an upstream as leaving, so that it gets no new work, and gossips the mark.
+    pub(crate) fn mark_upstream_leaving(&mut self, cx: &mut Context<'_>, name: UpstreamName, incarnation: Incarnation) {
         if self.membership.is_leaving(&name, incarnation) {
             return;
         }
         let mark = LeavingUpstream { name, incarnation };
         let mut outputs = Vec::new();
         self.membership.add_leaving_upstream(mark.clone(), cx.now, &mut outputs);
-        self.upstream_leaves(cx, &mark);
-        self.take_outputs(cx, outputs);
+        self.handle_upstream_leaving(cx, &mark);
+        self.apply_membership_outputs(cx, outputs);
     }
 
-    /// Stops new work for an upstream that is marked, unless a later incarnation is known.
-    pub(crate) fn upstream_leaves(&mut self, cx: &mut Cx<'_>, mark: &LeavingUpstream) {
+    /// Stops sending new work to an upstream marked as leaving, unless a later incarnation is known.
+    pub(crate) fn handle_upstream_leaving(&mut self, cx: &mut Context<'_>, mark: &LeavingUpstream) {
         let later = self
             .upstreams
             .get(&mark.name)
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -1,4 +1,4 @@
-//! The successor's side of a planned stop: the ledgers of another instance take effect here, all at once.
+//! The successor's side of a planned stop: installs the ledgers of another instance in one step.
 
 use std::collections::BTreeMap;
 
@@ -6,78 +6,79 @@
 use units::Incarnation;
 use units::RequestSeq;
 use units::Time;
-use wire::Body;
-use wire::Entry;
 use wire::Frame;
 use wire::Handover;
 use wire::HandoverFlow;
-use wire::Life;
+use wire::InstanceIncarnation;
+use wire::QueuedRequest;
 use wire::Reason;
+use wire::RequestRecord;
 use wire::Resolved;
 use wire::Successor;
 use wire::Verdict;
 
 use crate::FlowKey;
 use crate::Ledger;
-use crate::Line;
+use crate::LedgerEntry;
 use crate::Node;
 use crate::Peer;
-use crate::State;
-use crate::node::Cx;
-use crate::node::keep_flows;
+use crate::RequestState;
+use crate::node::Context;
+use crate::node::ledger_retention;
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
-/// The parts of a hand-over that have arrived so far.
+/// The parts of a hand-over that have been received so far.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Incoming {
+pub(crate) struct PartialHandover {
     parts: BTreeMap<u32, Vec<HandoverFlow>>,
 }
 
-/// A request that was handed over while it waited.
-struct Queued {
+/// A request that was handed over while it waited for a slot.
+struct HandedOverRequest {
     key: FlowKey,
     seq: RequestSeq,
-    body: Body,
+    body: QueuedRequest,
 }
 
 impl Node {
-    /// Takes a part of another instance's ledgers.
-    pub(crate) fn take_handover(&mut self, cx: &mut Cx<'_>, peer: &Peer, handover: Handover) {
+    /// Handles a part of another instance's ledgers.
+    pub(crate) fn handle_handover(&mut self, cx: &mut Context<'_>, peer: &Peer, handover: Handover) {
         let from = handover.successor.from_incarnation;
-        let for_me = handover.successor.to == self.me.name && handover.successor.to_incarnation == self.me.incarnation;
+        let for_me =
+            handover.successor.to == self.local.name && handover.successor.to_incarnation == self.local.incarnation;
         if !for_me || from != peer.incarnation || handover.successor.from != peer.name {
             return;
         }
         if self.owns(&peer.name, from) {
-            // All of it is here already, and the word of that was lost.
+            // All ledgers have been installed already, and the acknowledgement was lost.
             return self.send(cx, peer, Frame::HandoverDone(from));
         }
         if self.stop.has_begun() {
-            self.incoming.remove(&from);
+            self.partial_handovers.remove(&from);
             return self.send(cx, peer, Frame::HandoverRefused(from));
         }
-        let incoming = self.incoming.entry(from).or_default();
-        incoming.parts.insert(handover.part, handover.flows);
-        if incoming.parts.len() < handover.parts as usize {
+        let partial_handovers = self.partial_handovers.entry(from).or_default();
+        partial_handovers.parts.insert(handover.part, handover.flows);
+        if partial_handovers.parts.len() < handover.parts as usize {
             return;
         }
-        let parts = std::mem::take(&mut incoming.parts);
-        self.incoming.remove(&from);
+        let parts = std::mem::take(&mut partial_handovers.parts);
+        self.partial_handovers.remove(&from);
         let flows = parts.into_values().flatten().collect();
-        self.take_over(cx, peer, handover.successor, &handover.inherited, flows);
+        self.install_handover(cx, peer, handover.successor, &handover.inherited, flows);
     }
 
-    fn take_over(
+    fn install_handover(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         peer: &Peer,
         record: Successor,
-        inherited: &[Life],
+        inherited: &[InstanceIncarnation],
         flows: Vec<HandoverFlow>,
     ) {
-        self.forget_inherited(cx.now);
-        let from = Life {
+        self.expire_inherited(cx.now);
+        let from = InstanceIncarnation {
             name: record.from.clone(),
             incarnation: record.from_incarnation,
         };
@@ -92,9 +93,9 @@
                 owner: flow.owner,
                 flow: flow.flow,
             };
-            let piece = unpack(key, flow, record.from_incarnation, &mut queued);
+            let piece = unpack_ledger(key, flow, record.from_incarnation, &mut queued);
             match ledgers.get_mut(&key) {
-                Some(ledger) => ledger.lines.extend(piece.lines),
+                Some(ledger) => ledger.entries.extend(piece.entries),
                 None => drop(ledgers.insert(key, piece)),
             }
         }
@@ -104,23 +105,23 @@
         self.send(cx, peer, Frame::HandoverDone(record.from_incarnation));
         let mut outputs = Vec::new();
         self.membership.add_successor(record, cx.now, &mut outputs);
-        self.take_outputs(cx, outputs);
-        for one in queued {
-            self.resume(cx, one);
+        self.apply_membership_outputs(cx, outputs);
+        for request in queued {
+            self.resume_request(cx, request);
         }
     }
 
-    /// Drops incarnations that were inherited so long ago that every token which names them has expired.
+    /// Drops inherited incarnations that are so old that every token which names them has expired.
     ///
-    /// Otherwise each hand-over would pass on all that ever stopped before.
-    pub(crate) fn forget_inherited(&mut self, now: Time) {
-        let keep = keep_flows(&self.keyring);
+    /// Otherwise each hand-over would include every incarnation that ever stopped.
+    pub(crate) fn expire_inherited(&mut self, now: Time) {
+        let keep = ledger_retention(&self.keyring);
         self.inherited.retain(|_, since| now.since(*since) < keep);
     }
 
-    /// Lets a request begin here that another instance had let wait.
-    fn resume(&mut self, cx: &mut Cx<'_>, queued: Queued) {
-        let Queued { key, seq, body } = queued;
+    /// Starts a request that was waiting at another instance when it was handed over.
+    fn resume_request(&mut self, cx: &mut Context<'_>, queued: HandedOverRequest) {
+        let HandedOverRequest { key, seq, body } = queued;
         let id = self.next_ticket();
         if !self.ledgers.resume(key, seq, id) {
             return;
@@ -133,7 +134,7 @@
             };
             return self
                 .ledgers
-                .end(key, seq, State::Refused(verdict, Reason::Token), cx.now);
+                .end(key, seq, RequestState::Refused(verdict, Reason::Token), cx.now);
         };
         let service = self.documents.service(&claims.service);
         let kind = service.and_then(|service| service.kind(&body.request.kind));
@@ -147,57 +148,57 @@
             deadline,
             avoid: body.avoid,
             in_doubt: body.in_doubt,
-            home: self.me.clone(),
+            home: self.local.clone(),
             phase: Phase::Waiting(cx.now),
             request: body.request,
         };
         self.start_ticket(cx, id, ticket);
     }
 
-    /// Takes the end of a request that was in progress at the instance that handed it over.
-    pub(crate) fn take_resolved(&mut self, cx: &mut Cx<'_>, resolved: Resolved) {
+    /// Handles the end of a request that was in progress at the instance that handed its ledger over.
+    pub(crate) fn handle_resolved(&mut self, cx: &mut Context<'_>, resolved: Resolved) {
         let key = FlowKey {
             owner: resolved.owner,
             flow: resolved.flow,
         };
         let seq = resolved.seq;
         if self.stop.has_handed_over() {
-            // The ledger has moved on meanwhile, and whoever holds it waits for this word.
-            return self.tell_resolved(cx, resolved);
+            // The ledger has been handed over again, and its current holder waits for this message.
+            return self.send_resolved(cx, resolved);
         }
-        let running_there = self.ledgers.elsewhere_at(key, seq) == Some(resolved.at);
+        let running_there = self.ledgers.running_elsewhere_at(key, seq) == Some(resolved.at);
         if !running_there {
             return;
         }
         let state = match resolved.entry {
-            Entry::Queued(body) => return self.resume(cx, Queued { key, seq, body }),
-            Entry::Answered(answer) => State::Answered(Box::new(answer)),
-            Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
-            Entry::Forgotten | Entry::Running(_) => State::Forgotten,
+            RequestRecord::Queued(body) => return self.resume_request(cx, HandedOverRequest { key, seq, body }),
+            RequestRecord::Answered(answer) => RequestState::Answered(Box::new(answer)),
+            RequestRecord::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
+            RequestRecord::Forgotten | RequestRecord::Running(_) => RequestState::AnswerDiscarded,
         };
         self.ledgers.end(key, seq, state, cx.now);
     }
 }
 
-fn unpack(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<Queued>) -> Ledger {
-    let mut lines = ThinVec::new();
+fn unpack_ledger(key: FlowKey, flow: HandoverFlow, from: Incarnation, queued: &mut Vec<HandedOverRequest>) -> Ledger {
+    let mut entries = ThinVec::new();
     for (seq, entry) in flow.entries {
         let state = match entry {
-            Entry::Queued(body) => {
-                queued.push(Queued { key, seq, body });
-                State::Elsewhere(from)
+            RequestRecord::Queued(body) => {
+                queued.push(HandedOverRequest { key, seq, body });
+                RequestState::RunningElsewhere(from)
             }
-            Entry::Running(incarnation) => State::Elsewhere(incarnation),
-            Entry::Answered(answer) => State::Answered(Box::new(answer)),
-            Entry::Forgotten => State::Forgotten,
-            Entry::Refused(verdict, reason) => State::Refused(verdict, reason),
+            RequestRecord::Running(incarnation) => RequestState::RunningElsewhere(incarnation),
+            RequestRecord::Answered(answer) => RequestState::Answered(Box::new(answer)),
+            RequestRecord::Forgotten => RequestState::AnswerDiscarded,
+            RequestRecord::Refused(verdict, reason) => RequestState::Refused(verdict, reason),
         };
-        lines.push(Line { seq, state });
+        entries.push(LedgerEntry { seq, state });
     }
     Ledger {
         floor: flow.floor,
         sent: flow.sent,
         keep_until: Time::default(),
-        lines,
+        entries,
     }
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A few nodes, wired by hand: frames are delivered at once, calls wait until the test ends them.
+//! A fleet of nodes connected in memory: frames are delivered immediately, calls wait until the test ends them.
 
-#![allow(dead_code, reason = "each test file uses a part of this")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,8 +16,8 @@
 use units::Revision;
 use units::Time;
 use wire::Frame;
-use wire::Granted;
-use wire::Life;
+use wire::InstanceIncarnation;
+use wire::IssuedToken;
 use wire::Open;
 use wire::Packet;
 use wire::Reply;
@@ -32,9 +32,9 @@
 use node::Limits;
 use node::Listed;
 use node::Node;
+use node::NodeConfig;
 use node::Peer;
 use node::Record;
-use node::Setup;
 
 pub const SECRET: &str = "a secret of at least thirty-two characters";
 pub const OTHER_SECRET: &str = "another secret of thirty-two characters";
@@ -66,7 +66,7 @@
     )
 }
 
-/// A document whose first service has this many more upstreams.
+/// A document whose first service has `more` additional upstreams.
 pub fn large_document(revision: u64, more: usize) -> String {
     let mut lines = String::new();
     for index in 0..more {
@@ -84,26 +84,26 @@
 pub struct Fleet {
     pub now: Time,
     pub nodes: BTreeMap<InstanceName, (Incarnation, Node)>,
-    /// Replies to the caller that the test has not looked at.
+    /// Replies to the caller that the test has not read yet.
     pub replies: VecDeque<Reply>,
-    /// Calls in progress and the instance that made them.
+    /// Calls in progress and the instances that made them.
     pub calls: Vec<(InstanceName, Call)>,
     pub cancelled: Vec<CallId>,
     pub stopped: Vec<InstanceName>,
-    /// What instances noted for the time line about documents.
-    pub documents: Vec<String>,
-    /// How often upstreams were asked for health and load.
+    /// The timeline records about documents.
+    pub document_records: Vec<String>,
+    /// The number of polls of upstreams.
     pub polls: usize,
-    /// Frames from the first to the second instance are lost.
-    pub cut: Vec<(InstanceName, InstanceName)>,
-    /// Who each part of a hand-over says is inherited.
-    pub inherited: Vec<Vec<Life>>,
-    /// The most flows with a ledger at an instance that joins.
-    pub flows: usize,
+    /// Links on which frames from the first to the second instance are dropped.
+    pub dropped_links: Vec<(InstanceName, InstanceName)>,
+    /// The inherited incarnations in each part of a hand-over that was sent.
+    pub inherited: Vec<Vec<InstanceIncarnation>>,
+    /// The maximum number of flows with a ledger at instances that join.
+    pub max_flows: usize,
 }
 
 impl Fleet {
-    /// A fleet of instances `a`, `b` and so on that have met and hold the document.
+    /// Creates a fleet of instances `a`, `b` and so on that have discovered each other and hold the document.
     pub fn new(count: u64) -> Self {
         let mut fleet = Self {
             now: Time(1_000_000_000),
@@ -112,16 +112,16 @@
             calls: Vec::new(),
             cancelled: Vec::new(),
             stopped: Vec::new(),
-            documents: Vec::new(),
+            document_records: Vec::new(),
             polls: 0,
-            cut: Vec::new(),
+            dropped_links: Vec::new(),
             inherited: Vec::new(),
-            flows: Limits::default().flows,
+            max_flows: Limits::default().flows,
         };
         for index in 0..count {
             fleet.join(&instance(index), index + 1);
         }
-        fleet.pass(Duration::from_secs(3));
+        fleet.advance(Duration::from_secs(3));
         fleet.calls.clear();
         fleet.replies.clear();
         fleet
@@ -129,14 +129,14 @@
 
     pub fn join(&mut self, name: &InstanceName, incarnation: u64) {
         let secret = SECRET.parse().unwrap();
-        let setup = Setup {
+        let setup = NodeConfig {
             name: name.clone(),
             incarnation: Incarnation(incarnation),
             zone: "brugge".parse().unwrap(),
             address: address(name),
             keyring: token::Keyring::new(&secret, &[], Duration::from_hours(1)),
             limits: Limits {
-                flows: self.flows,
+                flows: self.max_flows,
                 max_timeout: Duration::from_secs(20),
                 ..Limits::default()
             },
@@ -150,8 +150,8 @@
             .iter()
             .map(|(name, (incarnation, _))| listed(name, *incarnation))
             .collect();
-        self.event(name, Event::List(list));
-        self.event(name, Event::Loaded(Revision(1), document(1)));
+        self.event(name, Event::InstanceList(list));
+        self.event(name, Event::DocumentLoaded(Revision(1), document(1)));
     }
 
     pub fn event(&mut self, name: &InstanceName, event: Event) {
@@ -167,12 +167,12 @@
             let mut out = Vec::new();
             node.handle(self.now, event, &mut out);
             for action in out {
-                self.carry_out(&from, action, &mut queue);
+                self.apply_action(&from, action, &mut queue);
             }
         }
     }
 
-    fn carry_out(&mut self, from: &Peer, action: Action, queue: &mut VecDeque<(InstanceName, Event)>) {
+    fn apply_action(&mut self, from: &Peer, action: Action, queue: &mut VecDeque<(InstanceName, Event)>) {
         match action {
             Action::Reply(_, reply) => self.replies.push_back(reply),
             Action::Send { to, frame, .. } => {
@@ -181,7 +181,8 @@
                 if let Frame::Handover(handover) = &frame {
                     self.inherited.push(handover.inherited.clone());
                 }
-                let lost = self.cut.contains(&(from.name.clone(), to.clone())) || !self.nodes.contains_key(&to);
+                let lost =
+                    self.dropped_links.contains(&(from.name.clone(), to.clone())) || !self.nodes.contains_key(&to);
                 if !lost {
                     queue.push_back((to, Event::Frame(from.clone(), frame)));
                 }
@@ -191,13 +192,13 @@
             Action::Stopped => self.stopped.push(from.name.clone()),
             Action::Poll(..) => self.polls += 1,
             Action::Record(record @ (Record::InForce(_) | Record::DocumentRejected(_))) => {
-                self.documents.push(format!("{}: {record}", from.name));
+                self.document_records.push(format!("{}: {record}", from.name));
             }
             Action::Watch(_) | Action::Record(_) => {}
         }
     }
 
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + Duration::from_millis(10);
@@ -212,7 +213,7 @@
         self.event(to, Event::Datagram(caller(), encode_packet(packet)));
     }
 
-    pub fn open(&mut self, to: &InstanceName, service: &str) -> Granted {
+    pub fn open(&mut self, to: &InstanceName, service: &str) -> IssuedToken {
         let address = if service == "photos" {
             "10.1.0.2:4000"
         } else {
@@ -230,14 +231,14 @@
         }
     }
 
-    /// Ends the oldest call.
+    /// Ends the oldest call with this result.
     pub fn end_call(&mut self, result: CallResult) -> Call {
         let (name, call) = self.calls.remove(0);
-        self.event(&name, Event::Called(call.id, result));
+        self.event(&name, Event::CallEnded(call.id, result));
         call
     }
 
-    /// The instance that owns the flows which are opened now.
+    /// The current home of a service, which becomes the owner of flows opened now.
     pub fn home(&self, service: &str) -> InstanceName {
         let (_, node) = self.nodes.values().next().unwrap();
         let status = node.status(self.now);
@@ -245,7 +246,7 @@
         line.and_then(|line| line.home.clone()).unwrap()
     }
 
-    /// Any instance but this one.
+    /// An instance other than this one.
     pub fn other(&self, than: &InstanceName) -> InstanceName {
         self.nodes.keys().find(|name| *name != than).cloned().unwrap()
     }
@@ -287,7 +288,7 @@
     }
 }
 
-pub fn request(granted: &Granted, service: &str, kind: &str, seq: u64) -> Packet {
+pub fn request(granted: &IssuedToken, service: &str, kind: &str, seq: u64) -> Packet {
     Packet::Request(Request {
         token: granted.token.clone(),
         service: service.parse().unwrap(),
@@ -299,7 +300,7 @@
     })
 }
 
-/// A reply in one line, for inline expectations.
+/// Formats a reply on one line, for comparison in tests.
 pub fn show(reply: &Reply) -> String {
     match reply {
         Reply::Opened(_) => "opened".to_owned(),
@@ -316,8 +317,8 @@
 }
 
 impl Fleet {
-    /// What the caller has got since the last look.
-    pub fn got(&mut self) -> String {
+    /// Returns the replies received since the previous call, formatted on one line.
+    pub fn take_replies(&mut self) -> String {
         let lines: Vec<String> = self.replies.drain(..).map(|reply| show(&reply)).collect();
         lines.join("; ")
     }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances and upstreams, or a part of it. It lags.
+//! Reading the platform's list of live and leaving instances and upstreams. The list may lag behind the leases.
 
 use node::Listed;
 use units::ZoneName;
@@ -6,22 +6,22 @@
 use crate::Client;
 use crate::Error;
 use crate::api;
-use crate::api::Listing;
-use crate::client::Read;
+use crate::api::ListResponse;
+use crate::client::ReadRequest;
 
-/// Which part of the list is read.
+/// The part of the list to read.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub enum Scope {
-    /// All of it.
+pub enum ListScope {
+    /// The complete list.
     #[default]
     All,
-    /// All instances, and the upstreams that are leaving.
+    /// All instances, and upstreams that are leaving.
     Instances,
-    /// The instances of one availability zone, and the upstreams that are leaving.
+    /// Instances of one availability zone, and upstreams that are leaving.
     Zone(ZoneName),
 }
 
-impl Scope {
+impl ListScope {
     fn path(&self) -> String {
         let list = api::LIST;
         let leaving = format!("{}=leaving", api::UPSTREAMS);
@@ -33,17 +33,17 @@
     }
 }
 
-/// A part of the list as it was read last, from which a later read tells whether it has changed.
+/// A cached part of the list, with the entity tag that lets a later read detect whether it has changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct List {
-    scope: Scope,
+    scope: ListScope,
     tag: Option<String>,
     entries: Vec<Listed>,
 }
 
 impl List {
-    /// A part of the list that has not been read yet.
-    pub fn new(scope: Scope) -> Self {
+    /// Creates an empty cache for a part of the list.
+    pub fn new(scope: ListScope) -> Self {
         Self {
             scope,
             tag: None,
@@ -51,28 +51,29 @@
         }
     }
 
-    /// What was read last.
+    /// The entries as last read.
     pub fn entries(&self) -> &[Listed] {
         &self.entries
     }
 }
 
 impl Client {
-    /// Reads the whole list.
+    /// Reads the complete list.
     pub async fn list(&self) -> Result<Vec<Listed>, Error> {
         let mut list = List::default();
         self.refresh(&mut list).await?;
         Ok(list.entries)
     }
 
-    /// Reads a part of the list again, and tells whether there may be something new. What has not changed is not sent.
+    /// Updates a cached part of the list and returns whether it may have changed. The platform does not send an unchanged
+    /// list again.
     pub async fn refresh(&self, list: &mut List) -> Result<bool, Error> {
         let path = list.scope.path();
-        let read = Read {
+        let read = ReadRequest {
             tag: list.tag.as_deref(),
-            ..Read::new(&path)
+            ..ReadRequest::new(&path)
         };
-        let Some(found) = self.read::<Listing>(read).await? else {
+        let Some(found) = self.read::<ListResponse>(read).await? else {
             return Ok(false);
         };
         list.tag = found.tag;
