--- a/crates/jayquayd/examples/flow_fleet.rs
+++ b/crates/jayquayd/examples/flow_fleet.rs
@@ -1,8 +1,9 @@
-//! What instances in flow mode cost one another: `cargo run --release -p jayquayd --example flow_fleet -- target/release/jayquayd`.
+//! Measures the costs of instances in flow mode in a fleet: `cargo run --release -p jayquayd --example flow_fleet --
+//! target/release/jayquayd`.
 //!
-//! Each instance is a process of its own on loopback, in one of four availability zones, with a stand-in for the store. Bytes and
-//! calls are what the instances' metrics count, processor time and memory the system's. First nothing changes; then one
-//! upstream does, each second.
+//! Each instance is a separate process on loopback, in one of four availability zones, with a stand-in for the store.
+//! Bytes and calls are taken from the instances' metrics, CPU time and memory from the operating system. Each fleet is
+//! measured first at rest, then with one upstream changing per second.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -20,20 +21,21 @@
 use flow::UpstreamId;
 use reqwest::Client;
 
-/// How many instances each fleet has.
+/// Number of instances in each fleet.
 const FLEETS: [usize; 4] = [8, 32, 128, 300];
 const ZONES: usize = 4;
 const UPSTREAMS: u64 = 150;
-/// How long a fleet gets to meet, and to tell of all who joined: at 128, gossip was still falling after 15 s.
+/// Time for a fleet to discover all members and distribute the membership: at 128 instances, gossip traffic was still
+/// decreasing after 15 s.
 const SETTLE: Duration = Duration::from_secs(45);
-/// How long it is measured, at rest and with changes.
+/// Duration of each measurement, at rest and with changes.
 const SPAN: Duration = Duration::from_secs(12);
 const CHANGE: Duration = Duration::from_secs(1);
-/// The system's clock ticks in a second, as in `/proc/ID/stat`.
+/// Clock ticks per second of the CPU times in `/proc/ID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_KB: u64 = 4;
 
-/// An instance. Dropping it kills it.
+/// An instance process. Dropping it kills the process.
 struct Instance {
     child: Child,
     peers: SocketAddr,
@@ -46,7 +48,7 @@
     }
 }
 
-/// What is read of one instance.
+/// Measurements of one instance.
 #[derive(Debug, Default, Clone, Copy)]
 struct Reading {
     cpu: f64,
@@ -60,7 +62,7 @@
     let binary = std::env::args()
         .nth(1)
         .map(PathBuf::from)
-        .expect("the daemon's program");
+        .expect("the first argument is the path of the daemon's binary");
     println!("instances  state    cpu % (median, most)  sent B/s (median, most)  store calls/s in all  memory KB");
     for count in FLEETS {
         measure(count, &binary).await;
@@ -78,7 +80,7 @@
     fs::create_dir_all(&folder).expect("the folder for temporary files is writable");
     let first = SocketAddr::from((ip(0), 0));
     let socket = UdpSocket::bind(first).expect("loopback has a free port");
-    let port = socket.local_addr().expect("it is bound").port();
+    let port = socket.local_addr().expect("the socket is bound").port();
     drop(socket);
     let instances: Vec<Instance> = (0..count)
         .map(|number| start(number, port, &store, binary, &folder))
@@ -93,7 +95,7 @@
     };
     report(count, "changes", &instances, changes).await;
     drop(instances);
-    fs::remove_dir_all(&folder).expect("the folder is this process's own");
+    fs::remove_dir_all(&folder).expect("the folder belongs to this process");
 }
 
 fn put(store: &Store, id: u64) {
@@ -102,7 +104,7 @@
     store.put_upstream(UpstreamId(id), "search", address, &zone, "ready");
 }
 
-/// The address of an instance: each has one of its own.
+/// The address of an instance. Each instance has its own.
 fn ip(number: usize) -> Ipv4Addr {
     let high = u8::try_from(number / 200).expect("a few hundred");
     let low = u8::try_from(number % 200).expect("below 200");
@@ -130,7 +132,7 @@
     Instance { child, peers }
 }
 
-/// Measures all instances over a span, and prints what each of them cost.
+/// Measures all instances while `span` runs, and prints the cost per instance.
 async fn report(count: usize, state: &str, instances: &[Instance], span: impl Future<Output = ()>) {
     let before = read(instances).await;
     span.await;
@@ -160,7 +162,7 @@
     let client = Client::builder()
         .no_proxy()
         .build()
-        .expect("it needs nothing from the system");
+        .expect("the client has valid options");
     let mut readings = Vec::new();
     for instance in instances {
         let url = format!("http://{}/metrics", instance.peers);
@@ -177,7 +179,7 @@
     readings
 }
 
-/// The sum over all labels of a counter.
+/// Sums a counter over all its labels.
 fn sum(text: &str, name: &str) -> f64 {
     let lines = text.lines().filter(|line| line.starts_with(name));
     lines
@@ -186,15 +188,15 @@
 }
 
 fn cpu_seconds(id: u32) -> f64 {
-    let stat = fs::read_to_string(format!("/proc/{id}/stat")).expect("the process lives");
-    // The name in parentheses may hold spaces; the fields after it do not.
+    let stat = fs::read_to_string(format!("/proc/{id}/stat")).expect("the process is running");
+    // The process name in parentheses may contain spaces; the fields after it do not.
     let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
     let ticks = fields.skip(11).take(2).filter_map(|field| field.parse::<f64>().ok());
     ticks.sum::<f64>() / TICKS_PER_SECOND
 }
 
 fn resident_kb(id: u32) -> u64 {
-    let statm = fs::read_to_string(format!("/proc/{id}/statm")).expect("the process lives");
+    let statm = fs::read_to_string(format!("/proc/{id}/statm")).expect("the process is running");
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * PAGE_KB
 }
--- a/crates/jayquayd/src/forward.rs
+++ b/crates/jayquayd/src/forward.rs
@@ -1,7 +1,8 @@
-//! The daemon's flow mode: it forwards packets of flows that only their two ends read.
+//! The daemon's flow mode: forwards the packets of flows whose payload only the two endpoints read.
 //!
-//! The decisions are those of [`flow::Core`]. Around it stand the packets' socket, the store's watches, the exchange
-//! with other instances, and the HTTP endpoints. Every part but the packets' may be late or fail without harm to a flow.
+//! [`flow::Core`] makes the forwarding decisions. The surrounding tasks handle the packet socket, the store watches,
+//! the exchange with other instances, and the HTTP endpoints. All of them except packet forwarding may be delayed or
+//! fail without affecting flows.
 
 pub mod check;
 pub mod logging;
--- a/crates/jayquayd/src/forward/answers.rs
+++ b/crates/jayquayd/src/forward/answers.rs
@@ -1,4 +1,4 @@
-//! The answer that other instances are given, made once for all who ask the same at the same time.
+//! Caches the last response to other instances, so that simultaneous identical requests share it.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,7 +12,7 @@
 use super::relay::Encoded;
 use super::relay::Query;
 
-/// What an answer was made for: the question, and what was known here.
+/// Cache key of a response: the query, and the positions of the knowledge here.
 type Made = (Query, Positions);
 
 #[derive(Debug)]
@@ -22,15 +22,15 @@
     is_compressed: bool,
 }
 
-/// The answer that was made last, for as long as it is being sent to somebody. Of a fleet that starts at once many ask the same at the same
-/// time, and the list of all upstreams is long.
+/// The last response, for as long as it is still being sent to some requester. In a fleet that starts simultaneously,
+/// many instances request the same at the same time, and the list of all upstreams is long.
 #[derive(Debug, Default)]
 pub(crate) struct Answers {
     last: Mutex<Option<Last>>,
 }
 
 impl Answers {
-    /// What an instance is told that asks this.
+    /// The encoded response to a query.
     pub(crate) fn to(&self, query: Query, knowledge: &Knowledge) -> Encoded {
         let made = (query, knowledge.positions());
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/jayquayd/src/forward/check.rs
+++ b/crates/jayquayd/src/forward/check.rs
@@ -1,10 +1,10 @@
-//! Each second one instance of the whole fleet, drawn anew, asks the store whether it knows more than the fleet does.
+//! Once per second, one instance, selected anew each time, checks whether the store has changes that the fleet lacks.
 //!
-//! Watchers hear of changes at once, but all of them may be cut from the store, or turned away by it, without anybody
-//! noticing: a watch that brings nothing looks like a store without changes. Whoever is drawn and gets no answer hands the
-//! question on to four others, and these to four more each, so that a few instances that still reach the store are found
-//! within two seconds, whichever they are. What they find travels as all news do. With the whole store away this ends after
-//! 21 questions, whatever the size of the fleet.
+//! Watchers learn of changes at once, but all of them may be cut off from the store, or rejected by it, without being
+//! noticed: a watch that returns nothing looks like a store without changes. If the selected instance gets no answer,
+//! it forwards the check to four others, and each of these to four more, so that instances that still reach the store
+//! are found within two seconds, even if they are few. What they find is distributed like any other change. If the
+//! store is down altogether, a round ends after 21 checks, whatever the size of the fleet.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -29,60 +29,61 @@
 use super::store;
 use super::store::evacuations;
 
-/// How long a round lasts. A change that all watchers have missed is in force this much and [`PATIENCE`] for each step later,
-/// 1.8 s at worst; bounds for changes are 3 s and more. Each round costs one call to the store in the whole fleet.
+/// Duration of a round. A change that all watchers have missed takes effect after at most this plus [`PATIENCE`] per
+/// forwarding step, 1.8 s; bounds for changes are 3 s and more. A round costs one store call per fleet.
 pub const ROUND: Duration = Duration::from_secs(1);
-/// How long an answer may take before the question is handed on: the store answers in milliseconds, at times a hundred times as
-/// slowly.
+/// Time to wait for an answer before forwarding the check: the store answers in milliseconds, at times a hundred times
+/// as slowly.
 pub const PATIENCE: Duration = Duration::from_millis(400);
-/// How many others a question is handed on to.
+/// Number of instances that a check is forwarded to.
 const BRANCHES: usize = 4;
-/// How many instances a round reaches at most: the one that is drawn, four, and sixteen.
+/// Maximum number of instances that a round reaches: the selected one, four, and sixteen.
 pub const REACH: usize = 1 + BRANCHES + BRANCHES * BRANCHES;
-/// For how long an instance that got no answer hands further questions on at once, without a call: a fleet that is cut from the
-/// store calls it in vain every other second and not each. No longer, as others may be cut by then, and this one not.
+/// Time for which an instance that got no answer forwards further checks at once, without a call: a fleet that is cut
+/// off from the store then makes a futile call every other second rather than each second. Not longer, since by then
+/// other instances may be cut off and this one not.
 const LOST: Duration = Duration::from_millis(1_200);
-/// How long after news the part of the knowledge that lags is asked. The store keeps its history for twenty seconds or so, and
-/// what was missed is found within the first of these rounds.
+/// Time after a change of the knowledge during which the part that lags behind is checked. The store keeps its history
+/// for about 20 s, and a missed change is found within the first of these rounds.
 const FRESH: Duration = Duration::from_secs(10);
-/// How many questions of other instances may wait.
+/// Number of checks from other instances that may be queued.
 const QUEUE: usize = 16;
 
-/// A question that an instance hands on to another: ask the store in this round.
+/// A request to check the store in a round, forwarded from one instance to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// The round, counted from the Unix epoch.
+    /// Number of the round, counted from the Unix epoch.
     pub round: u64,
-    /// The asked instance's place in the round's order.
+    /// Rank of the receiving instance in the round's order.
     pub rank: usize,
 }
 
 impl Question {
-    /// The first question of a round.
+    /// The check with which a round starts.
     pub fn first(round: u64) -> Self {
         Self { round, rank: 0 }
     }
 
-    /// The places that this one is handed on to.
+    /// The ranks that this check is forwarded to.
     pub fn next(self) -> Range<usize> {
-        // A rank comes from another instance and may be any number.
+        // The rank comes from the network and may be any number.
         let begin = self.rank.saturating_mul(BRANCHES).saturating_add(1).min(REACH);
         begin..(begin + BRANCHES).min(REACH)
     }
 }
 
-/// What an instance does with a question.
+/// What an instance does with a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// It asks the store.
+    /// Call the store.
     Call,
-    /// It hands the question on at once, as it has lost the store.
+    /// Forward the check at once, since the store is unreachable from here.
     HandOn,
-    /// Nothing, as it has had one in this round.
+    /// Ignore it, since this round's check was already handled.
     Nothing,
 }
 
-/// What an instance remembers from one question to the next.
+/// State that an instance keeps between checks.
 #[derive(Debug, Default)]
 pub struct Checker {
     round: u64,
@@ -90,7 +91,7 @@
 }
 
 impl Checker {
-    /// What to do with a question. Clocks may differ, so rounds may come in any order; none is taken twice in a row.
+    /// Decides how to handle a check. Clocks differ, so rounds come in any order; only a repeated one is ignored.
     pub fn take(&mut self, question: Question, now: Time) -> Step {
         if question.round == self.round {
             return Step::Nothing;
@@ -102,41 +103,41 @@
         Step::Call
     }
 
-    /// The store gave no answer in time, or none that helps.
+    /// Records that the store gave no answer in time, or no useful one.
     pub fn lose(&mut self, now: Time) {
         self.lost_until = now + LOST;
     }
 
-    /// The store has answered.
+    /// Records that the store answered.
     pub fn regain(&mut self) {
         self.lost_until = Time::default();
     }
 }
 
-/// A question on its way to another instance.
+/// A check to be sent to another instance.
 #[derive(Debug)]
 pub(crate) struct Handed {
     pub(crate) to: SocketAddr,
     pub(crate) question: Question,
 }
 
-/// The two ends between this task and the one that speaks to other instances.
+/// The channel ends of the check task, which connect it to the gossip task.
 #[derive(Debug)]
 pub(crate) struct Ends {
-    /// Questions from others.
+    /// Checks received from other instances.
     pub(crate) asked: mpsc::Receiver<Question>,
-    /// Questions for others.
+    /// Checks to send to other instances.
     pub(crate) handed: mpsc::Sender<Handed>,
 }
 
-/// The same for the other task.
+/// The channel ends of the gossip task.
 #[derive(Debug)]
 pub(crate) struct Gate {
     pub(crate) asked: mpsc::Sender<Question>,
     pub(crate) handed: mpsc::Receiver<Handed>,
 }
 
-/// Ways for questions in both directions.
+/// Creates the channels for checks in both directions.
 pub(crate) fn ways() -> (Ends, Gate) {
     let (ask, asked) = mpsc::channel(QUEUE);
     let (hand, handed) = mpsc::channel(QUEUE);
@@ -144,7 +145,7 @@
     (ends, Gate { asked: ask, handed })
 }
 
-/// Takes this instance's part in all rounds until the process ends.
+/// Runs this instance's checks until the process ends.
 pub(crate) async fn run(settings: watch::Receiver<Settings>, shared: Shared, mut ends: Ends) {
     let address = settings.borrow().store;
     let mut checks = Checks {
@@ -170,7 +171,7 @@
 struct Checks {
     settings: watch::Receiver<Settings>,
     shared: Shared,
-    /// The store by new connections: one that is kept may have gone silent.
+    /// Opens a new connection for each call: a reused one may have become unresponsive unnoticed.
     store: Store,
     checker: Checker,
     handed: mpsc::Sender<Handed>,
@@ -181,14 +182,14 @@
         self.shared.now().0 / ROUND.as_micros() as u64
     }
 
-    /// How long it is until a round is over.
+    /// The time until a round is over.
     fn until_after(&self, round: u64) -> Duration {
         let end = Time((round + 1) * ROUND.as_micros() as u64);
         self.shared.now().until(end)
     }
 
-    /// The first question of the round that has begun, if this instance is drawn for it. While it holds too little to serve, it
-    /// reads the store anyway.
+    /// The first check of the current round, if this instance is selected. One that isn't ready reads the store
+    /// anyway.
     fn drawn(&self) -> Option<Question> {
         if !self.shared.core().knowledge().is_ready() || self.shared.is_stopping() {
             return None;
@@ -217,7 +218,7 @@
         let call = compare(&self.store, &self.shared, has_evacuations, &answered);
         tokio::pin!(call);
         let mut is_late = false;
-        // An answer that comes late still tells.
+        // A late answer is still useful.
         let result = loop {
             tokio::select! {
                 result = &mut call => break result,
@@ -250,16 +251,17 @@
         }
     }
 
-    /// Reads what a check has found to be missed. Whoever watches reads a list whose history is gone as well, so it is no part of the
-    /// question, which the store has answered: others would read it too.
+    /// Reads what a check has found to be missing. The watchers read a list whose history is gone as well, and the
+    /// store has answered the check, so the reading isn't part of it: on a failure or delay, the check would be
+    /// forwarded and other instances would read the list too.
     async fn follow(&self, finding: Finding, question: Question) {
         match finding {
             Finding::Even => {}
-            Finding::Behind => log::info!("store: check found news round={}", question.round),
+            Finding::Behind => log::info!("store: check found changes round={}", question.round),
             Finding::HistoryGone => {
                 log::info!("store: check found history gone round={}", question.round);
                 if let Err(error) = store::read_list(&self.store, &self.shared).await {
-                    log::info!("store: check read no list round={} error=\"{error}\"", question.round);
+                    log::info!("store: check list failed round={} error=\"{error}\"", question.round);
                 }
             }
         }
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Hands a question on to the next in the round's order.
+    /// Forwards a check to the next instances in the round's order.
     fn hand_on(&self, question: Question) {
         let members = self.shared.members();
         let drawn = members.ranked_members(question.round);
@@ -281,7 +283,7 @@
                 return;
             };
             let question = Question { rank, ..question };
-            // A queue that is full holds questions of the same kind.
+            // A full queue holds equivalent checks.
             let _full = self.handed.try_send(Handed {
                 to: member.address,
                 question,
@@ -290,19 +292,19 @@
     }
 }
 
-/// What a check has found.
+/// Outcome of a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Finding {
-    /// The store knows no more than this instance.
+    /// The store has nothing newer than this instance.
     Even,
-    /// It knew more, which was read.
+    /// The store had changes, which were read.
     Behind,
-    /// It no longer tells what has become of the upstreams since, so that their list is to be read.
+    /// The store no longer has the history of the upstreams since the held position, so their list must be read.
     HistoryGone,
 }
 
 impl Finding {
-    /// Its name in metrics.
+    /// The value of the label in metrics.
     fn as_str(self) -> &'static str {
         match self {
             Self::Even => "even",
@@ -312,22 +314,22 @@
     }
 }
 
-/// What is asked of the store.
+/// A part of the knowledge to check against the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Part {
     kind: Kind,
-    /// The place up to which this instance knows it.
+    /// Position up to which this instance knows the part.
     at: Position,
 }
 
-/// Reads what the store knows beyond this instance.
+/// Reads what the store has beyond this instance's knowledge. Notifies `answered` of each answer.
 ///
-/// One revision counts all changes, and each part of the knowledge is complete up to a revision of its own. Where news came
-/// lately, the parts that lag are asked for their changes since: those up to the part that is ahead may have been missed, as their
-/// watches may be cut and the other's not. Later on the history back to there may be gone, so the part that is ahead is asked. An
-/// answer's place tells whether the others have to be asked as well. As a rule one or two short calls tell that nothing is new.
-/// What is held of an earlier epoch than the store's is always asked: its revision says nothing of what the store knows now.
-/// `answered` hears of each answer.
+/// The store numbers all changes in one sequence, and each part of the knowledge is complete up to its own position.
+/// Shortly after a change, the lagging parts are asked for their changes since: those up to the position of the most
+/// advanced part may have been missed, as the watch of one part may be cut off and another not. Later, the history
+/// back to that point may be gone, so the most advanced part is asked. The position in an answer shows whether the
+/// other parts must be asked as well. Usually one or two short calls show that nothing is new. A part whose epoch is
+/// older than the store's is always asked: its revision says nothing about the store's current state.
 async fn compare(store: &Store, shared: &Shared, has_evacuations: bool, answered: &Notify) -> Result<Finding, Error> {
     let before = pull::held(shared);
     let mut parts = parts(&before, has_evacuations);
@@ -359,7 +361,7 @@
     Ok(if is_even { Finding::Even } else { Finding::Behind })
 }
 
-/// The parts of the knowledge, the one that lags most first.
+/// The parts of the knowledge, the most outdated first.
 fn parts(held: &Positions, has_evacuations: bool) -> Vec<Part> {
     let part = |kind, at| Part { kind, at };
     let mut parts = vec![
@@ -373,7 +375,7 @@
     parts
 }
 
-/// Takes in what has changed of a part, and gives the place at which the store stood.
+/// Applies the changes of a part and returns the store's position.
 async fn since(store: &Store, shared: &Shared, part: Part) -> Result<Position, Error> {
     match part.kind {
         Kind::Document => documents_since(store, shared, part.at).await,
@@ -381,12 +383,12 @@
             let watched = store::watch(store, shared, part.at, Duration::ZERO).await;
             watched.map(|(at, _)| at)
         }
-        // These are few, and are always read together.
+        // The zones are few and are always read together.
         Kind::Evacuations => evacuations::read(store, shared).await,
     }
 }
 
-/// Takes in what has changed of the document, and gives the place at which the store stood.
+/// Applies changes of the document and returns the store's position.
 async fn documents_since(store: &Store, shared: &Shared, since: Position) -> Result<Position, Error> {
     let documents = match store.watch_document(since, Duration::ZERO).await {
         Err(Error::HistoryGone) => store.read_document().await?,
--- a/crates/jayquayd/src/forward/decisions.rs
+++ b/crates/jayquayd/src/forward/decisions.rs
@@ -1,4 +1,4 @@
-//! One log line for each decision, up to a number of lines a second.
+//! Logs one line per decision, limited to a number of lines per second.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use units::Revision;
 use units::Time;
 
-/// How many lines about single flows are written in one span. A line costs a few microseconds of processor time, so
-/// these take less than a thousandth of a core.
+/// Maximum number of lines about single flows per [`SPAN`]. A line costs a few microseconds of CPU time, so these
+/// lines take less than a thousandth of a core.
 const LINES: u32 = 100;
-/// The span that [`LINES`] is counted over.
+/// The interval that [`LINES`] applies to.
 const SPAN: Duration = Duration::from_secs(1);
 
-/// Writes decisions to the log, and counts those that it leaves out.
+/// Logs decisions, and counts those that it omits.
 #[derive(Debug, Default)]
 pub(crate) struct DecisionLog {
     since: Time,
@@ -24,8 +24,8 @@
 }
 
 impl DecisionLog {
-    /// Writes decisions. What changes the picture of an upstream is always written, what touches one flow only while
-    /// there is room.
+    /// Logs decisions. Those that concern an upstream, a zone or the document as a whole are always written, those
+    /// about a single flow only within the limit.
     pub(crate) fn tell(&mut self, decisions: &[Decision], basis: Basis, now: Time) {
         for decision in decisions {
             if is_about_one_flow(decision) && !self.has_room(now) {
@@ -66,16 +66,16 @@
     )
 }
 
-/// What a decision was based on.
+/// The document and the upstreams that a decision was based on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Basis {
     /// The revision of the document in force.
     pub(crate) document: Revision,
-    /// The place in the store's history that the upstreams stood at.
+    /// Position in the store's history that the list of upstreams corresponds to.
     pub(crate) upstreams_at: Position,
 }
 
-/// What speaks for a reset, as it stands in the log.
+/// Formats the evidence for a reset as log fields.
 struct Words(SilenceEvidence);
 
 impl fmt::Display for Words {
@@ -136,15 +136,15 @@
             "flows: taken for dead upstream={upstream}{} flows={flows}",
             Words(*grounds)
         ),
-        Decision::Revived(upstream) => log::warn!("flows: answers again upstream={upstream}"),
+        Decision::Revived(upstream) => log::warn!("flows: recovered upstream={upstream}"),
         Decision::Ejected {
             upstream,
             usual_percent,
         } => log::warn!("flows: ejected upstream={upstream} usual_percent={usual_percent}"),
-        Decision::EjectedElsewhere(upstream) => log::info!("flows: ejected as told upstream={upstream}"),
+        Decision::EjectedElsewhere(upstream) => log::info!("flows: ejected by another instance upstream={upstream}"),
         Decision::Readmitted(upstream) => log::warn!("flows: readmitted upstream={upstream}"),
         Decision::Restarted { upstream, flows } => {
-            log::info!("flows: started again upstream={upstream} flows={flows} upstreams_at={upstreams_at}");
+            log::info!("flows: restarted upstream={upstream} flows={flows} upstreams_at={upstreams_at}");
         }
         Decision::Evacuated { zone, at, flows } => {
             log::warn!("zones: evacuated zone={zone} at={at} open_flows={flows}");
--- a/crates/jayquayd/src/forward/failures.rs
+++ b/crates/jayquayd/src/forward/failures.rs
@@ -1,4 +1,4 @@
-//! What goes to whoever sums up the tries that end badly at an upstream.
+//! Reports of failed tries, which go to the aggregators of an upstream.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     u32::try_from(members.len()).unwrap_or(u32::MAX)
 }
 
-/// The reports that are due, by where they go. Those for this instance itself are taken in.
+/// The reports that are due, by destination. Those for this instance itself are applied directly.
 pub(crate) fn due(shared: &Shared) -> BTreeMap<SocketAddr, Vec<FailureReport>> {
     let now = shared.now();
     let mut core = shared.core();
@@ -39,7 +39,7 @@
     out
 }
 
-/// Takes in reports of another instance.
+/// Applies reports of another instance.
 pub(crate) fn hear(shared: &Shared, reports: &[FailureReport]) {
     let now = shared.now();
     let mut core = shared.core();
--- a/crates/jayquayd/src/forward/figures.rs
+++ b/crates/jayquayd/src/forward/figures.rs
@@ -1,4 +1,4 @@
-//! What the flow mode tells of itself: figures that are kept elsewhere are brought to the metrics when somebody reads them.
+//! Metrics of the flow mode whose values are kept elsewhere and are copied when the metrics are read.
 
 use flow::Knowledge;
 use flow::Wait;
@@ -10,7 +10,7 @@
 use super::shared::Shared;
 use crate::metric::MEMBER_STATES;
 
-/// Brings all figures up to date.
+/// Updates all metrics.
 pub(crate) fn report(shared: &Shared) {
     report_flows(shared);
     report_knowledge(shared.core().knowledge());
@@ -73,7 +73,7 @@
     }
 }
 
-/// Histograms of what clients wait for. Their handles are looked up once, as most packets end a wait.
+/// Histograms of the times that clients wait. Their handles are looked up once, since most packets end a wait.
 #[derive(Debug)]
 pub(crate) struct Waits {
     handshakes: Places,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Records a wait that has ended.
+    /// Records a completed wait.
     pub(crate) fn record(&self, wait: Wait) {
         let places = match wait.kind {
             WaitKind::Handshake => &self.handshakes,
--- a/crates/jayquayd/src/forward/gossip.rs
+++ b/crates/jayquayd/src/forward/gossip.rs
@@ -1,4 +1,5 @@
-//! Membership over UDP: one datagram, one frame. What is lost is sent again by the protocol above.
+//! Membership and the exchange between instances over UDP, with one message per datagram. The membership protocol
+//! handles lost messages.
 
 mod datagram;
 mod readers;
@@ -39,19 +40,19 @@
 use crate::metric;
 use readers::Readers;
 
-/// How often membership is given the time.
+/// Interval of the membership protocol's timer.
 const TICK: Duration = Duration::from_millis(100);
-/// How often seeds are asked while no other instance is known.
+/// Interval at which the seeds are contacted while no other instance is known.
 const SEED_PAUSE: Duration = Duration::from_millis(300);
-/// How many instances that hold newer knowledge may wait to be asked.
+/// Maximum number of queued instances that hold newer knowledge.
 const PULLS: usize = 64;
-/// How far the incarnation is raised when others know a later one, as after the wall clock was set back.
+/// Increment of the incarnation when other instances know a later one, as after the wall clock was set back.
 const INCARNATION_STEP: u64 = 10_000 << 10;
-/// The longest datagram that is read.
+/// Maximum length of a received datagram.
 const MAX_LEN: usize = 65_536;
 
-/// How often members look after one another. A probe a second from each of two zones finds a dead watcher within the
-/// bound for a change to be in force, and costs each instance about two datagrams a second.
+/// Intervals of failure detection. A probe per second from each of two zones detects a dead watcher within the bound
+/// for a change to take effect, and costs each instance about two datagrams per second.
 pub(crate) fn timing() -> Timing {
     Timing {
         probe_interval: Duration::from_secs(1),
@@ -63,61 +64,62 @@
     }
 }
 
-/// What an instance tells another, and who it is.
+/// A message between instances, with its sender.
 #[derive(Debug, Serialize, Deserialize)]
 struct Message {
     from: InstanceName,
     incarnation: Incarnation,
     body: Body,
-    /// Whether the sender tells epochs. Those of an earlier release don't.
+    /// Whether the sender's frames carry epochs. Those of an earlier release don't.
     #[serde(default)]
     tells_epochs: bool,
-    /// Whether the sender reads compressed messages. Those of an earlier release don't.
+    /// Whether the sender supports compressed messages. Instances of an earlier release don't.
     #[serde(default)]
     reads_compressed: bool,
 }
 
-/// What an instance tells another.
+/// Payload of a message.
 #[derive(Debug, Serialize, Deserialize)]
 enum Body {
-    /// A frame of the membership.
+    /// A frame of the membership protocol.
     Member(Box<Frame>),
-    /// Upstreams that flows wait for in vain, for whoever sums up, or an answer to that.
+    /// Upstreams that flows wait for without an answer, sent to their aggregators, or better information in reply to
+    /// that.
     Reports(Vec<Report>),
-    /// Tell what you have seen of these upstreams.
+    /// Asks for the receiver's observations of these upstreams.
     Questions(Vec<UpstreamId>),
-    /// The answer to that.
+    /// The reply to `Questions`.
     Views(Vec<Report>),
-    /// Tries that have ended badly, for whoever sums up.
+    /// Failed tries, sent to the aggregators.
     Failures(Vec<FailureReport>),
-    /// Upstreams that get no new flows, or get them again.
+    /// Upstreams that stop receiving new flows, or receive them again.
     Standings(Vec<StatusUpdate>),
-    /// Ask the store whether it knows more.
+    /// Asks the receiver to check the store for newer data.
     Check(Question),
 }
 
-/// Whose message it is, and where its datagram came from.
+/// The sender of a message, and the source address of its datagram.
 struct Sender {
     name: InstanceName,
     source: SocketAddr,
 }
 
-/// Membership over one socket.
+/// Exchange with the other instances over one socket.
 pub(crate) struct Peers {
     socket: Arc<UdpSocket>,
     shared: Shared,
     settings: watch::Receiver<Settings>,
-    /// The port at which every instance is reached by others.
+    /// The port on which other instances reach every instance.
     port: u16,
     pulls: mpsc::Sender<Newer>,
-    /// Questions to the store that instances hand on to one another.
+    /// Checks of the store that instances forward to one another.
     checks: Gate,
-    /// Where messages came from whose senders read compressed ones.
+    /// Source addresses of messages whose senders support compression.
     readers: Mutex<Readers>,
 }
 
 impl Peers {
-    /// Starts the task that asks others for their knowledge, and takes the seeds' addresses from their hosts.
+    /// Creates the state and starts the task that fetches knowledge from other instances.
     pub(crate) fn new(
         socket: UdpSocket,
         shared: Shared,
@@ -148,7 +150,7 @@
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((len, from)) => self.receive(&buffer[..len], from),
-                    Err(error) => log::debug!("peers: {error}"),
+                    Err(error) => log::debug!("peers: receive failed: {error}"),
                 },
                 _ = tick.tick() => {
                     self.tick();
@@ -190,7 +192,7 @@
         let mut out = Vec::new();
         let now = self.shared.now();
         if self.shared.is_stopping() {
-            // Told once: others watch the store in its place before it is gone.
+            // Announced before the process ends, so that other instances take over watching the store.
             self.shared.members().leave(now, &mut out);
         }
         self.shared.members().tick(now, &mut out);
@@ -204,7 +206,7 @@
         zone.is_some_and(|zone| *zone != members.me().zone)
     }
 
-    /// Lets others know that this instance knows more.
+    /// Announces that this instance's knowledge has changed.
     fn tell(&self) {
         let mut out = Vec::new();
         let (level, parts) = pull::level(&self.shared);
@@ -216,7 +218,7 @@
     fn receive(&self, bytes: &[u8], from: SocketAddr) {
         let Some(message) = datagram::read(bytes) else {
             metric::frames_unread().increment(1);
-            log::debug!("peers: a message from {from} can't be read");
+            log::debug!("peers: malformed message from={from}");
             return;
         };
         if message.reads_compressed {
@@ -239,13 +241,13 @@
             Body::Views(views) => self.hear_views(&sender, &views),
             Body::Standings(standings) => self.hear_standings(&sender, &standings),
             Body::Check(question) => {
-                // A queue that is full holds questions of the same kind.
+                // A full queue holds equivalent checks.
                 let _full = self.checks.asked.try_send(question);
             }
         }
     }
 
-    /// Lets what an instance of an earlier release knows be compared with what is known here.
+    /// Makes the positions announced by an instance of an earlier release comparable with those here.
     fn read_without_epochs(&self, frame: &mut Frame) {
         let (Frame::Probe(_, gossip) | Frame::ProbeAck(_, gossip) | Frame::News(gossip)) = frame else {
             return;
@@ -255,7 +257,7 @@
             .map(|held| pull::level_without_epochs(&self.shared, held));
     }
 
-    /// Takes in a frame of the membership.
+    /// Processes a frame of the membership protocol.
     fn handle(&self, from: &InstanceName, incarnation: Incarnation, frame: &Frame) {
         let mut out = Vec::new();
         {
@@ -279,7 +281,8 @@
                     digest,
                     ..
                 } => {
-                    // A queue that is full holds others that know more; whoever is left out is seen again.
+                    // A full queue holds other instances with newer knowledge; one that is dropped here will announce
+                    // itself again.
                     let _full = self.pulls.try_send(Newer {
                         address,
                         level: revision,
@@ -321,12 +324,13 @@
         metric::frames_sent().increment(1);
         metric::frame_bytes_sent().increment(bytes.len() as u64);
         if let Err(error) = self.socket.try_send_to(&bytes, to) {
-            log::debug!("peers: not sent to {to}: {error}");
+            log::debug!("peers: cannot send to {to}: {error}");
         }
     }
 }
 
-/// Begins a later life under the same name. Nothing but the membership hangs on it here, as no flow has an owner.
+/// Restarts the membership with a later incarnation of the same name. Only the membership depends on the incarnation
+/// here, since flows have no owner.
 fn raise_incarnation(members: &mut Membership, shared: &Shared) {
     let me = members.me();
     let me = Member {
@@ -335,7 +339,7 @@
         ..me.clone()
     };
     log::warn!(
-        "peers: a later life of {} is known, going on as {}",
+        "peers: a later incarnation is known, restarting instance={} incarnation={}",
         me.name,
         me.incarnation
     );
--- a/crates/jayquayd/src/forward/gossip/datagram.rs
+++ b/crates/jayquayd/src/forward/gossip/datagram.rs
@@ -1,22 +1,23 @@
-//! Messages as datagrams: CBOR, compressed where that saves much and the receiver reads it.
+//! Encoding of messages as datagrams: CBOR, compressed where that saves much and the receiver supports it.
 //!
-//! Lists of members are the longest messages, and most of each record stands in the next one too: names, zones, addresses.
+//! Lists of members are the longest messages, and compress well, since most of each record (names, zones, addresses)
+//! recurs in the next one.
 
 use ciborium::de;
 
 use super::Message;
 use crate::forward::compression;
 
-/// From how many bytes on a message is compressed. Below, the head and the time are not worth it.
+/// Minimum length of a message to compress, in bytes. Below it, the savings are not worth the header and the CPU time.
 const COMPRESSED_FROM: usize = 512;
-/// The longest message that a compressed datagram may hold.
+/// Maximum length of a decompressed message.
 const MAX_LEN: usize = 262_144;
-/// How deeply a message may nest.
+/// Maximum nesting depth of a message.
 const MAX_DEPTH: usize = 16;
-/// What a compressed datagram begins with. A message in CBOR begins with the head of a map.
+/// First byte of a compressed datagram. An uncompressed message begins with the head of a CBOR map.
 const COMPRESSED: u8 = 0x78;
 
-/// Reads a datagram. `None` if it holds no message.
+/// Decodes a datagram. `None` if it holds no valid message.
 pub(super) fn read(bytes: &[u8]) -> Option<Message> {
     if bytes.first() == Some(&COMPRESSED) {
         return parse(&compression::expand(bytes, MAX_LEN)?);
@@ -28,10 +29,11 @@
     de::from_reader_with_recursion_limit(bytes, MAX_DEPTH).ok()
 }
 
-/// Writes a message for a receiver that may read compressed ones.
+/// Encodes a message for a receiver that may support compression.
 pub(super) fn write(message: &Message, is_read_compressed: bool) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
-    ciborium::into_writer(message, &mut bytes).expect("a vector takes every write, and a message has a CBOR form");
+    ciborium::into_writer(message, &mut bytes)
+        .expect("writing to a vector cannot fail, and a message is serializable as CBOR");
     if !is_read_compressed || bytes.len() < COMPRESSED_FROM {
         return bytes;
     }
--- a/crates/jayquayd/src/forward/gossip/readers.rs
+++ b/crates/jayquayd/src/forward/gossip/readers.rs
@@ -1,13 +1,14 @@
-//! Which addresses read compressed messages: those whose own messages say so. While a fleet is rolled out, some don't.
+//! Addresses whose instances support compressed messages, as their own messages say. During a rolling upgrade, some
+//! don't.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// How many addresses are remembered: more than a fleet has, whose instances come and go under new addresses. Beyond, they begin anew,
-/// which costs each one message that is not compressed.
+/// Maximum number of addresses, more than a fleet has, since restarted instances use new addresses. When it is
+/// reached, the set is cleared, which costs one uncompressed message per address.
 const MOST: usize = 8_192;
 
-/// The addresses that read compressed messages.
+/// The addresses that support compressed messages.
 #[derive(Debug, Default)]
 pub(super) struct Readers(HashSet<SocketAddr>);
 
--- a/crates/jayquayd/src/forward/gossip/upstreams.rs
+++ b/crates/jayquayd/src/forward/gossip/upstreams.rs
@@ -1,4 +1,5 @@
-//! What instances tell one another of upstreams: flows that wait in vain, tries that end badly, and what came of that.
+//! Messages between instances about upstreams: flows that wait without an answer, failed tries, and the resulting
+//! decisions.
 
 use std::net::SocketAddr;
 
@@ -16,15 +17,16 @@
 use crate::forward::failures;
 use crate::forward::silence;
 
-/// How many instances of the own zone, and of other zones, get a standing from whoever decided it.
+/// Numbers of instances of the local zone, and of other zones, that receive a decision directly from the instance that
+/// made it.
 const NEAR_LISTENERS: usize = 8;
 const FAR_LISTENERS: usize = 4;
-/// How many others hear of a standing from each that has heard of it first. With six all but one in four hundred hear of it, and
-/// the next word comes within seconds.
+/// Number of instances to which a receiver forwards a decision that it hears for the first time. With six, all but one
+/// in 400 receive it, and the next message follows within seconds.
 const PASSED_ON: usize = 6;
 
 impl Peers {
-    /// Takes in another instance's reports, and tells it what is known better here.
+    /// Processes another instance's reports, and replies with any better information.
     pub(super) fn hear_reports(&self, from: &Sender, reports: &[Report]) {
         let now = self.shared.now();
         let answers = self.shared.core().receive_reports(reporter(&from.name), reports, now);
@@ -33,13 +35,13 @@
         self.carry_on();
     }
 
-    /// Tells another instance what was seen here of the upstreams that it asks about.
+    /// Replies with this instance's observations of the upstreams in question.
     pub(super) fn answer(&self, from: &Sender, upstreams: &[UpstreamId]) {
         let views = self.shared.core().reports_on(upstreams, self.shared.now());
         self.reply(from, Body::Views(views));
     }
 
-    /// Takes in what another instance has seen of upstreams that it was asked about.
+    /// Processes another instance's observations of upstreams that it was asked about.
     pub(super) fn hear_views(&self, from: &Sender, views: &[Report]) {
         let now = self.shared.now();
         self.shared
@@ -48,7 +50,7 @@
         self.carry_on();
     }
 
-    /// Follows what another instance has decided, and tells it what is known better here.
+    /// Applies decisions of another instance, and replies with any better information.
     pub(super) fn hear_standings(&self, from: &Sender, standings: &[StatusUpdate]) {
         let answers = self.shared.core().receive_status_updates(standings, self.shared.now());
         self.tell_better(from, answers);
@@ -61,40 +63,41 @@
         }
     }
 
-    /// Has what another instance told take effect at once: for flows seen here, and at others.
+    /// Makes received information take effect at once, for flows seen here and at other instances.
     fn carry_on(&self) {
         self.shared.note_decisions();
         self.tell_standings();
     }
 
-    /// Answers an instance. Where its datagram came from may be a port mapping or a proxy, which takes nothing back.
+    /// Replies to an instance at its advertised address if known: the source address of its datagram may belong to a
+    /// port mapping or a proxy, which accepts no replies.
     fn reply(&self, to: &Sender, body: Body) {
         let advertised = self.shared.members().member(&to.name).map(|member| member.address);
         self.send(advertised.unwrap_or(to.source), body);
     }
 
-    /// Tells whoever sums up which upstreams flows wait for in vain.
+    /// Reports upstreams that flows wait for without an answer to their aggregators.
     pub(super) fn report_silence(&self) {
         for (address, reports) in silence::due(&self.shared) {
             self.send(address, Body::Reports(reports));
         }
     }
 
-    /// Asks what others have seen of upstreams that enough flows wait for.
+    /// Asks other instances for their observations of upstreams that enough flows wait for.
     pub(super) fn ask(&self) {
         for (address, upstreams) in silence::questions(&self.shared) {
             self.send(address, Body::Questions(upstreams));
         }
     }
 
-    /// Tells whoever sums up of tries that have ended badly.
+    /// Reports failed tries to the aggregators.
     pub(super) fn report_failures(&self) {
         for (address, reports) in failures::due(&self.shared) {
             self.send(address, Body::Failures(reports));
         }
     }
 
-    /// Tells others of what was decided here, and passes on what was heard first.
+    /// Sends the decisions made here, and forwards those received for the first time.
     pub(super) fn tell_standings(&self) {
         let (decided, heard) = {
             let mut core = self.shared.core();
@@ -104,7 +107,7 @@
             )
         };
         self.send_standings(&decided, NEAR_LISTENERS, FAR_LISTENERS);
-        // Where the first ones who hear are all there are, nothing is to be passed on.
+        // Where the direct receivers are all instances there are, nothing needs forwarding.
         if self.shared.members().members().count() > NEAR_LISTENERS + 1 {
             self.send_standings(&heard, PASSED_ON / 2, PASSED_ON / 2);
         }
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Who gets a standing, drawn anew each time.
+    /// Random receivers of a decision, selected anew each time.
     fn listeners(&self, near_count: usize, far_count: usize) -> Vec<SocketAddr> {
         let members = self.shared.members();
         let me = members.me();
@@ -132,7 +135,7 @@
     }
 }
 
-/// The name of an instance that reports.
+/// The identifier of a reporting instance.
 fn reporter(name: &InstanceName) -> ReporterId {
     let hash = blake3::hash(name.as_str().as_bytes());
     let id = hash.as_bytes().first_chunk().copied().unwrap_or_default();
--- a/crates/jayquayd/src/forward/http.rs
+++ b/crates/jayquayd/src/forward/http.rs
@@ -27,10 +27,10 @@
 use super::status;
 use super::status::Status;
 
-/// The path of the metrics, as text.
+/// Path of the metrics, as text.
 pub(crate) const METRICS: &str = "/metrics";
 
-/// What the endpoints need.
+/// State of the endpoints.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
     pub(crate) shared: Shared,
@@ -38,7 +38,7 @@
     pub(crate) answers: Arc<Answers>,
 }
 
-/// Answers whether flows may be led here.
+/// Serves the readiness checks.
 pub(crate) async fn serve_ready(listener: TcpListener, shared: Shared) -> io::Result<()> {
     let router = Router::new().route(ready::PATH, get(is_ready)).with_state(shared);
     axum::serve(listener, router).await
@@ -55,7 +55,7 @@
     axum::serve(listener, router).await
 }
 
-/// Listens, and can listen again at once after an earlier process at the same address.
+/// Listens with `SO_REUSEADDR`, so that a restarted process can use the same address at once.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -63,7 +63,7 @@
     socket.listen(BACKLOG)
 }
 
-/// How many connections may wait to be accepted. A whole fleet may ask one instance at the same time.
+/// Maximum number of connections waiting to be accepted. A whole fleet may contact one instance at the same time.
 const BACKLOG: u32 = 1_024;
 
 async fn is_ready(State(shared): State<Shared>) -> (StatusCode, String) {
--- a/crates/jayquayd/src/forward/keeping.rs
+++ b/crates/jayquayd/src/forward/keeping.rs
@@ -1,16 +1,16 @@
-//! Which cold upstreams this instance keeps, so that it alone sends them new flows.
+//! Assignment of cold upstreams to this instance, which alone then sends them new flows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::shared::Shared;
 
-/// How long after its start an instance keeps none. Until it has met the fleet it takes itself and whoever started with it for all
-/// there are, and of a fleet that starts at once each instance would. Members that lost sight of one another look for each other
-/// every three seconds.
+/// Time after startup during which an instance is assigned none. Until it has discovered the other instances, it
+/// regards itself and those that started with it as the whole fleet, so in a fleet that starts simultaneously each
+/// instance would be assigned the same upstreams. Members that lost contact look for one another every three seconds.
 const SETTLED: Duration = Duration::from_secs(10);
 
-/// Looks anew which ones they are.
+/// Recomputes the assignment.
 pub(crate) fn update(shared: &Shared) {
     let now = shared.now();
     let mut core = shared.core();
--- a/crates/jayquayd/src/forward/logging.rs
+++ b/crates/jayquayd/src/forward/logging.rs
@@ -1,7 +1,7 @@
-//! Log lines to standard output that never hold the process up.
+//! Non-blocking log output to standard output.
 //!
-//! Lines wait in a bounded queue for a thread that writes them. When whoever reads them is slow, lines are left out and
-//! counted; packets go on.
+//! Lines go through a bounded queue to a writer thread. When the reader of the output is slow, lines are dropped and
+//! counted, and packet forwarding is not delayed.
 
 use std::io;
 use std::io::Write;
@@ -15,21 +15,21 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How many lines wait at most. They take about 200 bytes each.
+/// Capacity of the queue in lines, which take about 200 bytes each.
 const LINES: usize = 2_048;
-/// How long the last lines may take to be written when the process ends.
+/// Time limit for writing the remaining lines when the process ends.
 const LAST_LINES: Duration = Duration::from_millis(300);
-/// How often it is looked whether they are.
+/// Interval at which the writer's progress is checked.
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Counts of lines.
+/// Line counters.
 #[derive(Debug, Default)]
 struct Counts {
     waiting: AtomicU64,
     left_out: AtomicU64,
 }
 
-/// Takes lines, and hands them to the thread that writes them.
+/// Passes lines to the writer thread.
 #[derive(Debug, Clone)]
 pub struct Queue {
     lines: SyncSender<Vec<u8>>,
@@ -46,7 +46,7 @@
         Self { lines, counts }
     }
 
-    /// Waits a moment until the lines so far are written.
+    /// Waits, up to a time limit, until all queued lines are written.
     pub fn finish(&self) {
         let begin = Instant::now();
         while self.counts.waiting.load(Ordering::Acquire) > 0 && begin.elapsed() < LAST_LINES {
@@ -56,7 +56,7 @@
 }
 
 impl Write for Queue {
-    /// Takes one line. It is never refused, only left out.
+    /// Queues one line. It never fails; a line that doesn't fit is dropped and counted.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.counts.waiting.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line.to_vec()).is_err() {
@@ -82,7 +82,7 @@
         if left_out > 0 {
             lines.extend(format!("log: left out lines={left_out}\n").into_bytes());
         }
-        // There is nowhere else to say that the log can't be written.
+        // An error in writing the log can't be reported anywhere else.
         let _unwritten = out.write_all(&lines).and_then(|()| out.flush());
         counts.waiting.fetch_sub(taken, Ordering::AcqRel);
     }
--- a/crates/jayquayd/src/forward/metric.rs
+++ b/crates/jayquayd/src/forward/metric.rs
@@ -1,7 +1,8 @@
-//! The names of the flow mode's metrics, with their units. Labels are words of fixed sets, as in the rest of the daemon.
+//! Names, units and descriptions of the flow mode's metrics. Label values come from fixed sets, as in the rest of the
+//! daemon.
 //!
-//! Counters of packets are kept by the flow path, which would otherwise pay for each packet; they are brought here whenever
-//! somebody reads the metrics.
+//! The flow core keeps the packet counters itself to avoid a cost per packet; they are copied here when the metrics
+//! are read.
 
 use metrics::Counter;
 use metrics::Gauge;
--- a/crates/jayquayd/src/forward/packets.rs
+++ b/crates/jayquayd/src/forward/packets.rs
@@ -1,4 +1,4 @@
-//! The packets' socket: what comes in goes to the flow path, and its verdict is carried out.
+//! The packet socket: passes incoming packets to the flow core and carries out its verdicts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use super::metric;
 use super::shared::Shared;
 
-/// Carries packets until the process ends.
+/// Forwards packets until the process ends.
 pub(crate) async fn run(socket: Arc<UdpSocket>, client_port: u16, shared: Shared) -> io::Result<()> {
     let mut buffer = [0; packet::MAX_DATAGRAM_LEN];
     let mut carrier = Carrier {
@@ -29,8 +29,8 @@
         waits: Waits::new(),
     };
     let bursts = metric::burst_seconds();
-    // Until the document and the upstreams are known, packets wait in the socket's buffer. They would only be dropped
-    // here, and be sent again 200 milliseconds later.
+    // Until the document and the upstreams are known, packets stay in the socket's receive buffer. Dropped here, they
+    // would only be retransmitted 200 ms later.
     tokio::select! {
         () = shared.until_ready() => {}
         readable = socket.readable() => {
@@ -53,10 +53,10 @@
     }
 }
 
-/// Carries out what the flow path decides.
+/// Carries out the decisions of the flow core.
 struct Carrier<'a> {
     socket: &'a UdpSocket,
-    /// The port at which clients take packets.
+    /// The port on which clients receive packets.
     client_port: u16,
     shared: &'a Shared,
     log: DecisionLog,
@@ -64,14 +64,15 @@
 }
 
 impl Carrier<'_> {
-    /// Carries one packet. Tells whether there was one.
+    /// Processes one packet. Returns whether there was one.
     fn carry_one(&mut self, buffer: &mut [u8; packet::MAX_DATAGRAM_LEN]) -> bool {
         let len = match self.socket.try_recv(&mut buffer[packet::ADDRESSEE_LEN..]) {
             Ok(len) => len,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
             Err(error) => {
-                // An upstream's machine may have told that nothing listens there. The packet it was about is lost.
-                log::debug!("packets: {error}");
+                // The upstream's host may have reported by ICMP that nothing listens on the port. The packet it refers
+                // to is lost.
+                log::debug!("packets: receive failed: {error}");
                 return true;
             }
         };
@@ -95,7 +96,7 @@
         true
     }
 
-    /// Asks the flow path what becomes of a packet, and carries out what else came of it.
+    /// Asks the flow core for the verdict on a packet and carries out any other decisions that the packet led to.
     fn decide(&mut self, head: &Packet) -> Verdict {
         let now = self.shared.now();
         self.shared.note_packet(now);
@@ -104,7 +105,7 @@
         verdict
     }
 
-    /// Carries out what was decided beside the verdicts on packets.
+    /// Carries out the decisions other than the verdicts on packets.
     fn settle(&mut self) {
         let now = self.shared.now();
         let (resets, decisions, waits, basis) = {
@@ -121,23 +122,23 @@
         }
     }
 
-    /// Ends a flow towards its client.
+    /// Sends a reset to the client of a flow.
     fn send_reset(&self, reset: &Reset) {
         let bytes = packet::encode_reset(reset);
         let client = SocketAddr::new((*reset.client.ip()).into(), self.client_port);
         self.send(&bytes, client);
     }
 
-    /// Sends a datagram. One that the system does not take is lost like any other, and sent again by its end.
+    /// Sends a datagram. One that the kernel rejects counts as lost in the network; its sender retransmits it.
     fn send(&self, bytes: &[u8], to: SocketAddr) {
         if let Err(error) = self.socket.try_send_to(bytes, to) {
             metric::unsent().increment(1);
-            log::debug!("packets: not sent to {to}: {error}");
+            log::debug!("packets: cannot send to {to}: {error}");
         }
     }
 }
 
-/// What is in force.
+/// The document and the upstreams in force.
 fn basis(knowledge: &Knowledge) -> Basis {
     Basis {
         document: knowledge
--- a/crates/jayquayd/src/forward/pull.rs
+++ b/crates/jayquayd/src/forward/pull.rs
@@ -1,4 +1,4 @@
-//! Asks another instance for what it knows and this one does not.
+//! Fetches knowledge that other instances have and this one lacks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,31 +22,31 @@
 use super::relay;
 use super::shared::Shared;
 
-/// How long another instance may take to answer. It holds all it gives in memory, but thousands of upstreams take a third
-/// of a second on a link of 10 Mbit/s.
+/// Timeout of a request to another instance. It holds its whole response in memory, but thousands of upstreams take a
+/// third of a second on a link of 10 Mbit/s.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an instance waits for its own zone to tell what another zone has told already. Its own zone's watchers learn it
-/// from the store as soon, and bytes between zones cost more.
+/// Time to wait for the local zone to provide what another zone has announced. The local zone's watchers learn it from
+/// the store equally soon, and traffic between zones costs more.
 const FAR_PAUSE: Duration = Duration::from_millis(200);
-/// How much longer an instance that starts waits at most, for each other one of its zone that it knows: one after the other asks another
-/// zone, until those that have can tell the rest.
+/// Upper bound of the added delay of a starting instance, for each other instance that it knows in its zone: they ask
+/// another zone one after the other, until those that have asked can provide the rest.
 const FAR_SPACE: Duration = Duration::from_millis(10);
 
-/// An instance that knows something newer, or something else.
+/// An instance that announced newer or different knowledge.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Newer {
     pub(super) address: SocketAddr,
-    /// How much it knows.
+    /// Revision up to which it knows changes.
     pub(super) level: Revision,
-    /// Which parts that is made of.
+    /// Digest of the positions of its knowledge.
     pub(super) parts: Digest,
     /// Whether it is in another zone.
     pub(super) is_far: bool,
-    /// Whether nobody nearer has told the same for a while.
+    /// Whether the wait for the local zone to provide the same is over.
     pub(super) is_overdue: bool,
 }
 
-/// Asks one instance, and takes in what it tells.
+/// Fetches changes from one instance and applies them.
 async fn pull(transport: &Transport, newer: Newer, shared: &Shared) {
     let Newer {
         address: from, is_far, ..
@@ -56,7 +56,7 @@
     let response = match request.send().await {
         Ok(response) if response.status() == StatusCode::OK => response,
         Ok(response) => {
-            log::debug!("peers: {from} answers {}", response.status());
+            log::debug!("peers: unexpected status from={from}: {}", response.status());
             return;
         }
         Err(error) => {
@@ -67,7 +67,7 @@
     let encoding = response.headers().get(CONTENT_ENCODING);
     let is_compressed = encoding.is_some_and(|encoding| encoding == relay::COMPRESSED);
     let Ok(body) = transport::body(response, relay::MAX_CHANGE_LEN).await else {
-        log::debug!("peers: an answer broke off from={from}");
+        log::debug!("peers: incomplete response from={from}");
         return;
     };
     metric::change_bytes(if is_far { "other" } else { "own" }).increment(body.bytes.len() as u64);
@@ -78,7 +78,7 @@
     };
     let Some(change) = bytes.and_then(|bytes| relay::decode(&bytes)) else {
         metric::changes_malformed().increment(1);
-        log::warn!("peers: unreadable change from={from}");
+        log::warn!("peers: malformed change from={from}");
         return;
     };
     let now = shared.now();
@@ -102,23 +102,24 @@
     }
 }
 
-/// The places that this instance's knowledge stands at.
+/// The positions of this instance's knowledge.
 pub(super) fn held(shared: &Shared) -> Positions {
     shared.core().knowledge().positions()
 }
 
-/// Asks an instance of another zone a little later, if nobody nearer has told the same by then.
+/// Queues an instance of another zone again after a pause, in case the local zone has not provided the same by then.
 async fn ask_later(newer: Newer, pause: Duration, again: mpsc::Sender<Newer>) {
     tokio::time::sleep(pause).await;
     let newer = Newer {
         is_overdue: true,
         ..newer
     };
-    // The queue is gone only with the process.
+    // The channel closes only when the process ends.
     let _closed = again.send(newer).await;
 }
 
-/// How long an instance waits for its own zone to tell what another zone has told. While clients wait for it, it does not.
+/// Time to wait for the local zone to provide what another zone has announced. There is no wait while packets of
+/// clients are queued.
 fn far_pause(shared: &Shared) -> Option<Duration> {
     if shared.is_ready() {
         return Some(FAR_PAUSE);
@@ -133,14 +134,15 @@
     Some(longest.mul_f64(rand::rng().random()))
 }
 
-/// How much this instance knows, and which parts that is made of.
+/// Revision and digest of this instance's knowledge.
 pub(super) fn level(shared: &Shared) -> (Revision, Digest) {
     let core = shared.core();
     let knowledge = core.knowledge();
     (knowledge.level(), Digest::of(&digested(&knowledge.positions())))
 }
 
-/// What an instance of an earlier release knows, which tells no epochs, as it stands to what is known here.
+/// Converts the revision and digest announced by an instance of an earlier release, which lack epochs, to be
+/// comparable with the knowledge here.
 pub(super) fn level_without_epochs(shared: &Shared, (level, parts): (Revision, Digest)) -> (Revision, Digest) {
     let core = shared.core();
     let knowledge = core.knowledge();
@@ -150,8 +152,8 @@
     (knowledge.level_without_epochs(level), parts)
 }
 
-/// What the digest of an instance's knowledge is made of. In the first epoch that is the parts' revisions: the document's number adds
-/// nothing to its place there.
+/// Input of the digest of an instance's knowledge. In epoch 0 it consists of the revisions of the parts: there, the
+/// operators' revision of the document adds nothing to its position.
 fn digested(held: &Positions) -> Vec<u8> {
     let Positions {
         document,
@@ -169,12 +171,12 @@
     bytes
 }
 
-/// Asks others for their knowledge, one after the other, and only while they still know more.
+/// Fetches knowledge from other instances one after another, skipping those that no longer know more.
 pub(super) async fn ask(mut wanted: mpsc::Receiver<Newer>, again: mpsc::Sender<Newer>, shared: Shared) {
     let transport = Transport::without_reuse(TIMEOUT);
     let mut put_off = None;
     while let Some(newer) = wanted.recv().await {
-        // Several instances tell of the same news, and the first one asked has it.
+        // Several instances announce the same change, and the first request fetches it.
         let (level, parts) = level(&shared);
         if level > newer.level || (level, parts) == (newer.level, newer.parts) {
             continue;
--- a/crates/jayquayd/src/forward/relay.rs
+++ b/crates/jayquayd/src/forward/relay.rs
@@ -1,4 +1,5 @@
-//! What instances ask one another for news with, and what they give: the document and the upstreams that changed, in CBOR.
+//! The request and response by which instances fetch knowledge from one another: the document and the upstreams that
+//! changed, in CBOR.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,19 +14,19 @@
 
 use super::compression;
 
-/// The path that other instances ask, with GET.
+/// Path of the endpoint for other instances, with GET.
 pub(crate) const PATH: &str = "/v1/changes";
 
-/// The longest change that is read from another instance, in bytes.
+/// Maximum length of a change accepted from another instance, in bytes.
 pub(crate) const MAX_CHANGE_LEN: usize = 8 * 1_024 * 1_024;
 
-/// The value of the header of an answer that is compressed. One that is not has no such header.
+/// Value of the `Content-Encoding` header of a compressed response. Uncompressed responses have no such header.
 pub(crate) const COMPRESSED: &str = "deflate";
-/// From how many bytes on a change is compressed for those who can read it so. A list of thousands of upstreams shrinks to a third or
-/// less, and a single change is not worth the time.
+/// Minimum length of a change to compress, in bytes, if the requester supports compression. A list of thousands of
+/// upstreams shrinks to a third or less, while a single change is not worth the time.
 const COMPRESSED_FROM: usize = 16 * 1_024;
 
-/// A change as it is sent.
+/// An encoded change.
 #[derive(Debug, Clone)]
 pub(crate) struct Encoded {
     pub(crate) bytes: Arc<[u8]>,
@@ -33,7 +34,7 @@
 }
 
 impl Encoded {
-    /// A change for an asker that reads compressed ones, or not.
+    /// Encodes a change, compressed if the requester supports it and it is long enough.
     pub(crate) fn new(change: &Change, reads_compressed: bool) -> Self {
         let bytes = encode(change);
         if !reads_compressed || bytes.len() < COMPRESSED_FROM {
@@ -49,16 +50,17 @@
     }
 }
 
-/// A change with a digest over it, so that one that was damaged on its way is not taken in.
+/// Encodes a change with a digest in front, so that a corrupted one is rejected.
 pub(crate) fn encode(change: &Change) -> Vec<u8> {
     let mut bytes = vec![0; blake3::OUT_LEN];
-    ciborium::into_writer(change, &mut bytes).expect("a vector takes every write, and a change has a CBOR form");
+    ciborium::into_writer(change, &mut bytes)
+        .expect("writing to a vector cannot fail, and a change is serializable as CBOR");
     let digest = blake3::hash(&bytes[blake3::OUT_LEN..]);
     bytes[..blake3::OUT_LEN].copy_from_slice(digest.as_bytes());
     bytes
 }
 
-/// Reads a change. `None` if it is damaged or malformed.
+/// Decodes a change. `None` if it is corrupted or malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Change> {
     let (digest, item) = bytes.split_first_chunk::<{ blake3::OUT_LEN }>()?;
     if blake3::hash(item) != *digest {
@@ -67,7 +69,7 @@
     ciborium::from_reader(item).ok()
 }
 
-/// What an instance holds, as it stands in a question: revisions, and their epochs besides.
+/// What the requester holds, as URL query parameters: revisions and, from newer releases, their epochs.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub(crate) struct Query {
     document_at: Revision,
@@ -78,12 +80,12 @@
     document_epoch: Option<Epoch>,
     upstreams_epoch: Option<Epoch>,
     evacuations_epoch: Option<Epoch>,
-    /// Whether the asker reads compressed answers. Those of an earlier release don't say.
+    /// Whether the requester supports compressed responses. Earlier releases don't send this field.
     #[serde(default)]
     pub(crate) reads_compressed: bool,
 }
 
-/// What an instance is given that asks another one. One of an earlier release, which tells no epochs, gets none.
+/// The change to send to a requester. One of an earlier release sends no epochs and gets none back.
 pub(crate) fn answer(knowledge: &Knowledge, query: Query) -> Change {
     let held = Positions::from(query);
     if query.document_epoch.is_some() {
--- a/crates/jayquayd/src/forward/reload.rs
+++ b/crates/jayquayd/src/forward/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the process runs, with a signal or without.
+//! Reloads the settings while the process runs, on a signal and periodically.
 
 use std::fs;
 use std::path::Path;
@@ -11,10 +11,10 @@
 use super::settings;
 use super::settings::Settings;
 
-/// How often the file is looked at without a signal. A look costs three system calls.
+/// Interval at which the file is read without a signal. This costs three system calls.
 const LOOK: Duration = Duration::from_secs(2);
 
-/// Reads the settings again on each signal and every other second, and puts what is valid in force.
+/// Reads the settings again on each signal and every two seconds, and applies them if valid.
 pub(crate) async fn run(path: PathBuf, mut signal: Signal, settings: watch::Sender<Settings>) {
     let mut last = read(&path);
     loop {
@@ -32,30 +32,30 @@
     }
 }
 
-/// The file's text. One that can't be read leaves the settings as they are.
+/// Reads the file. If that fails, the settings stay as they are.
 fn read(path: &Path) -> Option<String> {
     fs::read_to_string(path)
-        .inspect_err(|error| log::warn!("settings: {}: {error}", path.display()))
+        .inspect_err(|error| log::warn!("settings: cannot read {}: {error}", path.display()))
         .ok()
 }
 
 fn take(text: &str, has_changed: bool, settings: &watch::Sender<Settings>) {
     if !has_changed {
-        log::info!("settings: read again, unchanged");
+        log::info!("settings: reloaded, unchanged");
         return;
     }
     let new = match settings::parse(text) {
         Ok(new) => new,
         Err(error) => {
-            log::error!("settings: not taken, the old ones stay in force: {error}");
+            log::error!("settings: rejected, the previous ones stay in force: {error}");
             return;
         }
     };
     let is_bound = |held: &Settings| (held.name.clone(), held.zone.clone(), held.listen);
     let needs_restart = is_bound(&settings.borrow()) != is_bound(&new);
     if needs_restart {
-        log::warn!("settings: name, zone and addresses change with the next start");
+        log::warn!("settings: changes of name, zone and addresses take effect after a restart");
     }
-    log::info!("settings: taken anew, store {}, {} seeds", new.store, new.seeds.len());
+    log::info!("settings: reloaded, store {}, {} seeds", new.store, new.seeds.len());
     settings.send_replace(new);
 }
--- a/crates/jayquayd/src/forward/rhythm.rs
+++ b/crates/jayquayd/src/forward/rhythm.rs
@@ -1,9 +1,9 @@
-//! When an instance's watches are due to be answered, so that one that no longer hears anything is found out soon.
+//! Schedules the timeouts of an instance's watches so that one that no longer receives anything is detected soon.
 //!
-//! A connection may be up for the system and yet bring nothing more. That shows only when an answer is overdue. All
-//! watches go to the same store by the same way, so each one's answer vouches for the others: those of the document and of the
-//! upstreams are due by turns, and when one is overdue, the others are asked anew as well. A watch that hears of nothing, though others have learnt of a change,
-//! is asked anew at once.
+//! A connection may look established to the system and yet deliver nothing. That shows only when an answer is overdue.
+//! All watches reach the same store over the same path, so an answer to one shows that the others work: the timeouts
+//! of the document's and the upstreams' watch alternate, and when one is overdue, the other watches are restarted as
+//! well. A watch that reports nothing although other instances have learnt of a change is restarted at once.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -20,27 +20,27 @@
 
 use super::role::Role;
 
-/// How long each watch waits for a change on average. Each call costs the same however long it waits, and the store takes
-/// waits of up to 30 s, which is half as long again. That all watchers hear nothing is found out by the checks of each second.
+/// Average timeout of each watch. A call costs the same however long it waits, and the store accepts timeouts of up to
+/// 30 s, which is half as long again. If all watchers receive nothing, the once-per-second checks find out.
 const PERIOD: Duration = Duration::from_secs(20);
-/// How long a watch may tell nothing of what others have learnt: changes are gathered for a second and a half at most, and its
-/// answer is on its way.
+/// How long a watch may lack what other instances have learnt: changes are batched for 1.5 s at most, and the answer
+/// takes time to arrive.
 const OVERTAKEN: Duration = Duration::from_secs(2);
-/// How long a zone's second watcher waits for a change, and whoever watches what changes a few times a year.
+/// Timeout of the watches of a zone's second watcher, and of watches of objects that change a few times a year.
 const SECOND_WAIT: Duration = Duration::from_secs(20);
-/// The shortest wait. It comes while the watches find their turns, and first after a failure: a store that has just come back
-/// may take watches and tell them nothing until it has put itself in order, and changes are in force three seconds after
-/// they were written.
+/// Minimum timeout. It is used while the watches find their alternation, and for the first watch after a failure: a
+/// store that has just recovered may accept watches and report nothing until it is consistent again, and changes must
+/// take effect within 3 s of being written.
 const SHORTEST: Duration = Duration::from_millis(1_500);
 
-/// What is watched.
+/// Kind of object that is watched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// The document.
     Document,
     /// The upstreams.
     Upstreams,
-    /// The zones that operators ask to be emptied.
+    /// The zones that operators want evacuated.
     Evacuations,
 }
 
@@ -57,7 +57,8 @@
 impl Kind {
     const ALL: [Self; 3] = [Self::Document, Self::Upstreams, Self::Evacuations];
 
-    /// The one that takes turns with this one. Zones are emptied a few times a year, so their watch has no turn of its own.
+    /// The kind whose watch alternates with this one's. Zones are evacuated a few times a year, so their watch is not
+    /// part of the alternation.
     fn partner(self) -> Option<Self> {
         match self {
             Self::Document => Some(Self::Upstreams),
@@ -75,7 +76,7 @@
     }
 }
 
-/// When the watches are due.
+/// The deadlines of the watches.
 #[derive(Debug, Default)]
 pub struct Rhythm {
     due: Mutex<[Option<Instant>; Kind::ALL.len()]>,
@@ -88,7 +89,7 @@
         self.due.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long the next watch of this kind waits. It begins now.
+    /// Timeout of the next watch of this kind, which starts now.
     pub fn wait(&self, kind: Kind, role: Role, now: Instant) -> Duration {
         let wait = if self.has_failed[kind.index()].swap(false, Ordering::Relaxed) {
             SHORTEST
@@ -102,7 +103,7 @@
         wait
     }
 
-    /// Instances of different zones should be due at different times, so the first turn is drawn.
+    /// Instances of different zones should time out at different moments, so the first timeout is random.
     fn by_turns(&self, partner: Kind, now: Instant) -> Duration {
         let other = self.due()[partner.index()].filter(|other| *other > now);
         match other {
@@ -111,12 +112,12 @@
         }
     }
 
-    /// A watch of this kind has failed.
+    /// Records that a watch of this kind has failed.
     pub fn note_failure(&self, kind: Kind) {
         self.has_failed[kind.index()].store(true, Ordering::Relaxed);
     }
 
-    /// A watch of this kind was not answered, or its history is gone: whether the others hear anything is in doubt.
+    /// Puts the other watches in doubt, since one of this kind was not answered or its history is gone.
     pub fn doubt_others(&self, kind: Kind) {
         for other in Kind::ALL {
             if other != kind {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Waits until others have told of changes for so long that a watch since this place should have told of them as well.
-    /// `held_at` gives what is held now.
+    /// Waits until other instances have provided changes for so long that a watch since this position should have
+    /// reported them as well. `held_at` returns the position currently held.
     pub async fn overtaken(&self, since: Position, held_at: impl Fn() -> Position) {
         let mut overtaken_at = None;
         loop {
@@ -147,9 +148,10 @@
     }
 }
 
-/// How long a watch waits so that it is due half a period before or after a turn of the other one, which is due in `other`.
+/// Timeout of a watch such that it ends half a period before or after a timeout of the other one, which is due in
+/// `other`.
 fn by_turns(other: Duration) -> Duration {
-    // The other one may still wait for as long as a second watcher does.
+    // The other one may still have the longer timeout of a second watcher.
     let mut other = other;
     while other >= PERIOD + PERIOD / 2 {
         other -= PERIOD;
--- a/crates/jayquayd/src/forward/role.rs
+++ b/crates/jayquayd/src/forward/role.rs
@@ -1,30 +1,30 @@
-//! Which part an instance has in watching the store.
+//! The role of an instance in watching the store.
 
 use std::time::Duration;
 
 use super::shared::Shared;
 
-/// From how many availability zones on each has one watcher. What it misses while it fails, the others' watchers tell its
-/// zone a fifth of a second later, and each watcher's calls are paid for.
+/// Number of availability zones from which one watcher per zone is enough. What a failed watcher misses, its zone
+/// learns from the watchers of other zones a fifth of a second later, and the calls of each watcher cost money.
 const ENOUGH_ZONES: usize = 3;
-/// How long changes are gathered before the next call asks for more, so that a series of them costs few calls. A change is to be in
-/// force within three seconds at least.
+/// Time for which changes are batched before the next call, so that a series of changes costs few calls. The tightest
+/// bound for a change to take effect is 3 s.
 const GATHER: Duration = Duration::from_secs(1);
-/// How long a zone's second watcher gathers changes. It is there for the moment in which the first one fails, and what
-/// it learns late is still in force within the bounds for a change, the shortest of which are three seconds.
+/// Batching time of a zone's second watcher. It covers the moment in which the first one fails, and changes that it
+/// learns late still take effect within the bounds, the shortest of which are 3 s.
 const GATHER_SECOND: Duration = Duration::from_millis(1_500);
 
-/// This instance's part in watching the store.
+/// The role of this instance in watching the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It is its zone's first watcher, or it holds too little to serve.
+    /// First watcher of its zone, or not ready yet.
     First,
-    /// It is its zone's second watcher.
+    /// Second watcher of its zone.
     Second,
 }
 
 impl Role {
-    /// `None` while others watch for this instance.
+    /// `None` while other instances watch on behalf of this one.
     pub(crate) fn of(shared: &Shared) -> Option<Self> {
         if !shared.core().knowledge().is_ready() {
             return Some(Self::First);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// How long changes are gathered before the next call asks for more.
+    /// Time for which changes are batched before the next call.
     pub(crate) fn gather(self) -> Duration {
         match self {
             Self::First => GATHER,
--- a/crates/jayquayd/src/forward/run.rs
+++ b/crates/jayquayd/src/forward/run.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of the flow mode together and runs them.
+//! Starts and supervises the tasks of the flow mode.
 
 use std::fmt;
 use std::io;
@@ -31,22 +31,22 @@
 use super::store;
 use crate::clock::Clock;
 
-/// How often flows that are silent are forgotten.
+/// Interval at which idle flows are expired.
 const TICK: Duration = Duration::from_secs(1);
 
-/// Why a process in flow mode could not run.
+/// Error that prevents a process in flow mode from running.
 #[derive(Debug)]
 pub enum RunError {
-    /// An address could not be listened at.
+    /// The process could not listen on an address.
     Listen(SocketAddr, io::Error),
-    /// Signals could not be caught, or a socket failed.
+    /// A signal handler could not be installed, or a socket failed.
     Io(io::Error),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listen(address, error) => write!(f, "cannot listen at {address}: {error}"),
+            Self::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
             Self::Io(error) => error.fmt(f),
         }
     }
@@ -60,7 +60,8 @@
     }
 }
 
-/// Runs until SIGTERM or SIGINT, and then until this instance is no longer used.
+/// Runs until SIGTERM or SIGINT, then keeps forwarding until traffic has moved away from this instance or the grace
+/// period ends.
 pub async fn run(settings: &Settings, path: &Path, metrics: PrometheusHandle) -> Result<(), RunError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/jayquayd/src/forward/settings.rs
+++ b/crates/jayquayd/src/forward/settings.rs
@@ -10,25 +10,25 @@
 use units::NameError;
 use units::ZoneName;
 
-/// The settings as they stand in the file. Unknown fields are ignored, since a platform may add its own.
+/// The settings as deserialized from the file. Unknown fields are ignored, since a platform may add its own.
 #[derive(Debug, Clone, Deserialize)]
 struct RawSettings {
     name: String,
     zone: String,
     listen: RawListen,
     store: SocketAddr,
-    /// Any address of an instance to ask at the start; its port does not matter.
+    /// Addresses of instances to contact at startup. The ports are ignored.
     #[serde(default)]
     seeds: Vec<SocketAddr>,
-    /// How long the process may go on after it was told to stop, in seconds.
+    /// Maximum duration of a graceful shutdown, in seconds.
     grace_s: f64,
-    /// The longest that a flow lives, in seconds.
+    /// Maximum lifetime of a flow, in seconds.
     max_flow_s: f64,
     #[serde(default = "evacuations")]
     evacuations: bool,
 }
 
-/// Operators may empty availability zones unless the settings say otherwise.
+/// Operators may evacuate availability zones unless the settings say otherwise.
 fn evacuations() -> bool {
     true
 }
@@ -38,62 +38,62 @@
     packets: SocketAddr,
     ready: SocketAddr,
     peers: SocketAddr,
-    /// Where others reach `peers`, if that is another address.
+    /// The address at which other instances reach `peers`, if it differs.
     advertised: Option<SocketAddr>,
 }
 
-/// Where an instance listens.
+/// The listen addresses of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listen {
-    /// For packets, over UDP. Its port is also the one at which clients take packets.
+    /// Packets, over UDP. The clients receive packets on the same port number.
     pub packets: SocketAddr,
-    /// For the question whether it is ready, over HTTP.
+    /// Readiness checks, over HTTP.
     pub ready: SocketAddr,
-    /// For other instances, over UDP and HTTP, and for metrics.
+    /// Other instances, over UDP and HTTP, and metrics.
     pub peers: SocketAddr,
-    /// Where others reach that one. It differs from it behind a port mapping or a proxy.
+    /// The address at which other instances reach `peers`. It differs from `peers` behind a port mapping or a proxy.
     pub advertised: SocketAddr,
 }
 
-/// The checked settings of a process in flow mode.
+/// The validated settings of a process in flow mode.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The instance's name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// Where the platform's store is.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Instances to ask at the start.
+    /// Hosts of the instances to contact at startup.
     pub seeds: Vec<IpAddr>,
-    /// How long the process may go on after it was told to stop.
+    /// Maximum duration of a graceful shutdown.
     pub grace: Duration,
-    /// The longest that a flow lives.
+    /// Maximum lifetime of a flow.
     pub max_flow: Duration,
-    /// Whether the platform's operators empty availability zones. Where they don't, the store is not asked for it, which saves a
-    /// waiting call in each zone.
+    /// Whether operators of this platform evacuate availability zones. If not, the store is not asked for evacuations,
+    /// which saves one long-polling call per zone.
     pub evacuations: bool,
 }
 
 impl Settings {
-    /// Whether others are told to ask this instance at their start.
+    /// Whether this instance is one of the configured seeds.
     pub fn is_seed(&self) -> bool {
         self.seeds.contains(&self.listen.advertised.ip())
     }
 }
 
-/// Why settings are not usable.
+/// Error in the settings.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// The text is not YAML of the expected shape.
+    /// The text is not YAML with the expected fields.
     Shape(String),
-    /// The instance's name is no name.
+    /// The instance name is invalid.
     Name(NameError),
-    /// The availability zone's name is no name.
+    /// The name of the availability zone is invalid.
     Zone(NameError),
-    /// A span is negative or too long.
+    /// A duration is negative or too long.
     Span(&'static str, f64),
 }
 
@@ -103,7 +103,7 @@
             Self::Shape(error) => f.write_str(error),
             Self::Name(error) => write!(f, "name: {error}"),
             Self::Zone(error) => write!(f, "zone: {error}"),
-            Self::Span(field, value) => write!(f, "{field}: {value} is no span in seconds"),
+            Self::Span(field, value) => write!(f, "{field}: {value} is not a valid duration in seconds"),
         }
     }
 }
@@ -136,7 +136,7 @@
     Duration::try_from_secs_f64(seconds).map_err(|_error| SettingsError::Span(field, seconds))
 }
 
-/// Reads and checks settings in YAML.
+/// Parses and validates settings in YAML.
 pub fn parse(text: &str) -> Result<Settings, SettingsError> {
     let raw: RawSettings = serde_saphyr::from_str(text).map_err(|error| SettingsError::Shape(error.to_string()))?;
     Settings::try_from(raw)
--- a/crates/jayquayd/src/forward/shared.rs
+++ b/crates/jayquayd/src/forward/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a process share: the flow path, the members, and whether it stops.
+//! State shared by the tasks of a process: the flow core, the membership, and whether the process is stopping.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,13 +20,13 @@
 /// A document in the store that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Unreadable {
-    /// The place in the store's history at which it was seen.
+    /// Position in the store's history at which the document was seen.
     pub(crate) at: Position,
-    /// Why it can't be read.
+    /// The reason why it can't be read.
     pub(crate) why: String,
 }
 
-/// What the parts of a process share. All of them run on one thread, so that locks are never waited for.
+/// State shared by the tasks of a process. All tasks run on one thread, so the locks are never contended.
 #[derive(Debug, Clone)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
@@ -37,14 +37,14 @@
 struct Inner {
     core: Mutex<Core>,
     members: Mutex<Membership>,
-    /// Knowledge has grown, or the members have changed.
+    /// Signals the gossip task that the knowledge or the members have changed.
     news: Notify,
-    /// The same, for those who wait for something in particular.
+    /// Signals tasks that wait for a condition on the knowledge.
     learnt: Notify,
-    /// A packet has come before this instance could serve.
+    /// Signals that a packet arrived before this instance was ready.
     awaited: Notify,
     is_awaited: AtomicBool,
-    /// What was told may have led to decisions that no packet carries out.
+    /// Signals that received knowledge may have led to decisions that no incoming packet will trigger.
     decided: Notify,
     is_stopping: AtomicBool,
     /// A document in the store that can't be read.
@@ -85,7 +85,7 @@
         self.inner.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in what the store or another instance told, and lets others know if it is new.
+    /// Applies knowledge from the store or another instance and notifies the waiting tasks if it is new.
     pub(crate) fn learn(&self, change: impl FnOnce(&mut Knowledge) -> bool) -> bool {
         let now = self.now();
         let has_grown = self.core().learn(now, change);
@@ -98,38 +98,38 @@
         has_grown
     }
 
-    /// A packet has come, and waits until this instance can serve.
+    /// Records that a packet is waiting for this instance to become ready.
     pub(crate) fn note_awaited(&self) {
         self.inner.is_awaited.store(true, Ordering::Relaxed);
         self.inner.awaited.notify_one();
     }
 
-    /// Whether one has.
+    /// Whether a packet arrived before this instance was ready.
     pub(crate) fn is_awaited(&self) -> bool {
         self.inner.is_awaited.load(Ordering::Relaxed)
     }
 
-    /// Waits until one has.
+    /// Waits until a packet arrives before this instance is ready.
     pub(crate) async fn awaited(&self) {
         self.inner.awaited.notified().await;
     }
 
-    /// When knowledge has grown last.
+    /// The time at which the knowledge last changed.
     pub(crate) fn grown_at(&self) -> Time {
         Time(self.inner.grown_at.load(Ordering::Relaxed))
     }
 
-    /// Waits until knowledge has grown.
+    /// Waits until the knowledge changes.
     pub(crate) async fn grown(&self) {
         self.inner.news.notified().await;
     }
 
-    /// What was told may have led to resets and lines for the log.
+    /// Signals that received knowledge may have led to resets and decisions to log.
     pub(crate) fn note_decisions(&self) {
         self.inner.decided.notify_one();
     }
 
-    /// Waits until decisions are to be carried out that no packet has led to.
+    /// Waits until there may be decisions to carry out that no packet triggered.
     pub(crate) async fn decided(&self) {
         self.inner.decided.notified().await;
     }
@@ -139,7 +139,7 @@
         self.until(Knowledge::is_ready).await;
     }
 
-    /// Waits until something holds of what is known.
+    /// Waits until the knowledge satisfies a condition.
     pub(crate) async fn until(&self, holds: impl Fn(&Knowledge) -> bool) {
         loop {
             let told = self.inner.learnt.notified();
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether flows may be led here.
+    /// Whether routers may send flows to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.core().knowledge().is_ready()
     }
@@ -170,12 +170,12 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The document that this instance last saw in the store, if it can't be read, so that an earlier one stays in force.
+    /// The document last seen in the store, if it can't be parsed, in which case an earlier one stays in force.
     pub(crate) fn unreadable_document(&self) -> Option<Unreadable> {
         self.unreadable().clone()
     }
 
-    /// Notes a document that can't be read, or that the last one that was seen can be. Tells whether that is news.
+    /// Records that the document last seen can't be parsed, or with `None` that it can. Returns whether this changed.
     pub(crate) fn note_document(&self, unreadable: Option<Unreadable>) -> bool {
         let mut held = self.unreadable();
         let is_news = *held != unreadable;
@@ -183,7 +183,7 @@
         is_news
     }
 
-    /// What flows can't be led here for, in words for an operator; `None` if they can.
+    /// The reason, in words for operators, why routers can't send flows to this instance; `None` if they can.
     pub(crate) fn why_not_ready(&self) -> Option<String> {
         if self.is_stopping() {
             return Some("stopping".to_owned());
@@ -194,10 +194,10 @@
             return None;
         }
         if knowledge.document().is_some() {
-            return Some("starting: the upstreams, or the zones to be emptied, are not known yet".to_owned());
+            return Some("starting: the upstreams or the evacuated zones are not known yet".to_owned());
         }
         let why = match self.unreadable_document() {
-            Some(Unreadable { at, why }) => format!("no document: the store's of {at} can't be read: {why}"),
+            Some(Unreadable { at, why }) => format!("no document: the one in the store at {at} can't be parsed: {why}"),
             None => "starting: no document yet".to_owned(),
         };
         Some(why)
@@ -207,7 +207,7 @@
         self.inner.last_packet.store(now.0, Ordering::Relaxed);
     }
 
-    /// When the last packet came.
+    /// The time at which the last packet arrived.
     pub(crate) fn last_packet(&self) -> Time {
         Time(self.inner.last_packet.load(Ordering::Relaxed))
     }
--- a/crates/jayquayd/src/forward/silence.rs
+++ b/crates/jayquayd/src/forward/silence.rs
@@ -1,4 +1,4 @@
-//! Upstreams that flows wait for in vain: who is told, and who is asked.
+//! Destinations of the reports and inquiries about upstreams that flows wait for without an answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use super::shared::Shared;
 use super::summing;
 
-/// The reports that are due, by the instances that sum up for their upstreams. This instance needs none from itself.
+/// The reports that are due, by the address of their aggregators. This instance needs none from itself.
 pub(crate) fn due(shared: &Shared) -> BTreeMap<SocketAddr, Vec<Report>> {
     let mut out: BTreeMap<SocketAddr, Vec<Report>> = BTreeMap::new();
     let mut core = shared.core();
@@ -26,7 +26,8 @@
     out
 }
 
-/// What other instances are to be asked about, by instance: upstreams that this one sums up for and that enough flows wait for.
+/// The inquiries that are due, by instance: about upstreams of which this instance is an aggregator and that enough
+/// flows wait for.
 pub(crate) fn questions(shared: &Shared) -> BTreeMap<SocketAddr, Vec<UpstreamId>> {
     let mut out: BTreeMap<SocketAddr, Vec<UpstreamId>> = BTreeMap::new();
     let now = shared.now();
--- a/crates/jayquayd/src/forward/status.rs
+++ b/crates/jayquayd/src/forward/status.rs
@@ -1,4 +1,4 @@
-//! What an instance tells operators of itself: what it holds and whom it knows.
+//! Status of an instance for operators: what it holds and which members it knows.
 
 use std::collections::BTreeMap;
 
@@ -17,53 +17,54 @@
 use super::role::Role;
 use super::shared::Shared;
 
-/// The path of an instance's status, as JSON.
+/// Path of the status, as JSON.
 pub const PATH: &str = "/status";
-/// The path of the document that an instance holds, as JSON. Without one, the answer is 404.
+/// Path of the document in force, as JSON. Without a document, the response is 404.
 pub const DOCUMENT_PATH: &str = "/document";
 
 /// An instance's status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its life.
+    /// Incarnation of the instance, which differs after each restart.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Whether flows may be led to it.
+    /// Whether routers may send flows to it.
     pub is_ready: bool,
-    /// Whether it is on a planned stop.
+    /// Whether it is shutting down gracefully.
     pub is_stopping: bool,
     /// Whether it watches the store for its zone.
     pub watches: bool,
     /// The operators' revision of the document in force, if it holds one.
     pub document: Option<Revision>,
-    /// A digest of it, in hexadecimal.
+    /// Digest of that document, in hexadecimal.
     pub document_digest: Option<String>,
-    /// The place in the store's history at which it has seen a document that can't be read, so that the one above stays in force.
+    /// Position in the store's history of a document that can't be parsed, because of which the one above stays in
+    /// force.
     #[serde(default)]
     pub unreadable_document: Option<Position>,
-    /// Why it can't.
+    /// The reason why it can't be parsed.
     #[serde(default)]
     pub why_unreadable: Option<String>,
-    /// What of the document in force can't be read, and what holds in its place.
+    /// Values of the document in force that can't be parsed, and what applies in their place.
     #[serde(default)]
     pub warnings: Vec<Warning>,
-    /// The place in the store's history up to which it knows changes of upstreams.
+    /// Position in the store's history up to which it knows changes of upstreams.
     pub upstreams_at: Position,
-    /// How many upstreams each service has that may get flows.
+    /// Number of upstreams that may receive flows, by service.
     pub upstreams: BTreeMap<String, usize>,
-    /// Upstreams that get no new flows from it, or single ones on trial, as tries at them end badly.
+    /// Upstreams that receive no new flows from it, or only single trial flows, because of failed tries.
     #[serde(default)]
     pub ejected: Vec<UpstreamId>,
-    /// The availability zones that operators have asked to be emptied, as far as it knows, each with the flows that it has seen
-    /// and that are still open there.
+    /// The availability zones that it knows operators want evacuated, each with the number of flows seen here that are
+    /// still open there.
     #[serde(default)]
     pub evacuated: BTreeMap<ZoneName, u32>,
-    /// How many flows it remembers.
+    /// Number of flows that it tracks.
     pub flows: usize,
-    /// The instances that it knows, itself first.
+    /// The members that it knows, itself first.
     pub members: Vec<Member>,
 }
 
@@ -106,7 +107,7 @@
     }
 }
 
-/// The document that this process holds.
+/// The document in force.
 pub(crate) fn document(shared: &Shared) -> Option<Document> {
     let core = shared.core();
     let (_, document) = core.knowledge().document()?;
--- a/crates/jayquayd/src/forward/stop.rs
+++ b/crates/jayquayd/src/forward/stop.rs
@@ -1,18 +1,18 @@
-//! A planned stop: not ready at once, forwarding until the routers have left, then the end.
+//! Graceful shutdown: reports not ready at once, forwards until the routers have switched away, then ends the process.
 
 use std::time::Duration;
 
 use super::shared::Shared;
 
-/// How long no packet must have come before the routers count as gone. They are told by two missed answers, half a
-/// second apart, and clients repeat what is lost after 200 milliseconds.
+/// Time without packets after which the routers count as switched away. They notice by two failed readiness checks,
+/// half a second apart, and clients retransmit lost packets after 200 ms.
 const SILENCE: Duration = Duration::from_millis(1_500);
-/// How long before its time is up the process ends, so that it is never killed.
+/// Time reserved before the end of the grace period, so that the process is never killed.
 const MARGIN: Duration = Duration::from_millis(700);
-/// How often the silence is looked at.
+/// Interval at which the time since the last packet is checked.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Waits until this instance is no longer used, or its time is nearly up.
+/// Waits until the routers send no more packets, or the grace period is nearly over.
 pub(crate) async fn wait(shared: &Shared, grace: Duration) {
     let begin = shared.now();
     let longest = grace.saturating_sub(MARGIN);
--- a/crates/jayquayd/src/forward/store.rs
+++ b/crates/jayquayd/src/forward/store.rs
@@ -1,4 +1,5 @@
-//! The store's watches. Only the watchers of an availability zone keep them; the others learn from these.
+//! Watches on the store. Only the watchers of an availability zone keep them; the other instances learn changes from
+//! the watchers.
 
 pub(super) mod evacuations;
 mod link;
@@ -27,23 +28,26 @@
 use super::shared::Unreadable;
 use link::Link;
 
-/// How many pages of the list every instance reads at its start. Where there are more, only the seeds go on at once: of a
-/// fleet that starts together, all but a few would be refused for reading more than the store gives.
+/// Number of pages of the upstream list that every instance reads at startup. Only seeds read longer lists to the end
+/// at once: in a fleet that starts simultaneously, the store would reject all but a few instances for exceeding its
+/// read limit.
 const PAGES_AT_ONCE: u32 = 4;
-/// How long the others wait to be told, before they read on themselves.
+/// Time for which the others wait to learn the list from other instances before they read on.
 const OTHERS_PATIENCE: Duration = Duration::from_secs(2);
-/// How long a starting instance that no packet waits for leaves it to others to tell, drawn between these: so of a fleet that starts
-/// at once the first ones have told the rest before these read as well. Routers look every half second whether it can serve.
+/// Time for which a starting seed with no packets waiting lets other instances provide the knowledge, drawn from this
+/// range: in a fleet that starts simultaneously, the first readers have then informed the rest before these read as
+/// well. Routers check readiness every half second.
 const SEEDS_PATIENCE: Range<Duration> = Duration::from_millis(200)..Duration::from_millis(1_500);
-/// The same for those that are not seeds. All ask the seeds first, who read a long list and tell it within this time.
+/// The same for instances that are not seeds. They contact the seeds first, which read a long list and pass it on
+/// within this time.
 const PATIENCE: Range<Duration> = Duration::from_secs(2)..Duration::from_secs(4);
-/// How often an instance that does not watch looks whether it should.
+/// Interval at which an instance that is not a watcher checks whether it should become one.
 const IDLE: Duration = Duration::from_millis(200);
 
-/// Gives others time to tell all there is to know, as long as nobody waits for this instance.
+/// Gives other instances time to provide all knowledge, as long as no packets are waiting for this instance.
 ///
-/// A fleet that starts at once, or is restarted instance by instance, so learns from a few that read the store. Where the routers still
-/// lead packets to it, as when its process was killed, it reads at once.
+/// This way, only a few instances of a fleet that starts simultaneously, or is restarted one by one, read the store.
+/// If the routers still send packets to this instance, as after its process was killed, it reads at once.
 async fn hear_first(shared: &Shared, is_seed: bool) {
     let patience = if is_seed { SEEDS_PATIENCE } else { PATIENCE };
     let patience = rand::rng().random_range(patience);
@@ -54,7 +58,7 @@
     }
 }
 
-/// Keeps what is known of the platform up to date, wherever the settings say the store is.
+/// Keeps the knowledge of the platform up to date, and switches to another store when the settings change.
 pub(crate) async fn run(mut settings: watch::Receiver<Settings>, shared: Shared) {
     let is_seed = settings.borrow().is_seed();
     hear_first(&shared, is_seed).await;
@@ -74,7 +78,7 @@
                 return;
             },
         }
-        log::info!("store: moved from={address}");
+        log::info!("store: watches restarted after a change of settings from={address}");
     }
 }
 
@@ -121,7 +125,7 @@
     }
 }
 
-/// Takes in what a read or a watch of the document brought. Tells whether there was one.
+/// Applies the result of a read or a watch of the document. Returns whether it held a document.
 pub(super) fn apply_document(shared: &Shared, documents: Documents) -> bool {
     let is_unreadable = documents.is_unreadable;
     if is_unreadable || documents.newest.is_some() {
@@ -140,17 +144,17 @@
         log::info!("store: document in force revision={revision} at={at}");
     }
     if let Some(held) = held.filter(|held| *held > revision) {
-        log::warn!("store: document passed over revision={revision} at={at}, held revision={held}");
+        log::warn!("store: outdated document ignored revision={revision} at={at} held={held}");
     }
     true
 }
 
-/// The number that operators gave the document in force.
+/// The operators' revision of the document in force.
 fn held_document(shared: &Shared) -> Option<Revision> {
     shared.core().knowledge().positions().document
 }
 
-/// Lets operators know of a document that can't be read.
+/// Logs a document that can't be parsed.
 fn note_document(shared: &Shared, unreadable: Option<Unreadable>) {
     let is_news = shared.note_document(unreadable.clone());
     let Some(Unreadable { at, why }) = unreadable.filter(|_| is_news) else {
@@ -158,9 +162,9 @@
     };
     let held = shared.core().knowledge().document_at();
     if held.is_unset() {
-        log::error!("store: nothing is served, document unreadable at={at}, no other is known error=\"{why}\"");
+        log::error!("store: nothing is served, document unreadable and no other known at={at} error=\"{why}\"");
     } else {
-        log::warn!("store: document unreadable at={at}, the one at={held} stays in force error=\"{why}\"");
+        log::warn!("store: document unreadable, earlier one stays in force at={at} held={held} error=\"{why}\"");
     }
 }
 
@@ -208,26 +212,26 @@
     }
 }
 
-/// Waits until something is known of a later epoch than a watch's. Its revision may have been given out again, and then it waits for
-/// changes after something that it has not seen.
+/// Waits until an epoch later than that of a watch is known. The store may have reassigned the watch's revision in the
+/// new epoch, so the watch would wait for changes after something it has not seen.
 async fn come_back(shared: &Shared, since: Position) {
     shared.until(|knowledge| knowledge.epoch() > since.epoch).await;
-    // Whatever epoch others tell of, reads follow one another with a pause.
+    // Pause between reads, however often other instances announce new epochs.
     tokio::time::sleep(IDLE).await;
 }
 
-/// A watch tells nothing of what others have learnt, so it is asked anew.
+/// Logs that a watch did not report what other instances have learnt, so it is restarted.
 fn overtaken(kind: Kind, since: Position) {
-    log::info!("store: watch overtaken what={kind} since={since}");
+    log::info!("store: watch is stale what={kind} since={since}");
 }
 
-/// The place from which a new watcher can go on without reading the whole list: it has it from another instance.
+/// The position from which a new watcher can continue without reading the whole list, known from other instances.
 fn held(shared: &Shared) -> Option<Position> {
     let at = shared.core().knowledge().upstreams_at();
     (!at.is_unset()).then_some(at)
 }
 
-/// Reads the list of upstreams, unless another instance tells it meanwhile.
+/// Reads the list of upstreams, unless another instance provides it meanwhile.
 async fn list(store: &Store, shared: &Shared, rhythm: &Rhythm, is_seed: bool) -> Result<(Position, bool), Error> {
     let is_needed = || !shared.core().knowledge().is_ready();
     let was_needed = is_needed();
@@ -241,7 +245,7 @@
                 link.answered();
                 pages += 1;
             }
-            // The pages that were read stay: in a fleet that starts at once, most calls are refused.
+            // Keep the pages read so far: in a fleet that starts simultaneously, most calls are rejected.
             Err(error) if pages > 0 => link.failed(&error, rhythm).await,
             Err(error) => return Err(error),
         }
@@ -255,7 +259,7 @@
     Ok((list.at, apply_list(shared, list)))
 }
 
-/// Takes in a whole list. Tells whether anything has changed.
+/// Applies a whole list. Returns whether anything has changed.
 fn apply_list(shared: &Shared, list: List) -> bool {
     let count = list.upstreams.len();
     let at = list.at;
@@ -263,13 +267,14 @@
     let held_at = shared.core().knowledge().upstreams_at();
     let has_changed = shared.learn(|knowledge| knowledge.apply_list(at, list.sightings(), now));
     if at < held_at {
-        log::warn!("store: upstreams passed over at={at}, held at={held_at}");
+        log::warn!("store: outdated list of upstreams ignored at={at} held={held_at}");
     }
     log::info!("store: upstreams listed count={count} at={at}");
     has_changed
 }
 
-/// Reads the whole list of upstreams, unless others tell meanwhile what it holds. They are left some time to read a long one.
+/// Reads the whole list of upstreams, unless other instances provide its contents meanwhile. They get some time to
+/// read a long list.
 pub(super) async fn read_list(store: &Store, shared: &Shared) -> Result<(), Error> {
     let mut listing = Listing::default();
     let began = Instant::now();
@@ -294,16 +299,17 @@
     Ok(())
 }
 
-/// How long others are left to read a list of which so many entries took so long: a half more than all that are known would take.
+/// How long to wait for other instances to read the list, given how many entries were read in what time: one and a
+/// half times the estimated duration for all known upstreams.
 fn patience(shared: &Shared, entries: usize, took: Duration) -> Duration {
     let known = shared.core().knowledge().upstreams().count();
     let whole = took.mul_f64(known as f64 / entries.max(1) as f64);
     OTHERS_PATIENCE.max(whole + whole / 2)
 }
 
-/// Leaves it to others for a moment to read a long list, until what they tell will do.
+/// Waits for a limited time until what other instances provide suffices.
 async fn wait_for_others(shared: &Shared, patience: Duration, will_do: impl Fn(&Knowledge) -> bool) {
-    // Whether they told in time or not, the caller looks what is known.
+    // On a timeout too, the caller checks what is known.
     let _in_time = tokio::time::timeout(patience, shared.until(will_do)).await;
 }
 
--- a/crates/jayquayd/src/forward/store/evacuations.rs
+++ b/crates/jayquayd/src/forward/store/evacuations.rs
@@ -1,4 +1,4 @@
-//! The watch of the zones that operators ask to be emptied.
+//! Watch of the zones that operators want evacuated.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -20,16 +20,16 @@
 use crate::forward::role::Role;
 use crate::forward::shared::Shared;
 
-/// How long after its start an instance leaves the watch to others. It takes itself for its zone's watcher until it has met the
-/// fleet, and of a fleet that starts at once each instance would begin a watch.
+/// Time after startup during which an instance starts no watch. It regards itself as its zone's watcher until it has
+/// discovered the other instances, so in a fleet that starts simultaneously each instance would start a watch.
 const SETTLED: Duration = Duration::from_secs(2);
 
-/// Keeps the zones to be emptied up to date.
+/// Keeps the set of evacuated zones up to date.
 pub(super) async fn run(store: &Store, shared: &Shared, rhythm: &Rhythm) -> Infallible {
     let held_at = || shared.core().knowledge().evacuations().at;
     let mut cursor = None;
     let mut link = Link::new(Kind::Evacuations);
-    // Others tell all there is to know at once as a rule, and then nothing has to be read.
+    // Other instances usually provide all knowledge at once, and then nothing has to be read.
     shared.until(Knowledge::has_routes_and_upstreams).await;
     loop {
         let is_needed = held_at().is_unset();
@@ -62,7 +62,7 @@
         match result {
             Ok((at, has_changed)) => {
                 link.answered();
-                // A change tells only that there is something new: the zones are few and are read together.
+                // The watch reports only that something changed: the zones are few and are read together.
                 cursor = Some(at).filter(|_| !has_changed);
             }
             Err(error) => {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Reads which zones are to be emptied, and gives the place that they stood at.
+/// Reads which zones are evacuated and returns the position of that list.
 pub(in crate::forward) async fn read(store: &Store, shared: &Shared) -> Result<Position, Error> {
     let Zones { at, named, unreadable } = store.list_evacuations().await?;
     let read = Evacuations { at, zones: named };
--- a/crates/jayquayd/src/forward/store/link.rs
+++ b/crates/jayquayd/src/forward/store/link.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers for one kind of object: the log's lines on it, and the pauses between calls that fail.
+//! Connection state of the store for one kind of object: logs outages and paces retries.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,11 +9,11 @@
 use crate::forward::rhythm::Kind;
 use crate::forward::rhythm::Rhythm;
 
-/// The first pause after a call that failed. It doubles with each further one.
+/// Delay after the first failed call. It doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between calls that fail.
+/// Maximum delay between failing calls.
 const LAST_PAUSE: Duration = Duration::from_millis(1_600);
-/// Tells when the store is lost and regained for one kind of object, and paces calls that fail.
+/// Logs when the store becomes unreachable and reachable again for one kind of object, and paces retries.
 #[derive(Debug)]
 pub(super) struct Link {
     kind: Kind,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A call was answered.
+    /// Records a successful call.
     pub(super) fn answered(&mut self) {
         self.note_answer();
         self.backoff = Backoff::new();
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A call brought nothing. Waits until the next one may be made.
+    /// Records a failed call and waits until the next one may be made.
     pub(super) async fn failed(&mut self, error: &Error, rhythm: &Rhythm) {
         rhythm.note_failure(self.kind);
         match error {
@@ -55,7 +55,7 @@
                 self.note_gone();
             }
             Error::Unreachable(_) => {
-                // Later failures tell nothing new.
+                // Later failures of the same outage add no information.
                 if self.lost.is_none() {
                     rhythm.doubt_others(self.kind);
                 }
@@ -68,7 +68,7 @@
         tokio::time::sleep(self.backoff.next()).await;
     }
 
-    /// The store answers, but no longer knows what has changed since the revision that was asked from.
+    /// Logs that the store answers but no longer has the history since the requested revision.
     fn note_gone(&mut self) {
         self.note_answer();
         log::info!("store: history gone what={}", self.kind);
@@ -83,7 +83,7 @@
     }
 }
 
-/// Pauses that grow while calls fail, with a random part so that instances don't call together.
+/// Exponential backoff with jitter, so that instances don't retry in lockstep.
 #[derive(Debug)]
 struct Backoff(Duration);
 
--- a/crates/jayquayd/src/forward/summing.rs
+++ b/crates/jayquayd/src/forward/summing.rs
@@ -1,27 +1,28 @@
-//! Who sums up what instances see of an upstream, and who may have seen it.
+//! Selects the instances that aggregate the reports on an upstream, and those that may have observed it.
 //!
-//! Two instances of the upstream's own availability zone, where most of its flows are, sum up for it, found by rendezvous
-//! hashing: so whoever reports needs to ask nobody, and each instance sums up for as many upstreams as any other.
+//! Two instances of the upstream's own availability zone, where most of its flows are, act as its aggregators,
+//! selected by rendezvous hashing: a reporting instance can compute them locally, and the work is spread evenly over
+//! the instances.
 
 use flow::UpstreamId;
 use membership::Membership;
 use units::ZoneName;
 use wire::Member;
 
-/// How many instances sum up for an upstream: one may be gone for a second before the others know.
+/// Number of aggregators per upstream: one may be down for a second before the others notice.
 pub(crate) const AGGREGATORS: usize = 2;
-/// How many instances are asked what they have seen of an upstream, at least: where a zone has fewer, some of other zones are
-/// asked as well, which see part of its flows.
+/// Minimum number of instances to ask for their observations of an upstream: if a zone has fewer, some of other zones
+/// are asked as well, which see part of its flows.
 const LEAST_ASKED: usize = 12;
 
-/// Those of an availability zone, or all where it has none.
+/// The members of an availability zone, or all members if it has none.
 pub(crate) fn of_zone<'a>(members: &[&'a Member], zone: Option<&ZoneName>) -> Vec<&'a Member> {
     let here = members.iter().copied().filter(|member| Some(&member.zone) == zone);
     let here: Vec<&Member> = here.collect();
     if here.is_empty() { members.to_vec() } else { here }
 }
 
-/// Who sums up for an upstream of an availability zone.
+/// The aggregators of an upstream in an availability zone.
 pub(crate) fn aggregators<'a>(
     members: &'a Membership,
     upstream: UpstreamId,
@@ -33,7 +34,7 @@
     aggregators
 }
 
-/// Whether this instance sums up for an upstream.
+/// Whether this instance is an aggregator of an upstream.
 pub(crate) fn is_aggregator(members: &Membership, upstream: UpstreamId, zone: Option<&ZoneName>) -> bool {
     let own = &members.me().name;
     aggregators(members, upstream, zone)
@@ -41,7 +42,8 @@
         .any(|member| member.name == *own)
 }
 
-/// Who may have seen an upstream answer, this instance left out: all of its zone, and some others where these are few.
+/// The members other than this one that may have observed an upstream: all of its zone, and some of other zones if
+/// these are few.
 pub(crate) fn witnesses<'a>(members: &'a Membership, upstream: UpstreamId, zone: Option<&ZoneName>) -> Vec<&'a Member> {
     let drawn = members.ranked_members(upstream.0);
     let own = &members.me().name;
--- a/crates/jayquayd/tests/check.rs
+++ b/crates/jayquayd/tests/check.rs
@@ -1,7 +1,7 @@
-//! Whoever is cut from the store, instances that still reach it are asked in time; and nobody asks without end.
+//! Tests that checks reach an instance with access to the store in time, and that their number stays bounded.
 //!
-//! Rounds of checks in virtual time: in each one the question goes through the fleet as the instances themselves hand it on.
-//! Those that the store does not serve are chosen against us: they are the ones that were asked last, again and again.
+//! Simulates rounds of checks in virtual time, with checks forwarded as the instances do it. The instances without
+//! access to the store are chosen adversarially: those that were asked last, again and again.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
 use wire::Member;
 use wire::MemberState;
 
-/// When the first round begins.
+/// Start of the first round.
 const BEGIN: Time = Time(1_000_000_000_000);
 
 fn member(number: usize) -> Member {
@@ -39,18 +39,18 @@
     }
 }
 
-/// How a fleet's checks go on.
+/// State of a simulated fleet.
 struct Fleet {
     members: Membership,
     checkers: Vec<Checker>,
 }
 
-/// What a round came to.
+/// Result of a round.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// When the store was asked by one that it serves, counted from the round's begin.
+    /// Time from the start of the round until an instance with access to the store called it.
     heard_after: Option<Duration>,
-    /// Who called the store, in their order.
+    /// The instances that called the store, in order.
     callers: Vec<usize>,
 }
 
@@ -69,13 +69,13 @@
         Self { members, checkers }
     }
 
-    /// The instances in the order of a round.
+    /// The instances, ordered by their rank in a round.
     fn drawn(&self, round: u64) -> Vec<usize> {
         let number = |member: &Member| member.name.as_str().trim_start_matches("entry-").parse().unwrap();
         self.members.ranked_members(round).into_iter().map(number).collect()
     }
 
-    /// Plays a round in which the store serves all but some.
+    /// Simulates a round in which some instances are cut off from the store.
     fn play(&mut self, round: u64, is_cut: impl Fn(usize) -> bool) -> Outcome {
         let drawn = self.drawn(round);
         let mut outcome = Outcome::default();
@@ -112,8 +112,8 @@
     BEGIN.0 / u64::try_from(ROUND.as_micros()).unwrap()
 }
 
-/// In fleets that one round reaches whole, one instance that is left is enough, however those that are cut were chosen: a change
-/// is heard of within a round and two waits.
+/// In a fleet that one round covers completely, a single instance with access to the store is enough, whichever it is:
+/// a change is found within the round and two forwarding delays.
 #[test]
 fn one_instance_that_is_left_hears_of_a_change_in_time() {
     for size in 2..=REACH {
@@ -131,8 +131,8 @@
     }
 }
 
-/// A store that serves nobody is asked by no more than a round's reach, whatever the fleet's size, and by one instance every
-/// other second at most, but for those that are drawn.
+/// A store that answers nobody is called by at most as many instances per round as a round reaches, whatever the size
+/// of the fleet, and by each instance at most every other second, except for the one selected first.
 #[test]
 fn a_store_that_serves_nobody_is_asked_by_few() {
     for size in [1, 8, 65, 300, 2_400] {
@@ -149,7 +149,6 @@
     }
 }
 
-/// A store that serves all is asked once a round.
 #[test]
 fn a_store_that_serves_all_is_asked_once_a_round() {
     for size in [1, 8, 300] {
@@ -160,7 +159,7 @@
     }
 }
 
-/// What another instance says may be any number.
+/// The rank comes from the network and may be any number.
 #[test]
 fn a_question_of_any_rank_is_handed_on_to_few() {
     for rank in [0, 1, 5, REACH, usize::MAX / 4, usize::MAX] {
@@ -169,7 +168,7 @@
     }
 }
 
-/// The same instance is not drawn again and again.
+/// Selection is spread evenly over the instances.
 #[test]
 fn each_instance_is_drawn_about_as_often() {
     let fleet = Fleet::new(8);
@@ -183,8 +182,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Readers are cut again and again: each second those that asked last, up to a share of the fleet, the earliest ones coming
-    /// back as later ones are cut.
+    /// In each round, the instances that called the store last are cut off, up to a share of the fleet, and the
+    /// earliest ones regain access.
     #[test]
     fn readers_that_are_cut_one_after_the_other_leave_others_that_hear(size in 4_usize..300, share in 0.1_f64..0.75) {
         let mut fleet = Fleet::new(size);
--- a/crates/jayquayd/tests/flows/explain.rs
+++ b/crates/jayquayd/tests/flows/explain.rs
@@ -1,4 +1,4 @@
-//! What an instance in flow mode tells those who have to explain it: its metrics and its log.
+//! Observability of an instance in flow mode: its metrics and its log.
 
 use std::net::SocketAddrV4;
 
@@ -12,7 +12,7 @@
 use crate::world::until;
 use crate::world::until_open;
 
-/// The value of one line of metrics.
+/// The value of a metric line.
 fn value(metrics: &str, line: &str) -> Option<f64> {
     let of_line = |text: &str| text.strip_prefix(line)?.strip_prefix(' ')?.parse().ok();
     metrics.lines().find_map(of_line)
@@ -75,13 +75,16 @@
     let entry = world.start_ready(1).await;
     let mut client = world.client(1).await;
     until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
-    // Both watches wait at a revision. The next one that is asked finds its history gone.
+    // Both watches wait for changes after a revision. The next one to be renewed finds its history gone.
     world.store.put_document(2, &[]);
     world.store.compact();
-    until("the log tells of it", || world.log(1).contains("store: history gone")).await;
+    until("the history is logged as gone", || {
+        world.log(1).contains("store: history gone")
+    })
+    .await;
     until_open(&mut client, ROUTE, entry.packets(), &Seen::Reset).await;
     let log = world.log(1);
     assert!(!log.contains("store: lost"), "{log}");
     world.store.set_fault(Fault::Busy);
-    until("the log tells of the loss", || world.log(1).contains("store: lost")).await;
+    until("the store is logged as lost", || world.log(1).contains("store: lost")).await;
 }
--- a/crates/jayquayd/tests/flows/history.rs
+++ b/crates/jayquayd/tests/flows/history.rs
@@ -1,4 +1,5 @@
-//! The store forgets its history: who reads the whole list again, which takes many calls where there are many upstreams.
+//! The store discards its history: which instances read the whole list again, which takes many calls for many
+//! upstreams.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -12,13 +13,15 @@
 use crate::world::until;
 
 const UPSTREAMS: u64 = 60;
-/// How many calls a whole list takes, at three upstreams a page.
+/// Number of calls to read a whole list, at three upstreams per page.
 const PAGES: u64 = UPSTREAMS / 3;
-/// The zone's watchers read it; each second's check may read a few pages until they have told it.
+/// The zone's watchers read the list. The once-per-second checks may read a few pages until the watchers have
+/// distributed it.
 const READERS: u64 = 2;
 const CHECKS: u64 = 6;
 
-/// A list takes 2 s to read, longer than a check waits for an answer. That is no reason to have others read it as well.
+/// Reading the list takes 2 s, longer than a check waits for an answer. This must not make other instances read it as
+/// well.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_long_list_is_read_by_the_watchers_and_not_by_whoever_checks() {
     let world = World::new().await;
--- a/crates/jayquayd/tests/flows/main.rs
+++ b/crates/jayquayd/tests/flows/main.rs
@@ -1,4 +1,4 @@
-//! The flow mode over real processes: instances, the platform's store, upstreams and clients, on loopback.
+//! Tests of the flow mode with real processes on loopback: instances, the platform's store, upstreams and clients.
 
 mod explain;
 mod history;
@@ -62,7 +62,7 @@
     world.store.remove_upstream(UpstreamId(0xb1));
     let new = world.upstream_at(0xb2, "new", "photos", address).await;
     client.send(b"late", entry.packets()).await.unwrap();
-    until("the packet is at the address", || new.strays() > 0).await;
+    until("the packet arrives at the address", || new.strays() > 0).await;
     assert_eq!(new.opened(), 0);
 }
 
@@ -78,7 +78,7 @@
     world
         .store
         .put_upstream(UpstreamId(0xc1), "search", leaving.address(), "zone-a", "draining");
-    // Changes are taken in order, so once the route's last change is in force, so is the one before it.
+    // Changes are applied in order, so once the last document's route is in force, so is the change of the upstream.
     let marker = SocketAddrV4::new(*ROUTE.ip(), 444);
     let _mark = world.upstream(0xc3, "mark", "mark").await;
     world.store.put_document(2, &[(ROUTE, "search"), (marker, "mark")]);
@@ -115,12 +115,12 @@
     for fault in [Fault::Busy, Fault::Many, Fault::Silent, Fault::Garbage] {
         world.store.set_fault(fault);
         let entry = world.start(1);
-        until("the store was asked", || world.store.calls() > 2).await;
+        until("the store was called", || world.store.calls() > 2).await;
         assert!(!entry.is_ready(), "{fault:?}");
     }
     world.store.set_fault(Fault::None);
     let entry = world.start(1);
-    until("the store was asked", || world.store.calls() > 2).await;
+    until("the store was called", || world.store.calls() > 2).await;
     assert!(!entry.is_ready(), "without a document");
     world.store.put_document(1, &[(ROUTE, "search")]);
     until("the instance is ready", || entry.is_ready()).await;
@@ -202,7 +202,7 @@
     entry.signal("HUP");
     tokio::time::sleep(PAUSE).await;
     assert!(entry.is_ready(), "wrong settings change nothing");
-    // Without a signal: the file is looked at every other second.
+    // Without a signal, the file is checked every two seconds.
     fs::write(world.path(1), world.settings(1, &next)).unwrap();
     until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
     let third = Store::start().await.unwrap();
@@ -228,7 +228,7 @@
         (
             "{name: a, zone: z, listen: {packets: '1.1.1.1:1', ready: '1.1.1.1:1', peers: '1.1.1.1:1'}, \
              store: '1.1.1.1:1', grace_s: -6, max_flow_s: 60}",
-            "grace_s: -6 is no span in seconds",
+            "grace_s: -6 is not a valid duration in seconds",
         ),
     ];
     for (text, expected) in cases {
@@ -256,13 +256,19 @@
     world.store.put_bytes("servers", "i-0000000a11", bytes);
     world.store.put_bytes("servers", "i-0000000a13", b"nonsense".to_vec());
     let newcomer = world.start_ready(2).await;
-    until("it is told once", || world.log(2).contains("store: unreadable entry")).await;
+    until("the unreadable entry is logged", || {
+        world.log(2).contains("store: unreadable entry")
+    })
+    .await;
     let mut client = world.client(1).await;
     for _ in 0..10 {
         assert_eq!(client.open(ROUTE, newcomer.packets()).await.unwrap(), Seen::Opened);
         assert_eq!(client.ask(b"a", newcomer.packets()).await.unwrap(), answer("good: a"));
     }
-    until("the other one knows", || world.log(1).contains("name=\"i-0000000a11\"")).await;
+    until("the running instance has logged it too", || {
+        world.log(1).contains("name=\"i-0000000a11\"")
+    })
+    .await;
     let before = was_good.opened();
     for _ in 0..10 {
         assert_eq!(client.open(ROUTE, running.packets()).await.unwrap(), Seen::Opened);
@@ -290,12 +296,12 @@
     assert_eq!(new.ask(b"b", entry.packets()).await.unwrap(), answer("second: b"));
     assert_eq!(second.strays(), 0);
     for _ in 0..TRIES {
-        // What was decided is logged with the next packet.
+        // Decisions are logged when the next packet arrives.
         assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
-        if world.log(1).contains("flows: started again upstream=0000000b11") {
+        if world.log(1).contains("flows: restarted upstream=0000000b11") {
             return;
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("the new start is never told of");
+    panic!("the restart is never logged");
 }
--- a/crates/jayquayd/tests/flows/older_copy.rs
+++ b/crates/jayquayd/tests/flows/older_copy.rs
@@ -1,9 +1,9 @@
-//! The store comes back from a copy of itself that is some seconds old.
+//! The store is restored from a backup of itself that is some seconds old.
 //!
-//! Seen: a route that a document had taken away was still served four seconds after that document had been accepted, at instances that
-//! nothing had disturbed, some seconds after the store had been away for a moment. It came about by the store's return from a copy: it gave
-//! out again the revisions after that of the copy, and instances took what was written at them for older than what they held.
-//! Proved by their logs (`document passed over at=4, held at=7`), and by the same for upstreams and for zones to be emptied.
+//! These tests guard against a fault in which instances served a route four seconds after a document without that
+//! route had been accepted. The store had been restored from a backup and assigned the later revisions a second time,
+//! so instances took newer data for older than what they held: their logs showed a document at position 4 ignored in
+//! favour of the one at position 7. Upstreams and zone evacuations were affected in the same way.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -20,7 +20,7 @@
 use crate::world::until;
 use crate::world::until_open;
 
-/// A route that only this document has.
+/// A route that only this version of the document has.
 fn own_route(version: u64) -> SocketAddrV4 {
     SocketAddrV4::new(*ROUTE.ip(), 1_000 + u16::try_from(version).unwrap())
 }
@@ -80,7 +80,7 @@
     let instances = [world.start_ready(1).await, world.start_ready(2).await];
     let mut client = world.client(1).await;
     let copy = world.store.copy();
-    // Upstreams that come and go raise the revision, and are known when one that stays is.
+    // Adding and removing upstreams raises the revision. Once the permanent one is known, so are these.
     for id in 0x93..0x99 {
         let passing = world.upstream(id, "passing", "photos").await;
         world.store.remove_upstream(UpstreamId(id));
@@ -115,7 +115,7 @@
         world.store.restore("zone-b");
     }
     world.store.evacuate("zone-x");
-    until("both know", || {
+    until("both instances know of the evacuation", || {
         [1, 2].iter().all(|number| world.log(*number).contains("zone=zone-x"))
     })
     .await;
@@ -126,7 +126,7 @@
     }
 }
 
-/// What an instance of an earlier release reads of an answer: places are revisions.
+/// A response as an instance of an earlier release decodes it: positions are plain revisions.
 #[derive(Debug, serde::Deserialize)]
 struct EarlierChange {
     upstreams_at: u64,
@@ -155,7 +155,7 @@
     assert!(entry.revision <= change.upstreams_at);
 }
 
-/// Opens flows until many in a row have gone to one upstream.
+/// Opens flows until a long run of them has gone to one upstream.
 async fn until_only(client: &mut Client, through: SocketAddr, expected: &Upstream) {
     const MANY: u64 = 12;
     for _ in 0..TRIES {
@@ -169,5 +169,5 @@
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("never all flows to one upstream");
+    panic!("flows never all go to one upstream");
 }
--- a/crates/jayquayd/tests/flows/told.rs
+++ b/crates/jayquayd/tests/flows/told.rs
@@ -1,4 +1,5 @@
-//! What instances tell one another: long lists compressed for those who read that, and as before for an earlier release.
+//! Responses between instances: long lists are compressed for requesters that support it, and uncompressed for an
+//! earlier release.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -10,9 +11,9 @@
 use crate::world::World;
 use crate::world::until;
 
-/// Enough upstreams for a list to be worth compressing.
+/// Enough upstreams for a list to be compressed.
 const UPSTREAMS: u64 = 600;
-/// What an entry takes at least where it is told as it is: an id, a service, an address and a zone.
+/// Minimum size of an uncompressed entry: an ID, a service, an address and a zone.
 const LEAST_PLAIN: usize = 50;
 
 async fn world_with_a_long_list() -> World {
--- a/crates/jayquayd/tests/flows/watchers.rs
+++ b/crates/jayquayd/tests/flows/watchers.rs
@@ -1,4 +1,4 @@
-//! Which instances watch the store.
+//! Selection of the instances that watch the store.
 
 use crate::world::Instance;
 use crate::world::PAUSE;
@@ -9,7 +9,8 @@
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// Waits until so many instances of each zone watch the store, where a zone has the numbers `3 * n + zone + 1`.
+/// Waits until the given number of instances in each zone watch the store.
+/// Zone `zone` has the instances with the numbers `3 * n + zone + 1`.
 async fn until_watched(world: &World, living: &[u8], expected: &[usize]) {
     let mut seen = Vec::new();
     for _ in 0..TRIES {
@@ -37,7 +38,7 @@
         until("all are ready", || instance.is_ready()).await;
     }
     until_watched(&world, &[1, 2, 3, 4, 5, 6, 7, 8, 9], &[1, 1, 1]).await;
-    // The second and the third zone go: nobody else could tell the first what its watcher misses.
+    // The second and third zones disappear, so no other zone could provide what the first zone's watcher misses.
     let mut number = 0;
     instances.retain(|_| {
         number += 1;
--- a/crates/jayquayd/tests/flows/world.rs
+++ b/crates/jayquayd/tests/flows/world.rs
@@ -1,4 +1,4 @@
-//! A system of real processes on a part of the loopback network: instances, the store, upstreams and clients.
+//! A test system of real processes on a loopback subnet: instances, the store, upstreams and clients.
 
 use std::fs;
 use std::fs::File;
@@ -20,27 +20,27 @@
 use adapter_standin::Upstream;
 use flow::UpstreamId;
 
-/// How often something is looked for, and how often at most. Tests fail by this only if it never comes.
+/// Interval and maximum number of polls. The limit is high, so that a test fails only if the condition never holds.
 pub(crate) const PAUSE: Duration = Duration::from_millis(50);
 pub(crate) const TRIES: u32 = 400;
 
-/// The route that clients dial.
+/// The route that clients connect to.
 pub(crate) const ROUTE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
-/// Gives each test a part of the loopback network of its own, so that all its processes can use the same ports.
+/// Gives each test its own loopback subnet, so that all its processes can use the same ports.
 static NEXT_NET: AtomicU8 = AtomicU8::new(1);
 
-/// A system on a part of the loopback network.
+/// A test system on a loopback subnet.
 pub(crate) struct World {
     net: u8,
-    /// Where packets are taken, on every host.
+    /// The port for packets, on every host.
     pub(crate) packets: u16,
     ready: u16,
     peers: u16,
     pub(crate) store: Store,
 }
 
-/// An instance. Dropping it kills it.
+/// An instance process. Dropping it kills the process.
 pub(crate) struct Instance {
     pub(crate) child: Child,
     ip: Ipv4Addr,
@@ -77,7 +77,7 @@
     }
 }
 
-/// A port that is free on this part of the network.
+/// A free port on this subnet.
 fn free_port(net: u8) -> u16 {
     let socket = UdpSocket::bind((Ipv4Addr::new(127, net, 0, 1), 0)).unwrap();
     socket.local_addr().unwrap().port()
@@ -99,7 +99,7 @@
         Ipv4Addr::new(127, self.net, group, number)
     }
 
-    /// The settings of an instance of the first zone that is told to ask the first instance.
+    /// Settings of an instance in the first zone, with the first instance as its seed.
     pub(crate) fn settings(&self, number: u8, store: &Store) -> String {
         self.settings_in("zone-a", number, store)
     }
@@ -125,12 +125,12 @@
         self.path(number).with_extension("log")
     }
 
-    /// What an instance has logged since its start.
+    /// The log of an instance since its start.
     pub(crate) fn log(&self, number: u8) -> String {
         fs::read_to_string(self.log_path(number)).unwrap()
     }
 
-    /// A page that an instance serves to others.
+    /// Fetches a path from an instance's HTTP endpoint for other instances.
     pub(crate) async fn page(&self, number: u8, path: &str) -> Vec<u8> {
         let url = format!("http://{}:{}{path}", self.ip(1, number), self.peers);
         let answer = reqwest::get(url).await.unwrap();
@@ -138,7 +138,7 @@
         answer.bytes().await.unwrap().to_vec()
     }
 
-    /// An instance's metrics, as text.
+    /// The metrics of an instance, as text.
     pub(crate) async fn metrics(&self, number: u8) -> String {
         String::from_utf8(self.page(number, "/metrics").await).unwrap()
     }
@@ -173,7 +173,7 @@
         Client::new(own, self.packets).await.unwrap()
     }
 
-    /// Starts an upstream and lists it.
+    /// Starts an upstream in the first zone and adds it to the store.
     pub(crate) async fn upstream(&self, id: u64, name: &str, service: &str) -> Upstream {
         let address = SocketAddrV4::new(self.ip(3, 1), 0);
         self.upstream_at(id, name, service, address).await
@@ -183,7 +183,7 @@
         self.start_upstream(id, name, service, address, "zone-a").await
     }
 
-    /// Starts an upstream of another availability zone and lists it.
+    /// Starts an upstream in another availability zone and adds it to the store.
     pub(crate) async fn upstream_in(&self, zone: &str, id: u64, name: &str, service: &str) -> Upstream {
         let address = SocketAddrV4::new(self.ip(3, 1), 0);
         self.start_upstream(id, name, service, address, zone).await
@@ -207,7 +207,7 @@
     panic!("never: {what}");
 }
 
-/// Opens flows until one ends as expected. What was written to the store takes a moment to be known.
+/// Opens flows until one has the expected outcome, since a change in the store takes a moment to reach the instances.
 pub(crate) async fn until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Seen) {
     for _ in 0..TRIES {
         if client.open(route, through).await.unwrap() == *expected {
--- a/crates/jayquayd/tests/flows/zones.rs
+++ b/crates/jayquayd/tests/flows/zones.rs
@@ -1,4 +1,4 @@
-//! Operators empty an availability zone and take it back.
+//! Operators evacuate an availability zone and restore it.
 
 use adapter_standin::Fault;
 use adapter_standin::Seen;
@@ -20,7 +20,7 @@
     let mut old = world.client(1).await;
     assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
     world.store.evacuate("zone-a");
-    // Its service has no other upstream: whoever opens a flow is told at once.
+    // The service has no other upstream, so new flows are reset at once.
     let mut new = world.client(2).await;
     until_open(&mut new, ROUTE, entry.packets(), &Seen::Reset).await;
     assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), answer("here: a"));
@@ -33,7 +33,7 @@
     }
     assert_eq!((emptied.opened(), other.opened()), (before, 21));
     world.store.restore("zone-a");
-    until("it gets flows again", || {
+    until("the zone is restored", || {
         world.log(1).contains("zones: restored zone=zone-a")
     })
     .await;
@@ -51,7 +51,7 @@
     let emptied = world.upstream(0x61, "here", "search").await;
     let _other = world.upstream_in("zone-b", 0x62, "there", "search").await;
     let first = world.start_ready(1).await;
-    // Its history is gone, and then it answers nobody: the second instance learns all from the first one.
+    // The store's history is gone and its calls fail, so the second instance learns everything from the first one.
     world.store.compact();
     world.store.set_fault(Fault::Busy);
     let second = world.start_ready(2).await;
@@ -73,7 +73,7 @@
     let broken = b"{\"meta\":{\"name\":\"zone-a\",\"rev\":3},\"spec\":\xff}".to_vec();
     world.store.put_bytes("evacuations", "zone-a", broken);
     world.store.evacuate("zone-x");
-    until("the other wish is known", || {
+    until("the other evacuation is known", || {
         world.log(1).contains("zones: evacuated zone=zone-x")
     })
     .await;
--- a/crates/jayquayd/tests/logging.rs
+++ b/crates/jayquayd/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log of the flow mode never holds the process up.
+//! Tests that logging in the flow mode never blocks the process.
 
 use std::io;
 use std::io::Write;
@@ -8,10 +8,10 @@
 
 use jayquayd::forward::logging::Queue;
 
-/// How many lines are written while nobody reads.
+/// Number of lines written while nothing reads them.
 const LINES: usize = 10_000;
 
-/// A reader that reads nothing until it is let.
+/// A writer that blocks until it is released.
 #[derive(Clone, Default)]
 struct Reader {
     state: Arc<(Mutex<State>, Condvar)>,
@@ -54,7 +54,7 @@
     let reader = Reader::default();
     let mut queue = Queue::start(reader.clone());
     for number in 0..LINES {
-        // This would never return if it waited for the reader.
+        // This would never return if it waited for the output.
         queue.write_all(format!("line {number}\n").as_bytes()).unwrap();
     }
     reader.begin();
@@ -72,6 +72,6 @@
     assert!(written > 0 && written + left_out >= LINES, "{written} and {left_out}");
     assert!(
         text.starts_with("line 0\nline 1\n"),
-        "the first ones are kept, in order"
+        "the first lines are kept, in order"
     );
 }
--- a/crates/jayquayd/tests/rhythm.rs
+++ b/crates/jayquayd/tests/rhythm.rs
@@ -1,4 +1,4 @@
-//! When the two watches of an instance are due: by turns, so that one that hears nothing is found out soon.
+//! Timeouts of an instance's two watches: they alternate, so that one that receives nothing is detected soon.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use rand::rngs::StdRng;
 use units::Revision;
 
-/// Watches that are answered when they are due, or earlier with a change. Gives the times of all answers.
+/// Simulates watches that are answered at their timeout, or earlier with a change. Returns the times of all answers.
 fn answers(rhythm: &Rhythm, seed: u64, change_share: f64) -> Vec<Duration> {
     let mut rng = StdRng::seed_from_u64(seed);
     let begin = Instant::now();
@@ -39,7 +39,7 @@
 #[test]
 fn without_changes_one_watch_is_due_every_ten_seconds() {
     let answers = answers(&Rhythm::default(), 1, 0.0);
-    // The first turns are drawn.
+    // The first timeouts are random.
     let settled = &answers[4..];
     assert_eq!(longest_gap(settled), Duration::from_secs(10));
     let span = settled.last().unwrap().saturating_sub(settled[0]);
@@ -101,8 +101,8 @@
     }
 }
 
-/// What others have learnt and a watch has not told shows within two seconds that the watch hears nothing, however long it
-/// still waits.
+/// If other instances have learnt of a change that a watch hasn't reported, the watch is found unresponsive within two
+/// seconds, however long its remaining timeout.
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_others_overtake_is_found_out_within_two_seconds() {
     let rhythm = Rhythm::default();
@@ -111,7 +111,7 @@
     let overtaken = rhythm.overtaken(Revision(7).into(), || held.get().into());
     tokio::pin!(overtaken);
     let quiet = tokio::time::timeout(Duration::from_mins(1), &mut overtaken).await;
-    assert!(quiet.is_err(), "without news nothing is in doubt");
+    assert!(quiet.is_err(), "without changes the watch is not stale");
     held.set(Revision(8));
     overtaken.await;
     assert!(begin.elapsed() <= Duration::from_mins(1) + Duration::from_secs(2));
--- a/crates/jayquayd/tests/soak.rs
+++ b/crates/jayquayd/tests/soak.rs
@@ -1,11 +1,11 @@
-//! A short soak with fixed seeds, and every seed that ever failed.
+//! Short soak runs with fixed seeds, including every seed that ever failed.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use soak::Options;
 
-/// A soak that is run each time.
+/// Parameters of a soak run.
 struct Case {
     seed: u64,
     seconds: u64,
@@ -64,8 +64,9 @@
         cuts: true,
         returns: true,
     },
-    // All instances are killed twice while the store refuses: opening packets that had waited together in the sockets of
-    // two instances were taken for upstreams that do not answer, and open flows were reset.
+    // Guards against a fault in which all instances are killed twice while the store rejects calls: opening packets
+    // that had queued together in the sockets of two instances were counted as upstreams not answering, and open flows
+    // were reset.
     Case {
         seed: 425,
         seconds: 8,
@@ -74,7 +75,7 @@
         cuts: false,
         returns: false,
     },
-    // The same at an instance that was paused for three seconds right after all had been killed.
+    // The same fault, at an instance that was paused for three seconds right after all had been killed.
     Case {
         seed: 431,
         seconds: 8,
@@ -83,8 +84,8 @@
         cuts: false,
         returns: false,
     },
-    // Watches on connections that were up and brought nothing waited for up to 8 s, at all watchers at once: a leaving
-    // upstream got a flow after the bound.
+    // Guards against a fault in which watches on connections that were up but delivered nothing waited for up to 8 s,
+    // at all watchers at once, so a leaving upstream received a flow after the time limit.
     Case {
         seed: 1_014,
         seconds: 8,
@@ -93,8 +94,9 @@
         cuts: true,
         returns: false,
     },
-    // The store came back from copies and gave out revisions anew: what was written then was taken for older than what was held, so
-    // that all instances kept an old document, and a leaving upstream got flows.
+    // Guards against a fault in which the store was restored from a backup and assigned revisions a second time. Data
+    // written then was taken for older than what was held, so all instances kept an old document, and a leaving
+    // upstream received flows.
     Case {
         seed: 7_002,
         seconds: 8,
