--- a/crates/jayquayd/src/forward.rs
+++ b/crates/jayquayd/src/forward.rs
@@ -7,29 +7,29 @@
 pub mod check;
 pub mod logging;
 pub mod metric;
-pub mod rhythm;
 pub mod role;
 pub mod settings;
 pub mod status;
+pub mod watch_schedule;
 
-mod answers;
+mod aggregators;
+mod cold_assignment;
 mod compression;
 mod decisions;
+mod exchange;
 mod failures;
-mod figures;
 mod gossip;
 mod http;
-mod keeping;
+mod metric_update;
 mod packets;
 mod pull;
-mod relay;
 mod reload;
+mod response_cache;
 mod run;
 mod shared;
 mod silence;
 mod stop;
 mod store;
-mod summing;
 
 pub use run::RunError;
 pub use run::run;
--- a/crates/jayquayd/src/forward/summing.rs
+++ b/crates/jayquayd/src/forward/aggregators.rs
@@ -10,16 +10,16 @@
 use wire::Member;
 
 /// Number of aggregators per upstream: one may be down for a second before the others notice.
-pub(crate) const AGGREGATORS: usize = 2;
+pub(crate) const AGGREGATOR_COUNT: usize = 2;
 /// Minimum number of instances to ask for their observations of an upstream: if a zone has fewer, some of other zones
 /// are asked as well, which see part of its flows.
-const LEAST_ASKED: usize = 12;
+const MIN_OBSERVERS: usize = 12;
 
 /// The members of an availability zone, or all members if it has none.
-pub(crate) fn of_zone<'a>(members: &[&'a Member], zone: Option<&ZoneName>) -> Vec<&'a Member> {
-    let here = members.iter().copied().filter(|member| Some(&member.zone) == zone);
-    let here: Vec<&Member> = here.collect();
-    if here.is_empty() { members.to_vec() } else { here }
+pub(crate) fn members_in_zone<'a>(members: &[&'a Member], zone: Option<&ZoneName>) -> Vec<&'a Member> {
+    let in_zone = members.iter().copied().filter(|member| Some(&member.zone) == zone);
+    let in_zone: Vec<&Member> = in_zone.collect();
+    if in_zone.is_empty() { members.to_vec() } else { in_zone }
 }
 
 /// The aggregators of an upstream in an availability zone.
@@ -28,9 +28,9 @@
     upstream: UpstreamId,
     zone: Option<&ZoneName>,
 ) -> Vec<&'a Member> {
-    let drawn = members.ranked_members(upstream.0);
-    let mut aggregators = of_zone(&drawn, zone);
-    aggregators.truncate(AGGREGATORS);
+    let ranked = members.ranked_members(upstream.0);
+    let mut aggregators = members_in_zone(&ranked, zone);
+    aggregators.truncate(AGGREGATOR_COUNT);
     aggregators
 }
 
@@ -44,12 +44,12 @@
 
 /// The members other than this one that may have observed an upstream: all of its zone, and some of other zones if
 /// these are few.
-pub(crate) fn witnesses<'a>(members: &'a Membership, upstream: UpstreamId, zone: Option<&ZoneName>) -> Vec<&'a Member> {
-    let drawn = members.ranked_members(upstream.0);
+pub(crate) fn observers<'a>(members: &'a Membership, upstream: UpstreamId, zone: Option<&ZoneName>) -> Vec<&'a Member> {
+    let ranked = members.ranked_members(upstream.0);
     let own = &members.me().name;
-    let others = drawn.into_iter().filter(|member| member.name != *own);
-    let (mut near, far): (Vec<&Member>, Vec<&Member>) = others.partition(|member| Some(&member.zone) == zone);
-    let missing = LEAST_ASKED.saturating_sub(near.len());
-    near.extend(far.into_iter().take(missing));
-    near
+    let others = ranked.into_iter().filter(|member| member.name != *own);
+    let (mut local, remote): (Vec<&Member>, Vec<&Member>) = others.partition(|member| Some(&member.zone) == zone);
+    let missing = MIN_OBSERVERS.saturating_sub(local.len());
+    local.extend(remote.into_iter().take(missing));
+    local
 }
--- a/crates/jayquayd/src/forward/check.rs
+++ b/crates/jayquayd/src/forward/check.rs
@@ -23,196 +23,196 @@
 
 use super::metric;
 use super::pull;
-use super::rhythm::Kind;
 use super::settings::Settings;
 use super::shared::Shared;
 use super::store;
 use super::store::evacuations;
+use super::watch_schedule::ObjectKind;
 
-/// Duration of a round. A change that all watchers have missed takes effect after at most this plus [`PATIENCE`] per
+/// Duration of a round. A change that all watchers have missed takes effect after at most this plus [`ANSWER_TIMEOUT`] per
 /// forwarding step, 1.8 s; bounds for changes are 3 s and more. A round costs one store call per fleet.
-pub const ROUND: Duration = Duration::from_secs(1);
+pub const ROUND_DURATION: Duration = Duration::from_secs(1);
 /// Time to wait for an answer before forwarding the check: the store answers in milliseconds, at times a hundred times
 /// as slowly.
-pub const PATIENCE: Duration = Duration::from_millis(400);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of instances that a check is forwarded to.
-const BRANCHES: usize = 4;
+const FANOUT: usize = 4;
 /// Maximum number of instances that a round reaches: the selected one, four, and sixteen.
-pub const REACH: usize = 1 + BRANCHES + BRANCHES * BRANCHES;
+pub const MAX_INSTANCES: usize = 1 + FANOUT + FANOUT * FANOUT;
 /// Time for which an instance that got no answer forwards further checks at once, without a call: a fleet that is cut
 /// off from the store then makes a futile call every other second rather than each second. Not longer, since by then
 /// other instances may be cut off and this one not.
-const LOST: Duration = Duration::from_millis(1_200);
+const UNREACHABLE_PERIOD: Duration = Duration::from_millis(1_200);
 /// Time after a change of the knowledge during which the part that lags behind is checked. The store keeps its history
 /// for about 20 s, and a missed change is found within the first of these rounds.
-const FRESH: Duration = Duration::from_secs(10);
+const RECENT_CHANGE: Duration = Duration::from_secs(10);
 /// Number of checks from other instances that may be queued.
-const QUEUE: usize = 16;
+const QUEUE_CAPACITY: usize = 16;
 
 /// A request to check the store in a round, forwarded from one instance to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct CheckRequest {
     /// Number of the round, counted from the Unix epoch.
     pub round: u64,
     /// Rank of the receiving instance in the round's order.
     pub rank: usize,
 }
 
-impl Question {
+impl CheckRequest {
     /// The check with which a round starts.
     pub fn first(round: u64) -> Self {
         Self { round, rank: 0 }
     }
 
     /// The ranks that this check is forwarded to.
-    pub fn next(self) -> Range<usize> {
+    pub fn forwarded_ranks(self) -> Range<usize> {
         // The rank comes from the network and may be any number.
-        let begin = self.rank.saturating_mul(BRANCHES).saturating_add(1).min(REACH);
-        begin..(begin + BRANCHES).min(REACH)
+        let begin = self.rank.saturating_mul(FANOUT).saturating_add(1).min(MAX_INSTANCES);
+        begin..(begin + FANOUT).min(MAX_INSTANCES)
     }
 }
 
 /// What an instance does with a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// Call the store.
     Call,
     /// Forward the check at once, since the store is unreachable from here.
-    HandOn,
+    Forward,
     /// Ignore it, since this round's check was already handled.
-    Nothing,
+    Ignore,
 }
 
 /// State that an instance keeps between checks.
 #[derive(Debug, Default)]
-pub struct Checker {
+pub struct CheckState {
     round: u64,
-    lost_until: Time,
+    unreachable_until: Time,
 }
 
-impl Checker {
+impl CheckState {
     /// Decides how to handle a check. Clocks differ, so rounds come in any order; only a repeated one is ignored.
-    pub fn take(&mut self, question: Question, now: Time) -> Step {
-        if question.round == self.round {
-            return Step::Nothing;
+    pub fn decide(&mut self, request: CheckRequest, now: Time) -> Action {
+        if request.round == self.round {
+            return Action::Ignore;
         }
-        self.round = question.round;
-        if question.rank > 0 && now < self.lost_until {
-            return Step::HandOn;
+        self.round = request.round;
+        if request.rank > 0 && now < self.unreachable_until {
+            return Action::Forward;
         }
-        Step::Call
+        Action::Call
     }
 
     /// Records that the store gave no answer in time, or no useful one.
-    pub fn lose(&mut self, now: Time) {
-        self.lost_until = now + LOST;
+    pub fn note_unreachable(&mut self, now: Time) {
+        self.unreachable_until = now + UNREACHABLE_PERIOD;
     }
 
     /// Records that the store answered.
-    pub fn regain(&mut self) {
-        self.lost_until = Time::default();
+    pub fn note_reachable(&mut self) {
+        self.unreachable_until = Time::default();
     }
 }
 
 /// A check to be sent to another instance.
 #[derive(Debug)]
-pub(crate) struct Handed {
+pub(crate) struct OutgoingCheck {
     pub(crate) to: SocketAddr,
-    pub(crate) question: Question,
+    pub(crate) request: CheckRequest,
 }
 
 /// The channel ends of the check task, which connect it to the gossip task.
 #[derive(Debug)]
-pub(crate) struct Ends {
+pub(crate) struct CheckChannels {
     /// Checks received from other instances.
-    pub(crate) asked: mpsc::Receiver<Question>,
+    pub(crate) incoming: mpsc::Receiver<CheckRequest>,
     /// Checks to send to other instances.
-    pub(crate) handed: mpsc::Sender<Handed>,
+    pub(crate) outgoing: mpsc::Sender<OutgoingCheck>,
 }
 
 /// The channel ends of the gossip task.
 #[derive(Debug)]
-pub(crate) struct Gate {
-    pub(crate) asked: mpsc::Sender<Question>,
-    pub(crate) handed: mpsc::Receiver<Handed>,
+pub(crate) struct PeerChannels {
+    pub(crate) requests: mpsc::Sender<CheckRequest>,
+    pub(crate) forwards: mpsc::Receiver<OutgoingCheck>,
 }
 
 /// Creates the channels for checks in both directions.
-pub(crate) fn ways() -> (Ends, Gate) {
-    let (ask, asked) = mpsc::channel(QUEUE);
-    let (hand, handed) = mpsc::channel(QUEUE);
-    let ends = Ends { asked, handed: hand };
-    (ends, Gate { asked: ask, handed })
+pub(crate) fn channels() -> (CheckChannels, PeerChannels) {
+    let (requests, incoming) = mpsc::channel(QUEUE_CAPACITY);
+    let (outgoing, forwards) = mpsc::channel(QUEUE_CAPACITY);
+    let check_channels = CheckChannels { incoming, outgoing };
+    (check_channels, PeerChannels { requests, forwards })
 }
 
 /// Runs this instance's checks until the process ends.
-pub(crate) async fn run(settings: watch::Receiver<Settings>, shared: Shared, mut ends: Ends) {
+pub(crate) async fn run(settings: watch::Receiver<Settings>, shared: Shared, mut channels: CheckChannels) {
     let address = settings.borrow().store;
-    let mut checks = Checks {
+    let mut task = CheckTask {
         store: Store::without_reuse(address),
         settings,
         shared,
-        checker: Checker::default(),
-        handed: ends.handed,
+        state: CheckState::default(),
+        outgoing: channels.outgoing,
     };
     loop {
-        let round = checks.round();
+        let round = task.round();
         tokio::select! {
-            () = tokio::time::sleep(checks.until_after(round)) => {
-                if let Some(question) = checks.drawn() {
-                    checks.take(question).await;
+            () = tokio::time::sleep(task.until_after(round)) => {
+                if let Some(request) = task.first_request() {
+                    task.handle(request).await;
                 }
             }
-            Some(question) = ends.asked.recv() => checks.take(question).await,
+            Some(request) = channels.incoming.recv() => task.handle(request).await,
         }
     }
 }
 
-struct Checks {
+struct CheckTask {
     settings: watch::Receiver<Settings>,
     shared: Shared,
     /// Opens a new connection for each call: a reused one may have become unresponsive unnoticed.
     store: Store,
-    checker: Checker,
-    handed: mpsc::Sender<Handed>,
+    state: CheckState,
+    outgoing: mpsc::Sender<OutgoingCheck>,
 }
 
-impl Checks {
+impl CheckTask {
     fn round(&self) -> u64 {
-        self.shared.now().0 / ROUND.as_micros() as u64
+        self.shared.now().0 / ROUND_DURATION.as_micros() as u64
     }
 
     /// The time until a round is over.
     fn until_after(&self, round: u64) -> Duration {
-        let end = Time((round + 1) * ROUND.as_micros() as u64);
+        let end = Time((round + 1) * ROUND_DURATION.as_micros() as u64);
         self.shared.now().until(end)
     }
 
     /// The first check of the current round, if this instance is selected. One that isn't ready reads the store
     /// anyway.
-    fn drawn(&self) -> Option<Question> {
+    fn first_request(&self) -> Option<CheckRequest> {
         if !self.shared.core().knowledge().is_ready() || self.shared.is_stopping() {
             return None;
         }
         let round = self.round();
         let members = self.shared.members();
         let first = members.ranked_members(round).first().map(|member| &member.name);
-        (first == Some(&members.me().name)).then(|| Question::first(round))
+        (first == Some(&members.me().name)).then(|| CheckRequest::first(round))
     }
 
-    async fn take(&mut self, question: Question) {
-        match self.checker.take(question, self.shared.now()) {
-            Step::Nothing => {}
-            Step::HandOn => {
+    async fn handle(&mut self, request: CheckRequest) {
+        match self.state.decide(request, self.shared.now()) {
+            Action::Ignore => {}
+            Action::Forward => {
                 metric::checks("handed-on").increment(1);
-                self.hand_on(question);
+                self.forward(request);
             }
-            Step::Call => self.call(question).await,
+            Action::Call => self.call(request).await,
         }
     }
 
-    async fn call(&mut self, question: Question) {
-        self.follow_settings();
+    async fn call(&mut self, request: CheckRequest) {
+        self.apply_settings();
         let has_evacuations = self.settings.borrow().evacuations;
         let answered = Notify::new();
         let call = compare(&self.store, &self.shared, has_evacuations, &answered);
@@ -223,29 +223,29 @@
             tokio::select! {
                 result = &mut call => break result,
                 () = answered.notified() => {}
-                () = tokio::time::sleep(PATIENCE), if !is_late => {
+                () = tokio::time::sleep(ANSWER_TIMEOUT), if !is_late => {
                     is_late = true;
-                    self.checker.lose(self.shared.now());
-                    self.hand_on(question);
+                    self.state.note_unreachable(self.shared.now());
+                    self.forward(request);
                 }
             }
         };
         match result {
             Ok(finding) => {
-                self.checker.regain();
+                self.state.note_reachable();
                 metric::checks(finding.as_str()).increment(1);
-                self.follow(finding, question).await;
+                self.handle_finding(finding, request).await;
             }
             Err(error) => {
                 metric::checks("failed").increment(1);
                 log::info!(
                     "store: check failed round={} rank={} error=\"{error}\"",
-                    question.round,
-                    question.rank
+                    request.round,
+                    request.rank
                 );
                 if !is_late {
-                    self.checker.lose(self.shared.now());
-                    self.hand_on(question);
+                    self.state.note_unreachable(self.shared.now());
+                    self.forward(request);
                 }
             }
         }
@@ -254,20 +254,20 @@
     /// Reads what a check has found to be missing. The watchers read a list whose history is gone as well, and the
     /// store has answered the check, so the reading isn't part of it: on a failure or delay, the check would be
     /// forwarded and other instances would read the list too.
-    async fn follow(&self, finding: Finding, question: Question) {
+    async fn handle_finding(&self, finding: Finding, request: CheckRequest) {
         match finding {
             Finding::Even => {}
-            Finding::Behind => log::info!("store: check found changes round={}", question.round),
+            Finding::Behind => log::info!("store: check found changes round={}", request.round),
             Finding::HistoryGone => {
-                log::info!("store: check found history gone round={}", question.round);
+                log::info!("store: check found history gone round={}", request.round);
                 if let Err(error) = store::read_list(&self.store, &self.shared).await {
-                    log::info!("store: check list failed round={} error=\"{error}\"", question.round);
+                    log::info!("store: check list failed round={} error=\"{error}\"", request.round);
                 }
             }
         }
     }
 
-    fn follow_settings(&mut self) {
+    fn apply_settings(&mut self) {
         let address = self.settings.borrow().store;
         if self.store.address() != address {
             self.store = Store::without_reuse(address);
@@ -275,18 +275,18 @@
     }
 
     /// Forwards a check to the next instances in the round's order.
-    fn hand_on(&self, question: Question) {
+    fn forward(&self, request: CheckRequest) {
         let members = self.shared.members();
-        let drawn = members.ranked_members(question.round);
-        for rank in question.next() {
-            let Some(member) = drawn.get(rank) else {
+        let ranked = members.ranked_members(request.round);
+        for rank in request.forwarded_ranks() {
+            let Some(member) = ranked.get(rank) else {
                 return;
             };
-            let question = Question { rank, ..question };
+            let request = CheckRequest { rank, ..request };
             // A full queue holds equivalent checks.
-            let _full = self.handed.try_send(Handed {
+            let _full = self.outgoing.try_send(OutgoingCheck {
                 to: member.address,
-                question,
+                request,
             });
         }
     }
@@ -317,7 +317,7 @@
 /// A part of the knowledge to check against the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Part {
-    kind: Kind,
+    kind: ObjectKind,
     /// Position up to which this instance knows the part.
     at: Position,
 }
@@ -331,12 +331,12 @@
 /// other parts must be asked as well. Usually one or two short calls show that nothing is new. A part whose epoch is
 /// older than the store's is always asked: its revision says nothing about the store's current state.
 async fn compare(store: &Store, shared: &Shared, has_evacuations: bool, answered: &Notify) -> Result<Finding, Error> {
-    let before = pull::held(shared);
+    let before = pull::held_positions(shared);
     let mut parts = parts(&before, has_evacuations);
     let known = parts.last().map(|part| part.at).unwrap_or_default();
-    let is_fresh = shared.now().since(shared.grown_at()) < FRESH;
-    let first = if is_fresh { parts.len() - 1 } else { 1 };
-    if !is_fresh {
+    let changed_recently = shared.now().since(shared.knowledge_changed_at()) < RECENT_CHANGE;
+    let first = if changed_recently { parts.len() - 1 } else { 1 };
+    if !changed_recently {
         parts.reverse();
     }
     let mut store_at = Position::default();
@@ -346,18 +346,18 @@
         if index >= first && store_at <= known && !is_of_earlier_epoch && !is_gone {
             continue;
         }
-        let told = since(store, shared, part).await;
+        let result = read_changes(store, shared, part).await;
         answered.notify_one();
-        match told {
+        match result {
             Ok(at) => store_at = store_at.max(at),
-            Err(Error::HistoryGone) if part.kind == Kind::Upstreams => is_gone = true,
+            Err(Error::HistoryGone) if part.kind == ObjectKind::Upstreams => is_gone = true,
             Err(error) => return Err(error),
         }
     }
     if is_gone {
         return Ok(Finding::HistoryGone);
     }
-    let is_even = pull::held(shared) == before;
+    let is_even = pull::held_positions(shared) == before;
     Ok(if is_even { Finding::Even } else { Finding::Behind })
 }
 
@@ -365,31 +365,31 @@
 fn parts(held: &Positions, has_evacuations: bool) -> Vec<Part> {
     let part = |kind, at| Part { kind, at };
     let mut parts = vec![
-        part(Kind::Document, held.document_at),
-        part(Kind::Upstreams, held.upstreams_at),
+        part(ObjectKind::Document, held.document_at),
+        part(ObjectKind::Upstreams, held.upstreams_at),
     ];
     if has_evacuations {
-        parts.push(part(Kind::Evacuations, held.evacuations_at));
+        parts.push(part(ObjectKind::Evacuations, held.evacuations_at));
     }
     parts.sort_by_key(|part| part.at);
     parts
 }
 
 /// Applies the changes of a part and returns the store's position.
-async fn since(store: &Store, shared: &Shared, part: Part) -> Result<Position, Error> {
+async fn read_changes(store: &Store, shared: &Shared, part: Part) -> Result<Position, Error> {
     match part.kind {
-        Kind::Document => documents_since(store, shared, part.at).await,
-        Kind::Upstreams => {
-            let watched = store::watch(store, shared, part.at, Duration::ZERO).await;
+        ObjectKind::Document => read_document_changes(store, shared, part.at).await,
+        ObjectKind::Upstreams => {
+            let watched = store::read_upstream_changes(store, shared, part.at, Duration::ZERO).await;
             watched.map(|(at, _)| at)
         }
         // The zones are few and are always read together.
-        Kind::Evacuations => evacuations::read(store, shared).await,
+        ObjectKind::Evacuations => evacuations::read(store, shared).await,
     }
 }
 
 /// Applies changes of the document and returns the store's position.
-async fn documents_since(store: &Store, shared: &Shared, since: Position) -> Result<Position, Error> {
+async fn read_document_changes(store: &Store, shared: &Shared, since: Position) -> Result<Position, Error> {
     let documents = match store.watch_document(since, Duration::ZERO).await {
         Err(Error::HistoryGone) => store.read_document().await?,
         result => result?,
--- a/crates/jayquayd/src/forward/decisions.rs
+++ b/crates/jayquayd/src/forward/decisions.rs
@@ -9,11 +9,11 @@
 use units::Revision;
 use units::Time;
 
-/// Maximum number of lines about single flows per [`SPAN`]. A line costs a few microseconds of CPU time, so these
+/// Maximum number of lines about single flows per [`WINDOW`]. A line costs a few microseconds of CPU time, so these
 /// lines take less than a thousandth of a core.
-const LINES: u32 = 100;
-/// The interval that [`LINES`] applies to.
-const SPAN: Duration = Duration::from_secs(1);
+const MAX_LINES: u32 = 100;
+/// The interval that [`MAX_LINES`] applies to.
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Logs decisions, and counts those that it omits.
 #[derive(Debug, Default)]
@@ -26,18 +26,18 @@
 impl DecisionLog {
     /// Logs decisions. Those that concern an upstream, a zone or the document as a whole are always written, those
     /// about a single flow only within the limit.
-    pub(crate) fn tell(&mut self, decisions: &[Decision], basis: Basis, now: Time) {
+    pub(crate) fn write(&mut self, decisions: &[Decision], basis: Basis, now: Time) {
         for decision in decisions {
-            if is_about_one_flow(decision) && !self.has_room(now) {
+            if is_about_one_flow(decision) && !self.has_capacity(now) {
                 self.left_out += 1;
                 continue;
             }
-            write(decision, basis);
+            log_decision(decision, basis);
         }
     }
 
-    fn has_room(&mut self, now: Time) -> bool {
-        if now.since(self.since) >= SPAN {
+    fn has_capacity(&mut self, now: Time) -> bool {
+        if now.since(self.since) >= WINDOW {
             if self.left_out > 0 {
                 log::warn!("flows: left out lines={}", self.left_out);
             }
@@ -47,7 +47,7 @@
             };
         }
         self.written += 1;
-        self.written <= LINES
+        self.written <= MAX_LINES
     }
 }
 
@@ -76,9 +76,9 @@
 }
 
 /// Formats the evidence for a reset as log fields.
-struct Words(SilenceEvidence);
+struct EvidenceFields(SilenceEvidence);
 
-impl fmt::Display for Words {
+impl fmt::Display for EvidenceFields {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let SilenceEvidence {
             waiting,
@@ -93,7 +93,7 @@
     }
 }
 
-fn write(decision: &Decision, basis: Basis) {
+fn log_decision(decision: &Decision, basis: Basis) {
     let Basis { document, upstreams_at } = basis;
     match decision {
         Decision::Placed {
@@ -115,14 +115,16 @@
             flow,
             upstream,
             cause,
-            evidence: grounds,
+            evidence,
         } => {
             let upstream = upstream
                 .map(|upstream| format!(" upstream={upstream}"))
                 .unwrap_or_default();
-            let grounds = grounds.map(|grounds| Words(grounds).to_string()).unwrap_or_default();
+            let evidence = evidence
+                .map(|evidence| EvidenceFields(evidence).to_string())
+                .unwrap_or_default();
             log::info!(
-                "flows: reset flow={flow} cause={cause}{upstream}{grounds} document={document} upstreams_at={upstreams_at}"
+                "flows: reset flow={flow} cause={cause}{upstream}{evidence} document={document} upstreams_at={upstreams_at}"
             );
         }
         Decision::Dropped { flow, echo, cause } => {
@@ -130,11 +132,11 @@
         }
         Decision::MarkedDead {
             upstream,
-            evidence: grounds,
+            evidence,
             flows,
         } => log::warn!(
             "flows: taken for dead upstream={upstream}{} flows={flows}",
-            Words(*grounds)
+            EvidenceFields(*evidence)
         ),
         Decision::Revived(upstream) => log::warn!("flows: recovered upstream={upstream}"),
         Decision::Ejected {
--- a/crates/jayquayd/src/forward/relay.rs
+++ b/crates/jayquayd/src/forward/exchange.rs
@@ -21,23 +21,23 @@
 pub(crate) const MAX_CHANGE_LEN: usize = 8 * 1_024 * 1_024;
 
 /// Value of the `Content-Encoding` header of a compressed response. Uncompressed responses have no such header.
-pub(crate) const COMPRESSED: &str = "deflate";
+pub(crate) const DEFLATE: &str = "deflate";
 /// Minimum length of a change to compress, in bytes, if the requester supports compression. A list of thousands of
 /// upstreams shrinks to a third or less, while a single change is not worth the time.
-const COMPRESSED_FROM: usize = 16 * 1_024;
+const MIN_COMPRESSED_LEN: usize = 16 * 1_024;
 
 /// An encoded change.
 #[derive(Debug, Clone)]
-pub(crate) struct Encoded {
+pub(crate) struct EncodedChange {
     pub(crate) bytes: Arc<[u8]>,
     pub(crate) is_compressed: bool,
 }
 
-impl Encoded {
+impl EncodedChange {
     /// Encodes a change, compressed if the requester supports it and it is long enough.
     pub(crate) fn new(change: &Change, reads_compressed: bool) -> Self {
         let bytes = encode(change);
-        if !reads_compressed || bytes.len() < COMPRESSED_FROM {
+        if !reads_compressed || bytes.len() < MIN_COMPRESSED_LEN {
             return Self {
                 bytes: bytes.into(),
                 is_compressed: false,
@@ -86,7 +86,7 @@
 }
 
 /// The change to send to a requester. One of an earlier release sends no epochs and gets none back.
-pub(crate) fn answer(knowledge: &Knowledge, query: Query) -> Change {
+pub(crate) fn changes_for(knowledge: &Knowledge, query: Query) -> Change {
     let held = Positions::from(query);
     if query.document_epoch.is_some() {
         return knowledge.since(&held);
--- a/crates/jayquayd/src/forward/failures.rs
+++ b/crates/jayquayd/src/forward/failures.rs
@@ -6,9 +6,9 @@
 use flow::FailureReport;
 use wire::Member;
 
+use super::aggregators::AGGREGATOR_COUNT;
+use super::aggregators::members_in_zone;
 use super::shared::Shared;
-use super::summing::AGGREGATORS;
-use super::summing::of_zone;
 
 fn count(members: &[&Member]) -> u32 {
     u32::try_from(members.len()).unwrap_or(u32::MAX)
@@ -26,9 +26,9 @@
     let members = shared.members();
     let own = &members.me().name;
     for report in reports {
-        let drawn = members.ranked_members(report.upstream.0);
-        let zone = of_zone(&drawn, core.zone_of(report.upstream));
-        for member in zone.iter().take(AGGREGATORS) {
+        let ranked = members.ranked_members(report.upstream.0);
+        let zone = members_in_zone(&ranked, core.zone_of(report.upstream));
+        for member in zone.iter().take(AGGREGATOR_COUNT) {
             if member.name == *own {
                 core.receive_failure_report(&report, count(&zone), now);
             } else {
@@ -40,13 +40,13 @@
 }
 
 /// Applies reports of another instance.
-pub(crate) fn hear(shared: &Shared, reports: &[FailureReport]) {
+pub(crate) fn receive(shared: &Shared, reports: &[FailureReport]) {
     let now = shared.now();
     let mut core = shared.core();
     let members = shared.members();
     let known: Vec<&Member> = members.members().collect();
     for report in reports {
-        let zone = of_zone(&known, core.zone_of(report.upstream));
+        let zone = members_in_zone(&known, core.zone_of(report.upstream));
         core.receive_failure_report(report, count(&zone), now);
     }
 }
--- a/crates/jayquayd/src/forward/gossip.rs
+++ b/crates/jayquayd/src/forward/gossip.rs
@@ -1,8 +1,8 @@
 //! Membership and the exchange between instances over UDP, with one message per datagram. The membership protocol
 //! handles lost messages.
 
+mod compression_support;
 mod datagram;
-mod readers;
 mod upstreams;
 
 use std::net::SocketAddr;
@@ -29,27 +29,27 @@
 use wire::Frame;
 use wire::Member;
 
-use super::check::Gate;
-use super::check::Question;
+use super::check::CheckRequest;
+use super::check::PeerChannels;
+use super::cold_assignment;
 use super::failures;
-use super::keeping;
 use super::pull;
-use super::pull::Newer;
+use super::pull::Announcement;
 use super::settings::Settings;
 use super::shared::Shared;
 use crate::metric;
-use readers::Readers;
+use compression_support::CompressionSupport;
 
 /// Interval of the membership protocol's timer.
 const TICK: Duration = Duration::from_millis(100);
 /// Interval at which the seeds are contacted while no other instance is known.
-const SEED_PAUSE: Duration = Duration::from_millis(300);
+const SEED_INTERVAL: Duration = Duration::from_millis(300);
 /// Maximum number of queued instances that hold newer knowledge.
-const PULLS: usize = 64;
+const PULL_QUEUE_CAPACITY: usize = 64;
 /// Increment of the incarnation when other instances know a later one, as after the wall clock was set back.
 const INCARNATION_STEP: u64 = 10_000 << 10;
 /// Maximum length of a received datagram.
-const MAX_LEN: usize = 65_536;
+const MAX_DATAGRAM_LEN: usize = 65_536;
 
 /// Intervals of failure detection. A probe per second from each of two zones detects a dead watcher within the bound
 /// for a change to take effect, and costs each instance about two datagrams per second.
@@ -95,7 +95,7 @@
     /// Upstreams that stop receiving new flows, or receive them again.
     Standings(Vec<StatusUpdate>),
     /// Asks the receiver to check the store for newer data.
-    Check(Question),
+    Check(CheckRequest),
 }
 
 /// The sender of a message, and the source address of its datagram.
@@ -111,11 +111,11 @@
     settings: watch::Receiver<Settings>,
     /// The port on which other instances reach every instance.
     port: u16,
-    pulls: mpsc::Sender<Newer>,
+    pulls: mpsc::Sender<Announcement>,
     /// Checks of the store that instances forward to one another.
-    checks: Gate,
+    checks: PeerChannels,
     /// Source addresses of messages whose senders support compression.
-    readers: Mutex<Readers>,
+    compression_support: Mutex<CompressionSupport>,
 }
 
 impl Peers {
@@ -125,10 +125,10 @@
         shared: Shared,
         settings: watch::Receiver<Settings>,
         port: u16,
-        checks: Gate,
+        checks: PeerChannels,
     ) -> Self {
-        let (pulls, wanted) = mpsc::channel(PULLS);
-        tokio::spawn(pull::ask(wanted, pulls.clone(), shared.clone()));
+        let (pulls, announcements) = mpsc::channel(PULL_QUEUE_CAPACITY);
+        tokio::spawn(pull::run(announcements, pulls.clone(), shared.clone()));
         Self {
             socket: Arc::new(socket),
             shared,
@@ -136,16 +136,16 @@
             port,
             pulls,
             checks,
-            readers: Mutex::default(),
+            compression_support: Mutex::default(),
         }
     }
 
     /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
-        let mut buffer = vec![0; MAX_LEN];
+        let mut buffer = vec![0; MAX_DATAGRAM_LEN];
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut next_seed = self.shared.now();
+        let mut next_seed_contact = self.shared.now();
         loop {
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
@@ -156,17 +156,17 @@
                     self.tick();
                     self.report_silence();
                     self.report_failures();
-                    self.ask();
-                    self.tell_standings();
-                    keeping::update(&self.shared);
+                    self.send_inquiries();
+                    self.publish_status_updates();
+                    cold_assignment::update(&self.shared);
                     let now = self.shared.now();
-                    if now >= next_seed && self.is_alone() {
-                        next_seed = now + SEED_PAUSE;
-                        self.ask_seeds();
+                    if now >= next_seed_contact && self.is_alone() {
+                        next_seed_contact = now + SEED_INTERVAL;
+                        self.contact_seeds();
                     }
                 }
-                () = self.shared.grown() => self.tell(),
-                Some(handed) = self.checks.handed.recv() => self.send(handed.to, Body::Check(handed.question)),
+                () = self.shared.knowledge_changed() => self.announce(),
+                Some(check) = self.checks.forwards.recv() => self.send(check.to, Body::Check(check.request)),
             }
         }
     }
@@ -175,7 +175,7 @@
         self.shared.members().members().nth(1).is_none()
     }
 
-    fn ask_seeds(&self) {
+    fn contact_seeds(&self) {
         let frame = Frame::News(self.shared.members().introduction());
         let own = self.shared.members().me().address;
         let seeds = self.settings.borrow().seeds.clone();
@@ -196,33 +196,33 @@
             self.shared.members().leave(now, &mut out);
         }
         self.shared.members().tick(now, &mut out);
-        self.carry_out(out);
+        self.process_outputs(out);
     }
 
     /// Whether an instance is in another zone.
-    fn is_far(&self, name: &InstanceName) -> bool {
+    fn is_in_other_zone(&self, name: &InstanceName) -> bool {
         let members = self.shared.members();
         let zone = members.member(name).map(|member| &member.zone);
         zone.is_some_and(|zone| *zone != members.me().zone)
     }
 
     /// Announces that this instance's knowledge has changed.
-    fn tell(&self) {
+    fn announce(&self) {
         let mut out = Vec::new();
         let (level, parts) = pull::level(&self.shared);
         let now = self.shared.now();
         self.shared.members().set_document(level, parts, now, &mut out);
-        self.carry_out(out);
+        self.process_outputs(out);
     }
 
     fn receive(&self, bytes: &[u8], from: SocketAddr) {
-        let Some(message) = datagram::read(bytes) else {
+        let Some(message) = datagram::decode(bytes) else {
             metric::frames_unread().increment(1);
             log::debug!("peers: malformed message from={from}");
             return;
         };
         if message.reads_compressed {
-            self.readers().insert(from);
+            self.compression_support().insert(from);
         }
         let sender = Sender {
             name: message.from,
@@ -233,16 +233,16 @@
                 if !message.tells_epochs {
                     self.read_without_epochs(&mut frame);
                 }
-                self.handle(&sender.name, message.incarnation, &frame);
+                self.handle_frame(&sender.name, message.incarnation, &frame);
             }
-            Body::Reports(reports) => self.hear_reports(&sender, &reports),
-            Body::Failures(reports) => failures::hear(&self.shared, &reports),
-            Body::Questions(upstreams) => self.answer(&sender, &upstreams),
-            Body::Views(views) => self.hear_views(&sender, &views),
-            Body::Standings(standings) => self.hear_standings(&sender, &standings),
-            Body::Check(question) => {
+            Body::Reports(reports) => self.handle_reports(&sender, &reports),
+            Body::Failures(reports) => failures::receive(&self.shared, &reports),
+            Body::Questions(upstreams) => self.answer_inquiry(&sender, &upstreams),
+            Body::Views(replies) => self.handle_inquiry_replies(&sender, &replies),
+            Body::Standings(updates) => self.handle_status_updates(&sender, &updates),
+            Body::Check(request) => {
                 // A full queue holds equivalent checks.
-                let _full = self.checks.asked.try_send(question);
+                let _full = self.checks.requests.try_send(request);
             }
         }
     }
@@ -258,7 +258,7 @@
     }
 
     /// Processes a frame of the membership protocol.
-    fn handle(&self, from: &InstanceName, incarnation: Incarnation, frame: &Frame) {
+    fn handle_frame(&self, from: &InstanceName, incarnation: Incarnation, frame: &Frame) {
         let mut out = Vec::new();
         {
             let mut members = self.shared.members();
@@ -267,10 +267,10 @@
                 raise_incarnation(&mut members, &self.shared);
             }
         }
-        self.carry_out(out);
+        self.process_outputs(out);
     }
 
-    fn carry_out(&self, out: Vec<Output>) {
+    fn process_outputs(&self, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Send { address, frame, .. } => self.send(address, Body::Member(Box::new(frame))),
@@ -283,12 +283,12 @@
                 } => {
                     // A full queue holds other instances with newer knowledge; one that is dropped here will announce
                     // itself again.
-                    let _full = self.pulls.try_send(Newer {
+                    let _full = self.pulls.try_send(Announcement {
                         address,
                         level: revision,
                         parts: digest,
-                        is_far: self.is_far(&from),
-                        is_overdue: false,
+                        is_from_other_zone: self.is_in_other_zone(&from),
+                        has_waited: false,
                     });
                 }
                 Output::Up(member) => log::info!(
@@ -304,8 +304,8 @@
         }
     }
 
-    fn readers(&self) -> MutexGuard<'_, Readers> {
-        self.readers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn compression_support(&self) -> MutexGuard<'_, CompressionSupport> {
+        self.compression_support.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn send(&self, to: SocketAddr, body: Body) {
@@ -320,7 +320,7 @@
                 reads_compressed: true,
             }
         };
-        let bytes = datagram::write(&message, self.readers().contains(&to));
+        let bytes = datagram::encode(&message, self.compression_support().contains(&to));
         metric::frames_sent().increment(1);
         metric::frame_bytes_sent().increment(bytes.len() as u64);
         if let Err(error) = self.socket.try_send_to(&bytes, to) {
--- a/crates/jayquayd/src/forward/gossip/datagram.rs
+++ b/crates/jayquayd/src/forward/gossip/datagram.rs
@@ -9,32 +9,32 @@
 use crate::forward::compression;
 
 /// Minimum length of a message to compress, in bytes. Below it, the savings are not worth the header and the CPU time.
-const COMPRESSED_FROM: usize = 512;
+const MIN_COMPRESSED_LEN: usize = 512;
 /// Maximum length of a decompressed message.
-const MAX_LEN: usize = 262_144;
+const MAX_MESSAGE_LEN: usize = 262_144;
 /// Maximum nesting depth of a message.
 const MAX_DEPTH: usize = 16;
 /// First byte of a compressed datagram. An uncompressed message begins with the head of a CBOR map.
-const COMPRESSED: u8 = 0x78;
+const COMPRESSED_FIRST_BYTE: u8 = 0x78;
 
 /// Decodes a datagram. `None` if it holds no valid message.
-pub(super) fn read(bytes: &[u8]) -> Option<Message> {
-    if bytes.first() == Some(&COMPRESSED) {
-        return parse(&compression::expand(bytes, MAX_LEN)?);
+pub(super) fn decode(bytes: &[u8]) -> Option<Message> {
+    if bytes.first() == Some(&COMPRESSED_FIRST_BYTE) {
+        return decode_cbor(&compression::expand(bytes, MAX_MESSAGE_LEN)?);
     }
-    parse(bytes)
+    decode_cbor(bytes)
 }
 
-fn parse(bytes: &[u8]) -> Option<Message> {
+fn decode_cbor(bytes: &[u8]) -> Option<Message> {
     de::from_reader_with_recursion_limit(bytes, MAX_DEPTH).ok()
 }
 
 /// Encodes a message for a receiver that may support compression.
-pub(super) fn write(message: &Message, is_read_compressed: bool) -> Vec<u8> {
+pub(super) fn encode(message: &Message, may_compress: bool) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
     ciborium::into_writer(message, &mut bytes)
         .expect("writing to a vector cannot fail, and a message is serializable as CBOR");
-    if !is_read_compressed || bytes.len() < COMPRESSED_FROM {
+    if !may_compress || bytes.len() < MIN_COMPRESSED_LEN {
         return bytes;
     }
     compression::compress(&bytes)
--- a/crates/jayquayd/src/forward/gossip/upstreams.rs
+++ b/crates/jayquayd/src/forward/gossip/upstreams.rs
@@ -19,54 +19,57 @@
 
 /// Numbers of instances of the local zone, and of other zones, that receive a decision directly from the instance that
 /// made it.
-const NEAR_LISTENERS: usize = 8;
-const FAR_LISTENERS: usize = 4;
+const LOCAL_RECIPIENTS: usize = 8;
+const REMOTE_RECIPIENTS: usize = 4;
 /// Number of instances to which a receiver forwards a decision that it hears for the first time. With six, all but one
 /// in 400 receive it, and the next message follows within seconds.
-const PASSED_ON: usize = 6;
+const FORWARD_COUNT: usize = 6;
 
 impl Peers {
     /// Processes another instance's reports, and replies with any better information.
-    pub(super) fn hear_reports(&self, from: &Sender, reports: &[Report]) {
+    pub(super) fn handle_reports(&self, from: &Sender, reports: &[Report]) {
         let now = self.shared.now();
-        let answers = self.shared.core().receive_reports(reporter(&from.name), reports, now);
-        self.tell_better(from, answers);
-        self.ask();
-        self.carry_on();
+        let answers = self
+            .shared
+            .core()
+            .receive_reports(reporter_id(&from.name), reports, now);
+        self.reply_with_reports(from, answers);
+        self.send_inquiries();
+        self.propagate_decisions();
     }
 
     /// Replies with this instance's observations of the upstreams in question.
-    pub(super) fn answer(&self, from: &Sender, upstreams: &[UpstreamId]) {
-        let views = self.shared.core().reports_on(upstreams, self.shared.now());
-        self.reply(from, Body::Views(views));
+    pub(super) fn answer_inquiry(&self, from: &Sender, upstreams: &[UpstreamId]) {
+        let replies = self.shared.core().reports_on(upstreams, self.shared.now());
+        self.reply(from, Body::Views(replies));
     }
 
     /// Processes another instance's observations of upstreams that it was asked about.
-    pub(super) fn hear_views(&self, from: &Sender, views: &[Report]) {
+    pub(super) fn handle_inquiry_replies(&self, from: &Sender, replies: &[Report]) {
         let now = self.shared.now();
         self.shared
             .core()
-            .receive_inquiry_replies(reporter(&from.name), views, now);
-        self.carry_on();
+            .receive_inquiry_replies(reporter_id(&from.name), replies, now);
+        self.propagate_decisions();
     }
 
     /// Applies decisions of another instance, and replies with any better information.
-    pub(super) fn hear_standings(&self, from: &Sender, standings: &[StatusUpdate]) {
-        let answers = self.shared.core().receive_status_updates(standings, self.shared.now());
-        self.tell_better(from, answers);
-        self.carry_on();
+    pub(super) fn handle_status_updates(&self, from: &Sender, updates: &[StatusUpdate]) {
+        let answers = self.shared.core().receive_status_updates(updates, self.shared.now());
+        self.reply_with_reports(from, answers);
+        self.propagate_decisions();
     }
 
-    fn tell_better(&self, to: &Sender, answers: Vec<Report>) {
+    fn reply_with_reports(&self, to: &Sender, answers: Vec<Report>) {
         if !answers.is_empty() {
             self.reply(to, Body::Reports(answers));
         }
     }
 
     /// Makes received information take effect at once, for flows seen here and at other instances.
-    fn carry_on(&self) {
+    fn propagate_decisions(&self) {
         self.shared.note_decisions();
-        self.tell_standings();
+        self.publish_status_updates();
     }
 
     /// Replies to an instance at its advertised address if known: the source address of its datagram may belong to a
@@ -84,8 +87,8 @@
     }
 
     /// Asks other instances for their observations of upstreams that enough flows wait for.
-    pub(super) fn ask(&self) {
-        for (address, upstreams) in silence::questions(&self.shared) {
+    pub(super) fn send_inquiries(&self) {
+        for (address, upstreams) in silence::inquiries(&self.shared) {
             self.send(address, Body::Questions(upstreams));
         }
     }
@@ -98,45 +101,45 @@
     }
 
     /// Sends the decisions made here, and forwards those received for the first time.
-    pub(super) fn tell_standings(&self) {
-        let (decided, heard) = {
+    pub(super) fn publish_status_updates(&self) {
+        let (decided, received) = {
             let mut core = self.shared.core();
             (
                 core.take_status_updates(),
                 core.take_received_updates(self.shared.now()),
             )
         };
-        self.send_standings(&decided, NEAR_LISTENERS, FAR_LISTENERS);
+        self.send_status_updates(&decided, LOCAL_RECIPIENTS, REMOTE_RECIPIENTS);
         // Where the direct receivers are all instances there are, nothing needs forwarding.
-        if self.shared.members().members().count() > NEAR_LISTENERS + 1 {
-            self.send_standings(&heard, PASSED_ON / 2, PASSED_ON / 2);
+        if self.shared.members().members().count() > LOCAL_RECIPIENTS + 1 {
+            self.send_status_updates(&received, FORWARD_COUNT / 2, FORWARD_COUNT / 2);
         }
     }
 
-    fn send_standings(&self, standings: &[StatusUpdate], near: usize, far: usize) {
-        if standings.is_empty() {
+    fn send_status_updates(&self, updates: &[StatusUpdate], local: usize, remote: usize) {
+        if updates.is_empty() {
             return;
         }
-        for address in self.listeners(near, far) {
-            self.send(address, Body::Standings(standings.to_vec()));
+        for address in self.random_recipients(local, remote) {
+            self.send(address, Body::Standings(updates.to_vec()));
         }
     }
 
     /// Random receivers of a decision, selected anew each time.
-    fn listeners(&self, near_count: usize, far_count: usize) -> Vec<SocketAddr> {
+    fn random_recipients(&self, local_count: usize, remote_count: usize) -> Vec<SocketAddr> {
         let members = self.shared.members();
         let me = members.me();
         let others = members.members().filter(|member| member.name != me.name);
-        let (near, far): (Vec<&Member>, Vec<&Member>) = others.partition(|member| member.zone == me.zone);
+        let (local, remote): (Vec<&Member>, Vec<&Member>) = others.partition(|member| member.zone == me.zone);
         let mut rng = rand::rng();
-        let near = near.into_iter().sample(&mut rng, near_count);
-        let far = far.into_iter().sample(&mut rng, far_count);
-        near.iter().chain(&far).map(|member| member.address).collect()
+        let local = local.into_iter().sample(&mut rng, local_count);
+        let remote = remote.into_iter().sample(&mut rng, remote_count);
+        local.iter().chain(&remote).map(|member| member.address).collect()
     }
 }
 
 /// The identifier of a reporting instance.
-fn reporter(name: &InstanceName) -> ReporterId {
+fn reporter_id(name: &InstanceName) -> ReporterId {
     let hash = blake3::hash(name.as_str().as_bytes());
     let id = hash.as_bytes().first_chunk().copied().unwrap_or_default();
     ReporterId(u64::from_be_bytes(id))
--- a/crates/jayquayd/src/forward/http.rs
+++ b/crates/jayquayd/src/forward/http.rs
@@ -20,9 +20,9 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use tokio::net::TcpListener;
 
-use super::answers::Answers;
-use super::figures;
-use super::relay;
+use super::exchange;
+use super::metric_update;
+use super::response_cache::ResponseCache;
 use super::shared::Shared;
 use super::status;
 use super::status::Status;
@@ -35,7 +35,7 @@
 pub(crate) struct Context {
     pub(crate) shared: Shared,
     pub(crate) metrics: PrometheusHandle,
-    pub(crate) answers: Arc<Answers>,
+    pub(crate) responses: Arc<ResponseCache>,
 }
 
 /// Serves the readiness checks.
@@ -47,7 +47,7 @@
 /// Serves other instances and operators.
 pub(crate) async fn serve_peers(listener: TcpListener, context: Context) -> io::Result<()> {
     let router = Router::new()
-        .route(relay::PATH, get(changes))
+        .route(exchange::PATH, get(changes))
         .route(METRICS, get(metrics))
         .route(status::PATH, get(own_status))
         .route(status::DOCUMENT_PATH, get(document))
@@ -73,11 +73,12 @@
     }
 }
 
-async fn changes(State(context): State<Context>, Query(held): Query<relay::Query>) -> Response {
-    let relay::Encoded { bytes, is_compressed } = context.answers.to(held, context.shared.core().knowledge());
+async fn changes(State(context): State<Context>, Query(held): Query<exchange::Query>) -> Response {
+    let exchange::EncodedChange { bytes, is_compressed } =
+        context.responses.get(held, context.shared.core().knowledge());
     let mut response = Bytes::from_owner(bytes).into_response();
     if is_compressed {
-        let compressed = HeaderValue::from_static(relay::COMPRESSED);
+        let compressed = HeaderValue::from_static(exchange::DEFLATE);
         response.headers_mut().insert(CONTENT_ENCODING, compressed);
     }
     response
@@ -93,6 +94,6 @@
 }
 
 async fn metrics(State(context): State<Context>) -> String {
-    figures::report(&context.shared);
+    metric_update::update(&context.shared);
     context.metrics.render()
 }
--- a/crates/jayquayd/src/forward/figures.rs
+++ b/crates/jayquayd/src/forward/metric_update.rs
@@ -11,15 +11,15 @@
 use crate::metric::MEMBER_STATES;
 
 /// Updates all metrics.
-pub(crate) fn report(shared: &Shared) {
-    report_flows(shared);
-    report_knowledge(shared.core().knowledge());
+pub(crate) fn update(shared: &Shared) {
+    update_flows(shared);
+    update_knowledge(shared.core().knowledge());
     let is_unreadable = shared.unreadable_document().is_some();
     metric::document_unreadable().set(f64::from(u8::from(is_unreadable)));
-    report_members(shared);
+    update_members(shared);
 }
 
-fn report_flows(shared: &Shared) {
+fn update_flows(shared: &Shared) {
     let core = shared.core();
     let stats = core.stats();
     metric::placed().absolute(stats.placed);
@@ -40,7 +40,7 @@
     metric::evacuated_flows().set(f64::from(evacuated.values().sum::<u32>()));
 }
 
-fn report_knowledge(knowledge: &Knowledge) {
+fn update_knowledge(knowledge: &Knowledge) {
     let revision = knowledge.document().map(|(_, document)| document.revision);
     metric::document().set(revision.unwrap_or_default().0 as f64);
     let warnings = knowledge.document().map_or(0, |(_, document)| document.warnings.len());
@@ -63,7 +63,7 @@
     metric::upstreams("gone").set(gone);
 }
 
-fn report_members(shared: &Shared) {
+fn update_members(shared: &Shared) {
     let watches = Role::of(shared).is_some();
     metric::watches().set(f64::from(u8::from(watches)));
     let members = shared.members();
@@ -75,26 +75,26 @@
 
 /// Histograms of the times that clients wait. Their handles are looked up once, since most packets end a wait.
 #[derive(Debug)]
-pub(crate) struct Waits {
-    handshakes: Places,
-    responses: Places,
+pub(crate) struct WaitHistograms {
+    handshakes: ZoneHistograms,
+    responses: ZoneHistograms,
 }
 
 /// Histograms by the upstream's availability zone.
 #[derive(Debug)]
-struct Places {
+struct ZoneHistograms {
     own: Histogram,
     other: Histogram,
 }
 
-impl Waits {
+impl WaitHistograms {
     pub(crate) fn new() -> Self {
         Self {
-            handshakes: Places {
+            handshakes: ZoneHistograms {
                 own: metric::handshake_seconds("own"),
                 other: metric::handshake_seconds("other"),
             },
-            responses: Places {
+            responses: ZoneHistograms {
                 own: metric::response_seconds("own"),
                 other: metric::response_seconds("other"),
             },
@@ -103,11 +103,11 @@
 
     /// Records a completed wait.
     pub(crate) fn record(&self, wait: Wait) {
-        let places = match wait.kind {
+        let zones = match wait.kind {
             WaitKind::Handshake => &self.handshakes,
             WaitKind::Response => &self.responses,
         };
-        let histogram = if wait.is_local_zone { &places.own } else { &places.other };
+        let histogram = if wait.is_local_zone { &zones.own } else { &zones.other };
         histogram.record(wait.time);
     }
 }
--- a/crates/jayquayd/src/forward/packets.rs
+++ b/crates/jayquayd/src/forward/packets.rs
@@ -14,58 +14,58 @@
 
 use super::decisions::Basis;
 use super::decisions::DecisionLog;
-use super::figures::Waits;
 use super::metric;
+use super::metric_update::WaitHistograms;
 use super::shared::Shared;
 
 /// Forwards packets until the process ends.
 pub(crate) async fn run(socket: Arc<UdpSocket>, client_port: u16, shared: Shared) -> io::Result<()> {
     let mut buffer = [0; packet::MAX_DATAGRAM_LEN];
-    let mut carrier = Carrier {
+    let mut forwarder = Forwarder {
         socket: &socket,
         client_port,
         shared: &shared,
         log: DecisionLog::default(),
-        waits: Waits::new(),
+        waits: WaitHistograms::new(),
     };
     let bursts = metric::burst_seconds();
     // Until the document and the upstreams are known, packets stay in the socket's receive buffer. Dropped here, they
     // would only be retransmitted 200 ms later.
     tokio::select! {
-        () = shared.until_ready() => {}
+        () = shared.wait_until_ready() => {}
         readable = socket.readable() => {
             readable?;
-            shared.note_awaited();
+            shared.note_waiting_packet();
         }
     }
-    shared.until_ready().await;
+    shared.wait_until_ready().await;
     loop {
         tokio::select! {
             readable = socket.readable() => readable?,
-            () = shared.decided() => {
-                carrier.settle();
+            () = shared.decisions_pending() => {
+                forwarder.process_decisions();
                 continue;
             }
         }
         let began = Instant::now();
-        while carrier.carry_one(&mut buffer) {}
+        while forwarder.process_packet(&mut buffer) {}
         bursts.record(began.elapsed());
     }
 }
 
 /// Carries out the decisions of the flow core.
-struct Carrier<'a> {
+struct Forwarder<'a> {
     socket: &'a UdpSocket,
     /// The port on which clients receive packets.
     client_port: u16,
     shared: &'a Shared,
     log: DecisionLog,
-    waits: Waits,
+    waits: WaitHistograms,
 }
 
-impl Carrier<'_> {
+impl Forwarder<'_> {
     /// Processes one packet. Returns whether there was one.
-    fn carry_one(&mut self, buffer: &mut [u8; packet::MAX_DATAGRAM_LEN]) -> bool {
+    fn process_packet(&mut self, buffer: &mut [u8; packet::MAX_DATAGRAM_LEN]) -> bool {
         let len = match self.socket.try_recv(&mut buffer[packet::ADDRESSEE_LEN..]) {
             Ok(len) => len,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
@@ -101,19 +101,19 @@
         let now = self.shared.now();
         self.shared.note_packet(now);
         let verdict = self.shared.core().handle_packet(head, now);
-        self.settle();
+        self.process_decisions();
         verdict
     }
 
     /// Carries out the decisions other than the verdicts on packets.
-    fn settle(&mut self) {
+    fn process_decisions(&mut self) {
         let now = self.shared.now();
         let (resets, decisions, waits, basis) = {
             let mut core = self.shared.core();
             let basis = basis(core.knowledge());
             (core.take_resets(), core.take_decisions(), core.take_waits(), basis)
         };
-        self.log.tell(&decisions, basis, now);
+        self.log.write(&decisions, basis, now);
         for wait in waits {
             self.waits.record(wait);
         }
--- a/crates/jayquayd/src/forward/pull.rs
+++ b/crates/jayquayd/src/forward/pull.rs
@@ -18,8 +18,8 @@
 use wire::Digest;
 
 use super::compression;
+use super::exchange;
 use super::metric;
-use super::relay;
 use super::shared::Shared;
 
 /// Timeout of a request to another instance. It holds its whole response in memory, but thousands of upstreams take a
@@ -27,31 +27,33 @@
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Time to wait for the local zone to provide what another zone has announced. The local zone's watchers learn it from
 /// the store equally soon, and traffic between zones costs more.
-const FAR_PAUSE: Duration = Duration::from_millis(200);
+const OTHER_ZONE_DELAY: Duration = Duration::from_millis(200);
 /// Upper bound of the added delay of a starting instance, for each other instance that it knows in its zone: they ask
 /// another zone one after the other, until those that have asked can provide the rest.
-const FAR_SPACE: Duration = Duration::from_millis(10);
+const STARTUP_SPACING: Duration = Duration::from_millis(10);
 
 /// An instance that announced newer or different knowledge.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Newer {
+pub(super) struct Announcement {
     pub(super) address: SocketAddr,
     /// Revision up to which it knows changes.
     pub(super) level: Revision,
     /// Digest of the positions of its knowledge.
     pub(super) parts: Digest,
     /// Whether it is in another zone.
-    pub(super) is_far: bool,
+    pub(super) is_from_other_zone: bool,
     /// Whether the wait for the local zone to provide the same is over.
-    pub(super) is_overdue: bool,
+    pub(super) has_waited: bool,
 }
 
 /// Fetches changes from one instance and applies them.
-async fn pull(transport: &Transport, newer: Newer, shared: &Shared) {
-    let Newer {
-        address: from, is_far, ..
-    } = newer;
-    let path = format!("{}?{}", relay::PATH, relay::Query::from(held(shared)));
+async fn fetch(transport: &Transport, announcement: Announcement, shared: &Shared) {
+    let Announcement {
+        address: from,
+        is_from_other_zone,
+        ..
+    } = announcement;
+    let path = format!("{}?{}", exchange::PATH, exchange::Query::from(held_positions(shared)));
     let request = transport.request(Method::GET, from, &path, Duration::ZERO);
     let response = match request.send().await {
         Ok(response) if response.status() == StatusCode::OK => response,
@@ -65,37 +67,37 @@
         }
     };
     let encoding = response.headers().get(CONTENT_ENCODING);
-    let is_compressed = encoding.is_some_and(|encoding| encoding == relay::COMPRESSED);
-    let Ok(body) = transport::body(response, relay::MAX_CHANGE_LEN).await else {
+    let is_compressed = encoding.is_some_and(|encoding| encoding == exchange::DEFLATE);
+    let Ok(body) = transport::body(response, exchange::MAX_CHANGE_LEN).await else {
         log::debug!("peers: incomplete response from={from}");
         return;
     };
-    metric::change_bytes(if is_far { "other" } else { "own" }).increment(body.bytes.len() as u64);
+    metric::change_bytes(if is_from_other_zone { "other" } else { "own" }).increment(body.bytes.len() as u64);
     let bytes = if is_compressed {
-        compression::expand(&body.bytes, relay::MAX_CHANGE_LEN)
+        compression::expand(&body.bytes, exchange::MAX_CHANGE_LEN)
     } else {
         Some(body.bytes)
     };
-    let Some(change) = bytes.and_then(|bytes| relay::decode(&bytes)) else {
+    let Some(change) = bytes.and_then(|bytes| exchange::decode(&bytes)) else {
         metric::changes_malformed().increment(1);
         log::warn!("peers: malformed change from={from}");
         return;
     };
     let now = shared.now();
-    let take = |knowledge: &mut Knowledge| {
+    let apply = |knowledge: &mut Knowledge| {
         if change.tells_epochs {
             return knowledge.apply(change, now);
         }
         let change = knowledge.read_without_epochs(change);
         change.is_some_and(|change| knowledge.apply(change, now))
     };
-    if shared.learn(take) {
+    if shared.learn(apply) {
         let Positions {
             document_at,
             upstreams_at,
             evacuations_at,
             ..
-        } = held(shared);
+        } = held_positions(shared);
         log::info!(
             "peers: learnt from={from} document_at={document_at} upstreams_at={upstreams_at} evacuations_at={evacuations_at}"
         );
@@ -103,34 +105,34 @@
 }
 
 /// The positions of this instance's knowledge.
-pub(super) fn held(shared: &Shared) -> Positions {
+pub(super) fn held_positions(shared: &Shared) -> Positions {
     shared.core().knowledge().positions()
 }
 
 /// Queues an instance of another zone again after a pause, in case the local zone has not provided the same by then.
-async fn ask_later(newer: Newer, pause: Duration, again: mpsc::Sender<Newer>) {
-    tokio::time::sleep(pause).await;
-    let newer = Newer {
-        is_overdue: true,
-        ..newer
+async fn requeue_after(announcement: Announcement, delay: Duration, queue: mpsc::Sender<Announcement>) {
+    tokio::time::sleep(delay).await;
+    let announcement = Announcement {
+        has_waited: true,
+        ..announcement
     };
     // The channel closes only when the process ends.
-    let _closed = again.send(newer).await;
+    let _closed = queue.send(announcement).await;
 }
 
 /// Time to wait for the local zone to provide what another zone has announced. There is no wait while packets of
 /// clients are queued.
-fn far_pause(shared: &Shared) -> Option<Duration> {
+fn other_zone_delay(shared: &Shared) -> Option<Duration> {
     if shared.is_ready() {
-        return Some(FAR_PAUSE);
+        return Some(OTHER_ZONE_DELAY);
     }
-    if shared.is_awaited() {
+    if shared.has_waiting_packet() {
         return None;
     }
     let members = shared.members();
     let zone = &members.me().zone;
-    let near = members.members().filter(|member| member.zone == *zone).count() - 1;
-    let longest = FAR_SPACE * u32::try_from(near).unwrap_or(u32::MAX);
+    let zone_peers = members.members().filter(|member| member.zone == *zone).count() - 1;
+    let longest = STARTUP_SPACING * u32::try_from(zone_peers).unwrap_or(u32::MAX);
     Some(longest.mul_f64(rand::rng().random()))
 }
 
@@ -138,7 +140,7 @@
 pub(super) fn level(shared: &Shared) -> (Revision, Digest) {
     let core = shared.core();
     let knowledge = core.knowledge();
-    (knowledge.level(), Digest::of(&digested(&knowledge.positions())))
+    (knowledge.level(), Digest::of(&digest_input(&knowledge.positions())))
 }
 
 /// Converts the revision and digest announced by an instance of an earlier release, which lack epochs, to be
@@ -147,14 +149,18 @@
     let core = shared.core();
     let knowledge = core.knowledge();
     let held = knowledge.positions();
-    let is_same = parts == Digest::of(&digested(&held.in_epochs(&Positions::default())));
-    let parts = if is_same { Digest::of(&digested(&held)) } else { parts };
+    let is_same = parts == Digest::of(&digest_input(&held.in_epochs(&Positions::default())));
+    let parts = if is_same {
+        Digest::of(&digest_input(&held))
+    } else {
+        parts
+    };
     (knowledge.level_without_epochs(level), parts)
 }
 
 /// Input of the digest of an instance's knowledge. In epoch 0 it consists of the revisions of the parts: there, the
 /// operators' revision of the document adds nothing to its position.
-fn digested(held: &Positions) -> Vec<u8> {
+fn digest_input(held: &Positions) -> Vec<u8> {
     let Positions {
         document,
         document_at,
@@ -172,21 +178,25 @@
 }
 
 /// Fetches knowledge from other instances one after another, skipping those that no longer know more.
-pub(super) async fn ask(mut wanted: mpsc::Receiver<Newer>, again: mpsc::Sender<Newer>, shared: Shared) {
+pub(super) async fn run(
+    mut announcements: mpsc::Receiver<Announcement>,
+    queue: mpsc::Sender<Announcement>,
+    shared: Shared,
+) {
     let transport = Transport::without_reuse(TIMEOUT);
-    let mut put_off = None;
-    while let Some(newer) = wanted.recv().await {
+    let mut delayed = None;
+    while let Some(announcement) = announcements.recv().await {
         // Several instances announce the same change, and the first request fetches it.
         let (level, parts) = level(&shared);
-        if level > newer.level || (level, parts) == (newer.level, newer.parts) {
+        if level > announcement.level || (level, parts) == (announcement.level, announcement.parts) {
             continue;
         }
-        let may_wait = newer.is_far && !newer.is_overdue;
-        let Some(pause) = far_pause(&shared).filter(|_| may_wait) else {
-            pull(&transport, newer, &shared).await;
+        let may_delay = announcement.is_from_other_zone && !announcement.has_waited;
+        let Some(delay) = other_zone_delay(&shared).filter(|_| may_delay) else {
+            fetch(&transport, announcement, &shared).await;
             continue;
         };
-        put_off = put_off.filter(|task: &JoinHandle<()>| !task.is_finished());
-        put_off.get_or_insert_with(|| tokio::spawn(ask_later(newer, pause, again.clone())));
+        delayed = delayed.filter(|task: &JoinHandle<()>| !task.is_finished());
+        delayed.get_or_insert_with(|| tokio::spawn(requeue_after(announcement, delay, queue.clone())));
     }
 }
--- a/crates/jayquayd/src/forward/reload.rs
+++ b/crates/jayquayd/src/forward/reload.rs
@@ -12,23 +12,23 @@
 use super::settings::Settings;
 
 /// Interval at which the file is read without a signal. This costs three system calls.
-const LOOK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reads the settings again on each signal and every two seconds, and applies them if valid.
 pub(crate) async fn run(path: PathBuf, mut signal: Signal, settings: watch::Sender<Settings>) {
     let mut last = read(&path);
     loop {
-        let told = tokio::select! {
+        let signalled = tokio::select! {
             _ = signal.recv() => true,
-            () = tokio::time::sleep(LOOK) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
         let text = read(&path);
-        if text.is_none() || (text == last && !told) {
+        if text.is_none() || (text == last && !signalled) {
             continue;
         }
         let has_changed = text != last;
         last = text;
-        take(last.as_deref().unwrap_or_default(), has_changed, &settings);
+        apply(last.as_deref().unwrap_or_default(), has_changed, &settings);
     }
 }
 
@@ -39,7 +39,7 @@
         .ok()
 }
 
-fn take(text: &str, has_changed: bool, settings: &watch::Sender<Settings>) {
+fn apply(text: &str, has_changed: bool, settings: &watch::Sender<Settings>) {
     if !has_changed {
         log::info!("settings: reloaded, unchanged");
         return;
@@ -51,8 +51,8 @@
             return;
         }
     };
-    let is_bound = |held: &Settings| (held.name.clone(), held.zone.clone(), held.listen);
-    let needs_restart = is_bound(&settings.borrow()) != is_bound(&new);
+    let fixed_at_start = |held: &Settings| (held.name.clone(), held.zone.clone(), held.listen);
+    let needs_restart = fixed_at_start(&settings.borrow()) != fixed_at_start(&new);
     if needs_restart {
         log::warn!("settings: changes of name, zone and addresses take effect after a restart");
     }
--- a/crates/jayquayd/src/forward/answers.rs
+++ b/crates/jayquayd/src/forward/response_cache.rs
@@ -8,16 +8,16 @@
 use flow::Knowledge;
 use flow::Positions;
 
-use super::relay;
-use super::relay::Encoded;
-use super::relay::Query;
+use super::exchange;
+use super::exchange::EncodedChange;
+use super::exchange::Query;
 
 /// Cache key of a response: the query, and the positions of the knowledge here.
-type Made = (Query, Positions);
+type CacheKey = (Query, Positions);
 
 #[derive(Debug)]
-struct Last {
-    made: Made,
+struct CachedResponse {
+    key: CacheKey,
     bytes: Weak<[u8]>,
     is_compressed: bool,
 }
@@ -25,22 +25,22 @@
 /// The last response, for as long as it is still being sent to some requester. In a fleet that starts simultaneously,
 /// many instances request the same at the same time, and the list of all upstreams is long.
 #[derive(Debug, Default)]
-pub(crate) struct Answers {
-    last: Mutex<Option<Last>>,
+pub(crate) struct ResponseCache {
+    last: Mutex<Option<CachedResponse>>,
 }
 
-impl Answers {
+impl ResponseCache {
     /// The encoded response to a query.
-    pub(crate) fn to(&self, query: Query, knowledge: &Knowledge) -> Encoded {
-        let made = (query, knowledge.positions());
+    pub(crate) fn get(&self, query: Query, knowledge: &Knowledge) -> EncodedChange {
+        let key = (query, knowledge.positions());
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = last.as_ref().filter(|last| last.made == made);
-        if let Some(encoded) = held.and_then(Last::encoded) {
+        let held = last.as_ref().filter(|last| last.key == key);
+        if let Some(encoded) = held.and_then(CachedResponse::encoded) {
             return encoded;
         }
-        let encoded = Encoded::new(&relay::answer(knowledge, query), query.reads_compressed);
-        *last = Some(Last {
-            made,
+        let encoded = EncodedChange::new(&exchange::changes_for(knowledge, query), query.reads_compressed);
+        *last = Some(CachedResponse {
+            key,
             bytes: Arc::downgrade(&encoded.bytes),
             is_compressed: encoded.is_compressed,
         });
@@ -48,9 +48,9 @@
     }
 }
 
-impl Last {
-    fn encoded(&self) -> Option<Encoded> {
-        Some(Encoded {
+impl CachedResponse {
+    fn encoded(&self) -> Option<EncodedChange> {
+        Some(EncodedChange {
             bytes: self.bytes.upgrade()?,
             is_compressed: self.is_compressed,
         })
--- a/crates/jayquayd/src/forward/role.rs
+++ b/crates/jayquayd/src/forward/role.rs
@@ -6,13 +6,13 @@
 
 /// Number of availability zones from which one watcher per zone is enough. What a failed watcher misses, its zone
 /// learns from the watchers of other zones a fifth of a second later, and the calls of each watcher cost money.
-const ENOUGH_ZONES: usize = 3;
+const MIN_ZONES_FOR_ONE_WATCHER: usize = 3;
 /// Time for which changes are batched before the next call, so that a series of changes costs few calls. The tightest
 /// bound for a change to take effect is 3 s.
-const GATHER: Duration = Duration::from_secs(1);
+const BATCH_DELAY: Duration = Duration::from_secs(1);
 /// Batching time of a zone's second watcher. It covers the moment in which the first one fails, and changes that it
 /// learns late still take effect within the bounds, the shortest of which are 3 s.
-const GATHER_SECOND: Duration = Duration::from_millis(1_500);
+const SECOND_WATCHER_BATCH_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The role of this instance in watching the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,16 +33,16 @@
         let own = &members.me().name;
         match members.watchers().position(|member| member.name == *own) {
             Some(0) => Some(Self::First),
-            Some(_) if members.zone_count() < ENOUGH_ZONES => Some(Self::Second),
+            Some(_) if members.zone_count() < MIN_ZONES_FOR_ONE_WATCHER => Some(Self::Second),
             Some(_) | None => None,
         }
     }
 
     /// Time for which changes are batched before the next call.
-    pub(crate) fn gather(self) -> Duration {
+    pub(crate) fn batch_delay(self) -> Duration {
         match self {
-            Self::First => GATHER,
-            Self::Second => GATHER_SECOND,
+            Self::First => BATCH_DELAY,
+            Self::Second => SECOND_WATCHER_BATCH_DELAY,
         }
     }
 }
--- a/crates/jayquayd/src/forward/run.rs
+++ b/crates/jayquayd/src/forward/run.rs
@@ -32,7 +32,7 @@
 use crate::clock::Clock;
 
 /// Interval at which idle flows are expired.
-const TICK: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Error that prevents a process in flow mode from running.
 #[derive(Debug)]
@@ -68,26 +68,26 @@
     let hangup = signal(SignalKind::hangup())?;
     let (changes, current) = watch::channel(settings.clone());
     tokio::spawn(reload::run(path.to_owned(), hangup, changes));
-    let shared = share(settings);
+    let shared = create_shared(settings);
     let listen = settings.listen;
     let packets = bind_udp(listen.packets).await?;
     let ready = http::bind(listen.ready).map_err(|error| RunError::Listen(listen.ready, error))?;
     let peers_http = http::bind(listen.peers).map_err(|error| RunError::Listen(listen.peers, error))?;
-    let (ends, gate) = check::ways();
+    let (check_channels, peer_channels) = check::channels();
     let peers = Peers::new(
         bind_udp(listen.peers).await?,
         shared.clone(),
         current.clone(),
         listen.advertised.port(),
-        gate,
+        peer_channels,
     );
     tokio::spawn(store::run(current.clone(), shared.clone()));
-    tokio::spawn(check::run(current.clone(), shared.clone(), ends));
+    tokio::spawn(check::run(current.clone(), shared.clone(), check_channels));
     tokio::spawn(http::serve_ready(ready, shared.clone()));
     let context = Context {
         shared: shared.clone(),
         metrics,
-        answers: Arc::default(),
+        responses: Arc::default(),
     };
     tokio::spawn(http::serve_peers(peers_http, context));
     tokio::spawn(peers.run());
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-fn share(settings: &Settings) -> Shared {
+fn create_shared(settings: &Settings) -> Shared {
     let clock = Clock::start();
     let core = Core::new(Options {
         zone: settings.zone.clone(),
@@ -132,7 +132,7 @@
 }
 
 async fn tick(shared: Shared) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
         let now = shared.now();
--- a/crates/jayquayd/src/forward/settings.rs
+++ b/crates/jayquayd/src/forward/settings.rs
@@ -88,22 +88,22 @@
 #[derive(Debug)]
 pub enum SettingsError {
     /// The text is not YAML with the expected fields.
-    Shape(String),
+    Yaml(String),
     /// The instance name is invalid.
     Name(NameError),
     /// The name of the availability zone is invalid.
     Zone(NameError),
     /// A duration is negative or too long.
-    Span(&'static str, f64),
+    Duration(&'static str, f64),
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Shape(error) => f.write_str(error),
+            Self::Yaml(error) => f.write_str(error),
             Self::Name(error) => write!(f, "name: {error}"),
             Self::Zone(error) => write!(f, "zone: {error}"),
-            Self::Span(field, value) => write!(f, "{field}: {value} is not a valid duration in seconds"),
+            Self::Duration(field, value) => write!(f, "{field}: {value} is not a valid duration in seconds"),
         }
     }
 }
@@ -125,19 +125,19 @@
             },
             store: raw.store,
             seeds: raw.seeds.iter().map(SocketAddr::ip).collect(),
-            grace: span("grace_s", raw.grace_s)?,
-            max_flow: span("max_flow_s", raw.max_flow_s)?,
+            grace: parse_duration("grace_s", raw.grace_s)?,
+            max_flow: parse_duration("max_flow_s", raw.max_flow_s)?,
             evacuations: raw.evacuations,
         })
     }
 }
 
-fn span(field: &'static str, seconds: f64) -> Result<Duration, SettingsError> {
-    Duration::try_from_secs_f64(seconds).map_err(|_error| SettingsError::Span(field, seconds))
+fn parse_duration(field: &'static str, seconds: f64) -> Result<Duration, SettingsError> {
+    Duration::try_from_secs_f64(seconds).map_err(|_error| SettingsError::Duration(field, seconds))
 }
 
 /// Parses and validates settings in YAML.
 pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-    let raw: RawSettings = serde_saphyr::from_str(text).map_err(|error| SettingsError::Shape(error.to_string()))?;
+    let raw: RawSettings = serde_saphyr::from_str(text).map_err(|error| SettingsError::Yaml(error.to_string()))?;
     Settings::try_from(raw)
 }
--- a/crates/jayquayd/src/forward/shared.rs
+++ b/crates/jayquayd/src/forward/shared.rs
@@ -19,11 +19,11 @@
 
 /// A document in the store that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Unreadable {
+pub(crate) struct UnreadableDocument {
     /// Position in the store's history at which the document was seen.
     pub(crate) at: Position,
     /// The reason why it can't be read.
-    pub(crate) why: String,
+    pub(crate) reason: String,
 }
 
 /// State shared by the tasks of a process. All tasks run on one thread, so the locks are never contended.
@@ -38,19 +38,19 @@
     core: Mutex<Core>,
     members: Mutex<Membership>,
     /// Signals the gossip task that the knowledge or the members have changed.
-    news: Notify,
+    knowledge_changed: Notify,
     /// Signals tasks that wait for a condition on the knowledge.
-    learnt: Notify,
+    condition_waiters: Notify,
     /// Signals that a packet arrived before this instance was ready.
-    awaited: Notify,
-    is_awaited: AtomicBool,
+    packet_waiting: Notify,
+    has_waiting_packet: AtomicBool,
     /// Signals that received knowledge may have led to decisions that no incoming packet will trigger.
-    decided: Notify,
+    decisions_pending: Notify,
     is_stopping: AtomicBool,
     /// A document in the store that can't be read.
-    unreadable_document: Mutex<Option<Unreadable>>,
+    unreadable_document: Mutex<Option<UnreadableDocument>>,
     last_packet: AtomicU64,
-    grown_at: AtomicU64,
+    knowledge_changed_at: AtomicU64,
 }
 
 impl Shared {
@@ -60,15 +60,15 @@
             inner: Arc::new(Inner {
                 core: Mutex::new(core),
                 members: Mutex::new(members),
-                news: Notify::new(),
-                learnt: Notify::new(),
-                awaited: Notify::new(),
-                is_awaited: AtomicBool::new(false),
-                decided: Notify::new(),
+                knowledge_changed: Notify::new(),
+                condition_waiters: Notify::new(),
+                packet_waiting: Notify::new(),
+                has_waiting_packet: AtomicBool::new(false),
+                decisions_pending: Notify::new(),
                 is_stopping: AtomicBool::new(false),
                 unreadable_document: Mutex::default(),
                 last_packet: AtomicU64::new(0),
-                grown_at: AtomicU64::new(0),
+                knowledge_changed_at: AtomicU64::new(0),
             }),
         }
     }
@@ -88,65 +88,65 @@
     /// Applies knowledge from the store or another instance and notifies the waiting tasks if it is new.
     pub(crate) fn learn(&self, change: impl FnOnce(&mut Knowledge) -> bool) -> bool {
         let now = self.now();
-        let has_grown = self.core().learn(now, change);
-        if has_grown {
-            self.inner.grown_at.store(now.0, Ordering::Relaxed);
-            self.inner.news.notify_one();
-            self.inner.learnt.notify_waiters();
+        let has_changed = self.core().learn(now, change);
+        if has_changed {
+            self.inner.knowledge_changed_at.store(now.0, Ordering::Relaxed);
+            self.inner.knowledge_changed.notify_one();
+            self.inner.condition_waiters.notify_waiters();
             self.note_decisions();
         }
-        has_grown
+        has_changed
     }
 
     /// Records that a packet is waiting for this instance to become ready.
-    pub(crate) fn note_awaited(&self) {
-        self.inner.is_awaited.store(true, Ordering::Relaxed);
-        self.inner.awaited.notify_one();
+    pub(crate) fn note_waiting_packet(&self) {
+        self.inner.has_waiting_packet.store(true, Ordering::Relaxed);
+        self.inner.packet_waiting.notify_one();
     }
 
     /// Whether a packet arrived before this instance was ready.
-    pub(crate) fn is_awaited(&self) -> bool {
-        self.inner.is_awaited.load(Ordering::Relaxed)
+    pub(crate) fn has_waiting_packet(&self) -> bool {
+        self.inner.has_waiting_packet.load(Ordering::Relaxed)
     }
 
     /// Waits until a packet arrives before this instance is ready.
-    pub(crate) async fn awaited(&self) {
-        self.inner.awaited.notified().await;
+    pub(crate) async fn packet_waiting(&self) {
+        self.inner.packet_waiting.notified().await;
     }
 
     /// The time at which the knowledge last changed.
-    pub(crate) fn grown_at(&self) -> Time {
-        Time(self.inner.grown_at.load(Ordering::Relaxed))
+    pub(crate) fn knowledge_changed_at(&self) -> Time {
+        Time(self.inner.knowledge_changed_at.load(Ordering::Relaxed))
     }
 
     /// Waits until the knowledge changes.
-    pub(crate) async fn grown(&self) {
-        self.inner.news.notified().await;
+    pub(crate) async fn knowledge_changed(&self) {
+        self.inner.knowledge_changed.notified().await;
     }
 
     /// Signals that received knowledge may have led to resets and decisions to log.
     pub(crate) fn note_decisions(&self) {
-        self.inner.decided.notify_one();
+        self.inner.decisions_pending.notify_one();
     }
 
     /// Waits until there may be decisions to carry out that no packet triggered.
-    pub(crate) async fn decided(&self) {
-        self.inner.decided.notified().await;
+    pub(crate) async fn decisions_pending(&self) {
+        self.inner.decisions_pending.notified().await;
     }
 
     /// Waits until there is enough knowledge to serve.
-    pub(crate) async fn until_ready(&self) {
-        self.until(Knowledge::is_ready).await;
+    pub(crate) async fn wait_until_ready(&self) {
+        self.wait_until(Knowledge::is_ready).await;
     }
 
     /// Waits until the knowledge satisfies a condition.
-    pub(crate) async fn until(&self, holds: impl Fn(&Knowledge) -> bool) {
+    pub(crate) async fn wait_until(&self, holds: impl Fn(&Knowledge) -> bool) {
         loop {
-            let told = self.inner.learnt.notified();
+            let changed = self.inner.condition_waiters.notified();
             if holds(self.core().knowledge()) {
                 return;
             }
-            told.await;
+            changed.await;
         }
     }
 
@@ -163,7 +163,7 @@
         self.inner.is_stopping.load(Ordering::Relaxed)
     }
 
-    fn unreadable(&self) -> MutexGuard<'_, Option<Unreadable>> {
+    fn lock_unreadable(&self) -> MutexGuard<'_, Option<UnreadableDocument>> {
         self.inner
             .unreadable_document
             .lock()
@@ -171,13 +171,13 @@
     }
 
     /// The document last seen in the store, if it can't be parsed, in which case an earlier one stays in force.
-    pub(crate) fn unreadable_document(&self) -> Option<Unreadable> {
-        self.unreadable().clone()
+    pub(crate) fn unreadable_document(&self) -> Option<UnreadableDocument> {
+        self.lock_unreadable().clone()
     }
 
     /// Records that the document last seen can't be parsed, or with `None` that it can. Returns whether this changed.
-    pub(crate) fn note_document(&self, unreadable: Option<Unreadable>) -> bool {
-        let mut held = self.unreadable();
+    pub(crate) fn set_unreadable_document(&self, unreadable: Option<UnreadableDocument>) -> bool {
+        let mut held = self.lock_unreadable();
         let is_news = *held != unreadable;
         *held = unreadable;
         is_news
@@ -196,11 +196,13 @@
         if knowledge.document().is_some() {
             return Some("starting: the upstreams or the evacuated zones are not known yet".to_owned());
         }
-        let why = match self.unreadable_document() {
-            Some(Unreadable { at, why }) => format!("no document: the one in the store at {at} can't be parsed: {why}"),
+        let text = match self.unreadable_document() {
+            Some(UnreadableDocument { at, reason }) => {
+                format!("no document: the one in the store at {at} can't be parsed: {reason}")
+            }
             None => "starting: no document yet".to_owned(),
         };
-        Some(why)
+        Some(text)
     }
 
     pub(crate) fn note_packet(&self, now: Time) {
--- a/crates/jayquayd/src/forward/status.rs
+++ b/crates/jayquayd/src/forward/status.rs
@@ -95,7 +95,7 @@
             document: document.map(|document| document.revision),
             document_digest: document.map(|document| document.digest().to_string()),
             unreadable_document: unreadable.as_ref().map(|unreadable| unreadable.at),
-            why_unreadable: unreadable.map(|unreadable| unreadable.why),
+            why_unreadable: unreadable.map(|unreadable| unreadable.reason),
             warnings: document.map(|document| document.warnings.clone()).unwrap_or_default(),
             upstreams_at: knowledge.upstreams_at(),
             upstreams,
--- a/crates/jayquayd/src/forward/stop.rs
+++ b/crates/jayquayd/src/forward/stop.rs
@@ -6,22 +6,22 @@
 
 /// Time without packets after which the routers count as switched away. They notice by two failed readiness checks,
 /// half a second apart, and clients retransmit lost packets after 200 ms.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
 /// Time reserved before the end of the grace period, so that the process is never killed.
-const MARGIN: Duration = Duration::from_millis(700);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 /// Interval at which the time since the last packet is checked.
-const PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until the routers send no more packets, or the grace period is nearly over.
 pub(crate) async fn wait(shared: &Shared, grace: Duration) {
     let begin = shared.now();
-    let longest = grace.saturating_sub(MARGIN);
+    let max_duration = grace.saturating_sub(SHUTDOWN_MARGIN);
     loop {
         let now = shared.now();
         let last = shared.last_packet().max(begin);
-        if now.since(last) >= SILENCE || now.since(begin) >= longest {
+        if now.since(last) >= QUIET_PERIOD || now.since(begin) >= max_duration {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/jayquayd/src/forward/store/evacuations.rs
+++ b/crates/jayquayd/src/forward/store/evacuations.rs
@@ -11,48 +11,48 @@
 use flow::Knowledge;
 use units::Position;
 
-use super::IDLE;
-use super::come_back;
-use super::link::Link;
-use super::overtaken;
-use crate::forward::rhythm::Kind;
-use crate::forward::rhythm::Rhythm;
+use super::ROLE_POLL_INTERVAL;
+use super::connection::StoreConnection;
+use super::log_stale_watch;
+use super::wait_for_new_epoch;
 use crate::forward::role::Role;
 use crate::forward::shared::Shared;
+use crate::forward::watch_schedule::ObjectKind;
+use crate::forward::watch_schedule::WatchSchedule;
 
 /// Time after startup during which an instance starts no watch. It regards itself as its zone's watcher until it has
 /// discovered the other instances, so in a fleet that starts simultaneously each instance would start a watch.
-const SETTLED: Duration = Duration::from_secs(2);
+const STARTUP_DELAY: Duration = Duration::from_secs(2);
 
 /// Keeps the set of evacuated zones up to date.
-pub(super) async fn run(store: &Store, shared: &Shared, rhythm: &Rhythm) -> Infallible {
+pub(super) async fn run(store: &Store, shared: &Shared, schedule: &WatchSchedule) -> Infallible {
     let held_at = || shared.core().knowledge().evacuations().at;
     let mut cursor = None;
-    let mut link = Link::new(Kind::Evacuations);
+    let mut connection = StoreConnection::new(ObjectKind::Evacuations);
     // Other instances usually provide all knowledge at once, and then nothing has to be read.
-    shared.until(Knowledge::has_routes_and_upstreams).await;
+    shared.wait_until(Knowledge::has_routes_and_upstreams).await;
     loop {
         let is_needed = held_at().is_unset();
-        let is_settled = shared.clock.uptime() >= SETTLED;
-        let role = Role::of(shared).filter(|_| is_needed || is_settled);
+        let is_startup_over = shared.clock.uptime() >= STARTUP_DELAY;
+        let role = Role::of(shared).filter(|_| is_needed || is_startup_over);
         let Some(role) = role else {
             cursor = None;
-            tokio::time::sleep(IDLE).await;
+            tokio::time::sleep(ROLE_POLL_INTERVAL).await;
             continue;
         };
         let result = match cursor {
             None => read(store, shared).await.map(|at| (at, false)),
             Some(since) => {
-                let wait = rhythm.wait(Kind::Evacuations, role, Instant::now());
+                let wait = schedule.wait(ObjectKind::Evacuations, role, Instant::now());
                 tokio::select! {
                     result = store.watch_evacuations(since, wait) => result,
-                    () = rhythm.doubted(Kind::Evacuations) => continue,
-                    () = come_back(shared, since) => {
+                    () = schedule.suspected(ObjectKind::Evacuations) => continue,
+                    () = wait_for_new_epoch(shared, since) => {
                         cursor = None;
                         continue;
                     }
-                    () = rhythm.overtaken(since, held_at) => {
-                        overtaken(Kind::Evacuations, since);
+                    () = schedule.stale(since, held_at) => {
+                        log_stale_watch(ObjectKind::Evacuations, since);
                         cursor = None;
                         continue;
                     }
@@ -61,13 +61,13 @@
         };
         match result {
             Ok((at, has_changed)) => {
-                link.answered();
+                connection.succeeded();
                 // The watch reports only that something changed: the zones are few and are read together.
                 cursor = Some(at).filter(|_| !has_changed);
             }
             Err(error) => {
                 cursor = cursor.filter(|_| !matches!(error, Error::HistoryGone));
-                link.failed(&error, rhythm).await;
+                connection.failed(&error, schedule).await;
             }
         }
     }
--- a/crates/jayquayd/src/forward/rhythm.rs
+++ b/crates/jayquayd/src/forward/watch_schedule.rs
@@ -22,20 +22,20 @@
 
 /// Average timeout of each watch. A call costs the same however long it waits, and the store accepts timeouts of up to
 /// 30 s, which is half as long again. If all watchers receive nothing, the once-per-second checks find out.
-const PERIOD: Duration = Duration::from_secs(20);
+const MEAN_WAIT: Duration = Duration::from_secs(20);
 /// How long a watch may lack what other instances have learnt: changes are batched for 1.5 s at most, and the answer
 /// takes time to arrive.
-const OVERTAKEN: Duration = Duration::from_secs(2);
+const STALE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of the watches of a zone's second watcher, and of watches of objects that change a few times a year.
-const SECOND_WAIT: Duration = Duration::from_secs(20);
+const SECOND_WATCHER_WAIT: Duration = Duration::from_secs(20);
 /// Minimum timeout. It is used while the watches find their alternation, and for the first watch after a failure: a
 /// store that has just recovered may accept watches and report nothing until it is consistent again, and changes must
 /// take effect within 3 s of being written.
-const SHORTEST: Duration = Duration::from_millis(1_500);
+const MIN_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Kind of object that is watched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum ObjectKind {
     /// The document.
     Document,
     /// The upstreams.
@@ -44,7 +44,7 @@
     Evacuations,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ObjectKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Document => "document",
@@ -54,7 +54,7 @@
     }
 }
 
-impl Kind {
+impl ObjectKind {
     const ALL: [Self; 3] = [Self::Document, Self::Upstreams, Self::Evacuations];
 
     /// The kind whose watch alternates with this one's. Zones are evacuated a few times a year, so their watch is not
@@ -78,86 +78,86 @@
 
 /// The deadlines of the watches.
 #[derive(Debug, Default)]
-pub struct Rhythm {
-    due: Mutex<[Option<Instant>; Kind::ALL.len()]>,
-    doubts: [Notify; Kind::ALL.len()],
-    has_failed: [AtomicBool; Kind::ALL.len()],
+pub struct WatchSchedule {
+    deadlines: Mutex<[Option<Instant>; ObjectKind::ALL.len()]>,
+    suspicions: [Notify; ObjectKind::ALL.len()],
+    has_failed: [AtomicBool; ObjectKind::ALL.len()],
 }
 
-impl Rhythm {
-    fn due(&self) -> MutexGuard<'_, [Option<Instant>; Kind::ALL.len()]> {
-        self.due.lock().unwrap_or_else(PoisonError::into_inner)
+impl WatchSchedule {
+    fn deadlines(&self) -> MutexGuard<'_, [Option<Instant>; ObjectKind::ALL.len()]> {
+        self.deadlines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Timeout of the next watch of this kind, which starts now.
-    pub fn wait(&self, kind: Kind, role: Role, now: Instant) -> Duration {
+    pub fn wait(&self, kind: ObjectKind, role: Role, now: Instant) -> Duration {
         let wait = if self.has_failed[kind.index()].swap(false, Ordering::Relaxed) {
-            SHORTEST
+            MIN_WAIT
         } else {
             match (role, kind.partner()) {
-                (Role::First, Some(partner)) => self.by_turns(partner, now),
-                (Role::First | Role::Second, _) => SECOND_WAIT,
+                (Role::First, Some(partner)) => self.alternating_wait(partner, now),
+                (Role::First | Role::Second, _) => SECOND_WATCHER_WAIT,
             }
         };
-        self.due()[kind.index()] = Some(now + wait);
+        self.deadlines()[kind.index()] = Some(now + wait);
         wait
     }
 
     /// Instances of different zones should time out at different moments, so the first timeout is random.
-    fn by_turns(&self, partner: Kind, now: Instant) -> Duration {
-        let other = self.due()[partner.index()].filter(|other| *other > now);
+    fn alternating_wait(&self, partner: ObjectKind, now: Instant) -> Duration {
+        let other = self.deadlines()[partner.index()].filter(|other| *other > now);
         match other {
-            Some(other) => by_turns(other.duration_since(now)),
-            None => rand::rng().random_range(PERIOD / 2..PERIOD + PERIOD / 2),
+            Some(other) => alternating_wait(other.duration_since(now)),
+            None => rand::rng().random_range(MEAN_WAIT / 2..MEAN_WAIT + MEAN_WAIT / 2),
         }
     }
 
     /// Records that a watch of this kind has failed.
-    pub fn note_failure(&self, kind: Kind) {
+    pub fn note_failure(&self, kind: ObjectKind) {
         self.has_failed[kind.index()].store(true, Ordering::Relaxed);
     }
 
     /// Puts the other watches in doubt, since one of this kind was not answered or its history is gone.
-    pub fn doubt_others(&self, kind: Kind) {
-        for other in Kind::ALL {
+    pub fn suspect_others(&self, kind: ObjectKind) {
+        for other in ObjectKind::ALL {
             if other != kind {
-                self.doubts[other.index()].notify_waiters();
+                self.suspicions[other.index()].notify_waiters();
             }
         }
     }
 
     /// Waits until other instances have provided changes for so long that a watch since this position should have
     /// reported them as well. `held_at` returns the position currently held.
-    pub async fn overtaken(&self, since: Position, held_at: impl Fn() -> Position) {
-        let mut overtaken_at = None;
+    pub async fn stale(&self, since: Position, held_at: impl Fn() -> Position) {
+        let mut lagging_since = None;
         loop {
-            tokio::time::sleep(OVERTAKEN / 4).await;
+            tokio::time::sleep(STALE_TIMEOUT / 4).await;
             if held_at() <= since {
                 continue;
             }
             let now = tokio::time::Instant::now();
-            if now - *overtaken_at.get_or_insert(now) >= OVERTAKEN / 2 {
+            if now - *lagging_since.get_or_insert(now) >= STALE_TIMEOUT / 2 {
                 return;
             }
         }
     }
 
     /// Waits until a watch of this kind is in doubt.
-    pub async fn doubted(&self, kind: Kind) {
-        self.doubts[kind.index()].notified().await;
+    pub async fn suspected(&self, kind: ObjectKind) {
+        self.suspicions[kind.index()].notified().await;
     }
 }
 
 /// Timeout of a watch such that it ends half a period before or after a timeout of the other one, which is due in
 /// `other`.
-fn by_turns(other: Duration) -> Duration {
+fn alternating_wait(other: Duration) -> Duration {
     // The other one may still have the longer timeout of a second watcher.
     let mut other = other;
-    while other >= PERIOD + PERIOD / 2 {
-        other -= PERIOD;
+    while other >= MEAN_WAIT + MEAN_WAIT / 2 {
+        other -= MEAN_WAIT;
     }
-    match other.checked_sub(PERIOD / 2) {
-        Some(before) if before >= SHORTEST => before,
-        Some(_) | None => other + PERIOD / 2,
+    match other.checked_sub(MEAN_WAIT / 2) {
+        Some(before) if before >= MIN_WAIT => before,
+        Some(_) | None => other + MEAN_WAIT / 2,
     }
 }
--- a/crates/jayquayd/tests/check.rs
+++ b/crates/jayquayd/tests/check.rs
@@ -7,12 +7,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use jayquayd::forward::check::Checker;
-use jayquayd::forward::check::PATIENCE;
-use jayquayd::forward::check::Question;
-use jayquayd::forward::check::REACH;
-use jayquayd::forward::check::ROUND;
-use jayquayd::forward::check::Step;
+use jayquayd::forward::check::ANSWER_TIMEOUT;
+use jayquayd::forward::check::Action;
+use jayquayd::forward::check::CheckRequest;
+use jayquayd::forward::check::CheckState;
+use jayquayd::forward::check::MAX_INSTANCES;
+use jayquayd::forward::check::ROUND_DURATION;
 use membership::Membership;
 use membership::Timing;
 use proptest::proptest;
@@ -26,7 +26,7 @@
 use wire::MemberState;
 
 /// Start of the first round.
-const BEGIN: Time = Time(1_000_000_000_000);
+const START: Time = Time(1_000_000_000_000);
 
 fn member(number: usize) -> Member {
     Member {
@@ -42,66 +42,70 @@
 /// State of a simulated fleet.
 struct Fleet {
     members: Membership,
-    checkers: Vec<Checker>,
+    states: Vec<CheckState>,
 }
 
 /// Result of a round.
 #[derive(Debug, Default)]
 struct Outcome {
     /// Time from the start of the round until an instance with access to the store called it.
-    heard_after: Option<Duration>,
+    answered_after: Option<Duration>,
     /// The instances that called the store, in order.
     callers: Vec<usize>,
 }
 
 impl Fleet {
     fn new(size: usize) -> Self {
-        let mut members = Membership::new(member(0), Timing::default(), 1, BEGIN);
+        let mut members = Membership::new(member(0), Timing::default(), 1, START);
         let gossip = Gossip {
             members: (1..size).map(member).collect(),
             ..Gossip::default()
         };
-        let teller = member(1);
+        let sender = member(1);
         let mut out = Vec::new();
-        members.handle(BEGIN, &teller.name, teller.incarnation, &Frame::News(gossip), &mut out);
+        members.handle(START, &sender.name, sender.incarnation, &Frame::News(gossip), &mut out);
         assert_eq!(members.members().count(), size);
-        let checkers = (0..size).map(|_| Checker::default()).collect();
-        Self { members, checkers }
+        let states = (0..size).map(|_| CheckState::default()).collect();
+        Self { members, states }
     }
 
     /// The instances, ordered by their rank in a round.
-    fn drawn(&self, round: u64) -> Vec<usize> {
+    fn ranked(&self, round: u64) -> Vec<usize> {
         let number = |member: &Member| member.name.as_str().trim_start_matches("entry-").parse().unwrap();
         self.members.ranked_members(round).into_iter().map(number).collect()
     }
 
     /// Simulates a round in which some instances are cut off from the store.
-    fn play(&mut self, round: u64, is_cut: impl Fn(usize) -> bool) -> Outcome {
-        let drawn = self.drawn(round);
+    fn run_round(&mut self, round: u64, is_cut_off: impl Fn(usize) -> bool) -> Outcome {
+        let ranked = self.ranked(round);
         let mut outcome = Outcome::default();
-        let mut questions = VecDeque::from([(Duration::ZERO, Question::first(round))]);
-        while let Some((after, question)) = questions.pop_front() {
-            let Some(&asked) = drawn.get(question.rank) else {
+        let mut requests = VecDeque::from([(Duration::ZERO, CheckRequest::first(round))]);
+        while let Some((after, request)) = requests.pop_front() {
+            let Some(&asked) = ranked.get(request.rank) else {
                 continue;
             };
             let now = Time(round * 1_000_000) + after;
-            let mut handed_on = None;
-            match self.checkers[asked].take(question, now) {
-                Step::Nothing => {}
-                Step::HandOn => handed_on = Some(after),
-                Step::Call => {
+            let mut forwarded_after = None;
+            match self.states[asked].decide(request, now) {
+                Action::Ignore => {}
+                Action::Forward => forwarded_after = Some(after),
+                Action::Call => {
                     outcome.callers.push(asked);
-                    if is_cut(asked) {
-                        self.checkers[asked].lose(now + PATIENCE);
-                        handed_on = Some(after + PATIENCE);
+                    if is_cut_off(asked) {
+                        self.states[asked].note_unreachable(now + ANSWER_TIMEOUT);
+                        forwarded_after = Some(after + ANSWER_TIMEOUT);
                     } else {
-                        let heard_after = outcome.heard_after.unwrap_or(after);
-                        outcome.heard_after = Some(heard_after.min(after));
+                        let answered_after = outcome.answered_after.unwrap_or(after);
+                        outcome.answered_after = Some(answered_after.min(after));
                     }
                 }
             }
-            if let Some(after) = handed_on {
-                questions.extend(question.next().map(|rank| (after, Question { rank, ..question })));
+            if let Some(after) = forwarded_after {
+                requests.extend(
+                    request
+                        .forwarded_ranks()
+                        .map(|rank| (after, CheckRequest { rank, ..request })),
+                );
             }
         }
         outcome
@@ -109,21 +113,21 @@
 }
 
 fn first_round() -> u64 {
-    BEGIN.0 / u64::try_from(ROUND.as_micros()).unwrap()
+    START.0 / u64::try_from(ROUND_DURATION.as_micros()).unwrap()
 }
 
 /// In a fleet that one round covers completely, a single instance with access to the store is enough, whichever it is:
 /// a change is found within the round and two forwarding delays.
 #[test]
 fn one_instance_that_is_left_hears_of_a_change_in_time() {
-    for size in 2..=REACH {
+    for size in 2..=MAX_INSTANCES {
         for left in 0..size {
             let mut fleet = Fleet::new(size);
             for round in first_round()..first_round() + 20 {
-                let outcome = fleet.play(round, |instance| instance != left);
-                let heard_after = outcome.heard_after;
+                let outcome = fleet.run_round(round, |instance| instance != left);
+                let answered_after = outcome.answered_after;
                 assert!(
-                    heard_after.is_some_and(|after| ROUND + after <= Duration::from_millis(1_800)),
+                    answered_after.is_some_and(|after| ROUND_DURATION + after <= Duration::from_millis(1_800)),
                     "{left} of {size} in round {round}: {outcome:?}"
                 );
             }
@@ -140,11 +144,11 @@
         let mut calls = 0;
         let rounds = 60;
         for round in first_round()..first_round() + rounds {
-            let outcome = fleet.play(round, |_| true);
-            assert!(outcome.callers.len() <= REACH, "{size}: {outcome:?}");
+            let outcome = fleet.run_round(round, |_| true);
+            assert!(outcome.callers.len() <= MAX_INSTANCES, "{size}: {outcome:?}");
             calls += outcome.callers.len();
         }
-        let most = 60 * REACH.min(size / 2 + 1);
+        let most = 60 * MAX_INSTANCES.min(size / 2 + 1);
         assert!(calls <= most, "{size}: {calls} calls");
     }
 }
@@ -154,7 +158,7 @@
     for size in [1, 8, 300] {
         let mut fleet = Fleet::new(size);
         for round in first_round()..first_round() + 20 {
-            assert_eq!(fleet.play(round, |_| false).callers.len(), 1);
+            assert_eq!(fleet.run_round(round, |_| false).callers.len(), 1);
         }
     }
 }
@@ -162,9 +166,9 @@
 /// The rank comes from the network and may be any number.
 #[test]
 fn a_question_of_any_rank_is_handed_on_to_few() {
-    for rank in [0, 1, 5, REACH, usize::MAX / 4, usize::MAX] {
-        let next = Question { round: u64::MAX, rank }.next();
-        assert!(next.len() <= 4 && next.end <= REACH, "{rank}: {next:?}");
+    for rank in [0, 1, 5, MAX_INSTANCES, usize::MAX / 4, usize::MAX] {
+        let next = CheckRequest { round: u64::MAX, rank }.forwarded_ranks();
+        assert!(next.len() <= 4 && next.end <= MAX_INSTANCES, "{rank}: {next:?}");
     }
 }
 
@@ -174,7 +178,7 @@
     let fleet = Fleet::new(8);
     let mut times = [0; 8];
     for round in 0..800 {
-        times[fleet.drawn(round)[0]] += 1;
+        times[fleet.ranked(round)[0]] += 1;
     }
     assert!(times.iter().all(|times| (70..=130).contains(times)), "{times:?}");
 }
@@ -188,19 +192,19 @@
     fn readers_that_are_cut_one_after_the_other_leave_others_that_hear(size in 4_usize..300, share in 0.1_f64..0.75) {
         let mut fleet = Fleet::new(size);
         let most = ((size as f64 * share) as usize).min(size - 1);
-        let mut cut: VecDeque<usize> = VecDeque::new();
-        let mut deaf_rounds = 0;
+        let mut recent_callers: VecDeque<usize> = VecDeque::new();
+        let mut unanswered_rounds = 0;
         for round in first_round()..first_round() + 40 {
-            let victims: BTreeSet<usize> = cut.iter().copied().collect();
-            let outcome = fleet.play(round, |instance| victims.contains(&instance));
-            deaf_rounds = if outcome.heard_after.is_some() { 0 } else { deaf_rounds + 1 };
-            assert!(deaf_rounds < 2, "{size}, {most} cut, round {round}: {outcome:?}");
+            let cut_off: BTreeSet<usize> = recent_callers.iter().copied().collect();
+            let outcome = fleet.run_round(round, |instance| cut_off.contains(&instance));
+            unanswered_rounds = if outcome.answered_after.is_some() { 0 } else { unanswered_rounds + 1 };
+            assert!(unanswered_rounds < 2, "{size}, {most} cut, round {round}: {outcome:?}");
             for caller in outcome.callers {
-                cut.retain(|held| *held != caller);
-                cut.push_back(caller);
+                recent_callers.retain(|held| *held != caller);
+                recent_callers.push_back(caller);
             }
-            while cut.len() > most {
-                cut.pop_front();
+            while recent_callers.len() > most {
+                recent_callers.pop_front();
             }
         }
     }
--- a/crates/jayquayd/tests/flows/told.rs
+++ b/crates/jayquayd/tests/flows/compression.rs
@@ -7,9 +7,9 @@
 use adapter_standin::Fault;
 use flow::UpstreamId;
 
-use crate::world::ROUTE;
-use crate::world::World;
-use crate::world::until;
+use crate::cluster::ROUTE;
+use crate::cluster::World;
+use crate::cluster::until;
 
 /// Enough upstreams for a list to be compressed.
 const UPSTREAMS: u64 = 600;
--- a/crates/jayquayd/tests/flows/history.rs
+++ b/crates/jayquayd/tests/flows/lost_history.rs
@@ -8,9 +8,9 @@
 use adapter_standin::Fault;
 use flow::UpstreamId;
 
-use crate::world::ROUTE;
-use crate::world::World;
-use crate::world::until;
+use crate::cluster::ROUTE;
+use crate::cluster::World;
+use crate::cluster::until;
 
 const UPSTREAMS: u64 = 60;
 /// Number of calls to read a whole list, at three upstreams per page.
--- a/crates/jayquayd/tests/flows/main.rs
+++ b/crates/jayquayd/tests/flows/main.rs
@@ -1,11 +1,11 @@
 //! Tests of the flow mode with real processes on loopback: instances, the platform's store, upstreams and clients.
 
-mod explain;
-mod history;
-mod older_copy;
-mod told;
+mod cluster;
+mod compression;
+mod lost_history;
+mod observability;
+mod store_restore;
 mod watchers;
-mod world;
 mod zones;
 
 use std::fs;
@@ -19,13 +19,13 @@
 use adapter_standin::Upstream;
 use flow::UpstreamId;
 
-use crate::world::PAUSE;
-use crate::world::ROUTE;
-use crate::world::TRIES;
-use crate::world::World;
-use crate::world::answer;
-use crate::world::until;
-use crate::world::until_open;
+use crate::cluster::PAUSE;
+use crate::cluster::ROUTE;
+use crate::cluster::TRIES;
+use crate::cluster::World;
+use crate::cluster::answer;
+use crate::cluster::until;
+use crate::cluster::until_open;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_flow_stays_whole_while_its_instance_is_stopped_and_replaced() {
--- a/crates/jayquayd/tests/flows/explain.rs
+++ b/crates/jayquayd/tests/flows/observability.rs
@@ -6,11 +6,11 @@
 use adapter_standin::Seen;
 use flow::UpstreamId;
 
-use crate::world::ROUTE;
-use crate::world::World;
-use crate::world::answer;
-use crate::world::until;
-use crate::world::until_open;
+use crate::cluster::ROUTE;
+use crate::cluster::World;
+use crate::cluster::answer;
+use crate::cluster::until;
+use crate::cluster::until_open;
 
 /// The value of a metric line.
 fn value(metrics: &str, line: &str) -> Option<f64> {
@@ -36,12 +36,12 @@
     assert_eq!(client.ask(b"a", entry.packets()).await.unwrap(), answer("far: a"));
     let waited = "jayquay_flow_response_seconds_count{zone=\"other\"}";
     let mut metrics = String::new();
-    for _ in 0..crate::world::TRIES {
+    for _ in 0..crate::cluster::TRIES {
         metrics = world.metrics(1).await;
         if value(&metrics, waited).is_some() {
             break;
         }
-        tokio::time::sleep(crate::world::PAUSE).await;
+        tokio::time::sleep(crate::cluster::PAUSE).await;
     }
     for (line, expected) in [
         (waited, 1.0),
--- a/crates/jayquayd/tests/flows/older_copy.rs
+++ b/crates/jayquayd/tests/flows/store_restore.rs
@@ -13,12 +13,12 @@
 use adapter_standin::Upstream;
 use flow::UpstreamId;
 
-use crate::world::PAUSE;
-use crate::world::ROUTE;
-use crate::world::TRIES;
-use crate::world::World;
-use crate::world::until;
-use crate::world::until_open;
+use crate::cluster::PAUSE;
+use crate::cluster::ROUTE;
+use crate::cluster::TRIES;
+use crate::cluster::World;
+use crate::cluster::until;
+use crate::cluster::until_open;
 
 /// A route that only this version of the document has.
 fn own_route(version: u64) -> SocketAddrV4 {
--- a/crates/jayquayd/tests/flows/watchers.rs
+++ b/crates/jayquayd/tests/flows/watchers.rs
@@ -1,11 +1,11 @@
 //! Selection of the instances that watch the store.
 
-use crate::world::Instance;
-use crate::world::PAUSE;
-use crate::world::ROUTE;
-use crate::world::TRIES;
-use crate::world::World;
-use crate::world::until;
+use crate::cluster::Instance;
+use crate::cluster::PAUSE;
+use crate::cluster::ROUTE;
+use crate::cluster::TRIES;
+use crate::cluster::World;
+use crate::cluster::until;
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
--- a/crates/jayquayd/tests/flows/zones.rs
+++ b/crates/jayquayd/tests/flows/zones.rs
@@ -3,13 +3,13 @@
 use adapter_standin::Fault;
 use adapter_standin::Seen;
 
-use crate::world::PAUSE;
-use crate::world::ROUTE;
-use crate::world::TRIES;
-use crate::world::World;
-use crate::world::answer;
-use crate::world::until;
-use crate::world::until_open;
+use crate::cluster::PAUSE;
+use crate::cluster::ROUTE;
+use crate::cluster::TRIES;
+use crate::cluster::World;
+use crate::cluster::answer;
+use crate::cluster::until;
+use crate::cluster::until_open;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_that_is_emptied_keeps_its_flows_and_gets_new_ones_when_it_is_taken_back() {
--- a/crates/jayquayd/tests/rhythm.rs
+++ b/crates/jayquayd/tests/watch_schedule.rs
@@ -4,25 +4,25 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use jayquayd::forward::rhythm::Kind;
-use jayquayd::forward::rhythm::Rhythm;
 use jayquayd::forward::role::Role;
+use jayquayd::forward::watch_schedule::ObjectKind;
+use jayquayd::forward::watch_schedule::WatchSchedule;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use units::Revision;
 
 /// Simulates watches that are answered at their timeout, or earlier with a change. Returns the times of all answers.
-fn answers(rhythm: &Rhythm, seed: u64, change_share: f64) -> Vec<Duration> {
+fn answers(schedule: &WatchSchedule, seed: u64, change_share: f64) -> Vec<Duration> {
     let mut rng = StdRng::seed_from_u64(seed);
     let begin = Instant::now();
-    let mut due = [Kind::Document, Kind::Upstreams].map(|kind| (kind, Duration::ZERO));
+    let mut due = [ObjectKind::Document, ObjectKind::Upstreams].map(|kind| (kind, Duration::ZERO));
     let mut answers = Vec::new();
     for _ in 0..2_000 {
         due.sort_by_key(|(_, at)| *at);
         let (kind, at) = due[0];
         answers.push(at);
-        let mut wait = rhythm.wait(kind, Role::First, begin + at);
+        let mut wait = schedule.wait(kind, Role::First, begin + at);
         if rng.random_bool(change_share) {
             wait = wait.mul_f64(rng.random());
         }
@@ -38,7 +38,7 @@
 
 #[test]
 fn without_changes_one_watch_is_due_every_ten_seconds() {
-    let answers = answers(&Rhythm::default(), 1, 0.0);
+    let answers = answers(&WatchSchedule::default(), 1, 0.0);
     // The first timeouts are random.
     let settled = &answers[4..];
     assert_eq!(longest_gap(settled), Duration::from_secs(10));
@@ -52,7 +52,7 @@
 #[test]
 fn with_changes_at_any_moment_one_is_due_within_fifteen_seconds() {
     for seed in 0..20 {
-        let answers = answers(&Rhythm::default(), seed, 0.3);
+        let answers = answers(&WatchSchedule::default(), seed, 0.3);
         let gap = longest_gap(&answers[4..]);
         assert!(gap <= Duration::from_secs(15), "seed {seed}: {gap:?}");
     }
@@ -60,43 +60,43 @@
 
 #[test]
 fn after_a_failure_the_next_wait_is_short_and_only_that_one() {
-    let rhythm = Rhythm::default();
+    let schedule = WatchSchedule::default();
     let now = Instant::now();
-    rhythm.note_failure(Kind::Document);
+    schedule.note_failure(ObjectKind::Document);
     for role in [Role::First, Role::Second] {
-        let other = rhythm.wait(Kind::Upstreams, role, now);
+        let other = schedule.wait(ObjectKind::Upstreams, role, now);
         assert!(other > Duration::from_millis(1_500), "{role:?}: {other:?}");
     }
-    let short = rhythm.wait(Kind::Document, Role::Second, now);
+    let short = schedule.wait(ObjectKind::Document, Role::Second, now);
     assert_eq!(short, Duration::from_millis(1_500));
-    let usual = rhythm.wait(Kind::Document, Role::Second, now);
+    let usual = schedule.wait(ObjectKind::Document, Role::Second, now);
     assert_eq!(usual, Duration::from_secs(20));
 }
 
 #[tokio::test]
 async fn doubt_ends_the_other_watch_and_not_its_own() {
-    let rhythm = Rhythm::default();
+    let schedule = WatchSchedule::default();
     let waits = async {
         tokio::select! {
-            () = rhythm.doubted(Kind::Document) => Kind::Document,
-            () = rhythm.doubted(Kind::Upstreams) => Kind::Upstreams,
+            () = schedule.suspected(ObjectKind::Document) => ObjectKind::Document,
+            () = schedule.suspected(ObjectKind::Upstreams) => ObjectKind::Upstreams,
         }
     };
-    let doubts = async {
+    let suspicion = async {
         tokio::task::yield_now().await;
-        rhythm.doubt_others(Kind::Document);
+        schedule.suspect_others(ObjectKind::Document);
     };
-    let (ended, ()) = tokio::join!(waits, doubts);
-    assert_eq!(ended, Kind::Upstreams);
+    let (ended, ()) = tokio::join!(waits, suspicion);
+    assert_eq!(ended, ObjectKind::Upstreams);
 }
 
 #[test]
 fn a_second_watcher_that_becomes_the_first_finds_its_turns_at_once() {
-    let rhythm = Rhythm::default();
+    let schedule = WatchSchedule::default();
     let now = Instant::now();
-    rhythm.wait(Kind::Upstreams, Role::Second, now);
+    schedule.wait(ObjectKind::Upstreams, Role::Second, now);
     for seconds in 0..20 {
-        let wait = rhythm.wait(Kind::Document, Role::First, now + Duration::from_secs(seconds));
+        let wait = schedule.wait(ObjectKind::Document, Role::First, now + Duration::from_secs(seconds));
         assert!(wait <= Duration::from_secs(30), "after {seconds} s: {wait:?}");
     }
 }
@@ -105,14 +105,14 @@
 /// seconds, however long its remaining timeout.
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_others_overtake_is_found_out_within_two_seconds() {
-    let rhythm = Rhythm::default();
+    let schedule = WatchSchedule::default();
     let held = Cell::new(Revision(7));
     let begin = tokio::time::Instant::now();
-    let overtaken = rhythm.overtaken(Revision(7).into(), || held.get().into());
-    tokio::pin!(overtaken);
-    let quiet = tokio::time::timeout(Duration::from_mins(1), &mut overtaken).await;
-    assert!(quiet.is_err(), "without changes the watch is not stale");
+    let stale = schedule.stale(Revision(7).into(), || held.get().into());
+    tokio::pin!(stale);
+    let unchanged = tokio::time::timeout(Duration::from_mins(1), &mut stale).await;
+    assert!(unchanged.is_err(), "without changes the watch is not stale");
     held.set(Revision(8));
-    overtaken.await;
+    stale.await;
     assert!(begin.elapsed() <= Duration::from_mins(1) + Duration::from_secs(2));
 }
