--- a/crates/jayquayd/examples/flow_fleet.rs
+++ b/crates/jayquayd/examples/flow_fleet.rs
@@ -22,18 +22,18 @@
 use reqwest::Client;
 
 /// Number of instances in each fleet.
-const FLEETS: [usize; 4] = [8, 32, 128, 300];
+const FLEET_SIZES: [usize; 4] = [8, 32, 128, 300];
 const ZONES: usize = 4;
 const UPSTREAMS: u64 = 150;
 /// Time for a fleet to discover all members and distribute the membership: at 128 instances, gossip traffic was still
 /// decreasing after 15 s.
-const SETTLE: Duration = Duration::from_secs(45);
+const WARM_UP: Duration = Duration::from_secs(45);
 /// Duration of each measurement, at rest and with changes.
 const SPAN: Duration = Duration::from_secs(12);
-const CHANGE: Duration = Duration::from_secs(1);
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
 /// Clock ticks per second of the CPU times in `/proc/ID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-const PAGE_KB: u64 = 4;
+const PAGE_SIZE_KB: u64 = 4;
 
 /// An instance process. Dropping it kills the process.
 struct Instance {
@@ -50,7 +50,7 @@
 
 /// Measurements of one instance.
 #[derive(Debug, Default, Clone, Copy)]
-struct Reading {
+struct Measurement {
     cpu: f64,
     sent: f64,
     calls: f64,
@@ -64,12 +64,12 @@
         .map(PathBuf::from)
         .expect("the first argument is the path of the daemon's binary");
     println!("instances  state    cpu % (median, most)  sent B/s (median, most)  store calls/s in all  memory KB");
-    for count in FLEETS {
-        measure(count, &binary).await;
+    for count in FLEET_SIZES {
+        run_fleet(count, &binary).await;
     }
 }
 
-async fn measure(count: usize, binary: &Path) {
+async fn run_fleet(count: usize, binary: &Path) {
     let store = Store::start().await.expect("loopback has a free port");
     for id in 1..=UPSTREAMS {
         put(&store, id);
@@ -85,12 +85,12 @@
     let instances: Vec<Instance> = (0..count)
         .map(|number| start(number, port, &store, binary, &folder))
         .collect();
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(WARM_UP).await;
     report(count, "at rest", &instances, async { tokio::time::sleep(SPAN).await }).await;
     let changes = async {
         for id in 1..=SPAN.as_secs() {
             put(&store, id);
-            tokio::time::sleep(CHANGE).await;
+            tokio::time::sleep(CHANGE_INTERVAL).await;
         }
     };
     report(count, "changes", &instances, changes).await;
@@ -134,18 +134,18 @@
 
 /// Measures all instances while `span` runs, and prints the cost per instance.
 async fn report(count: usize, state: &str, instances: &[Instance], span: impl Future<Output = ()>) {
-    let before = read(instances).await;
+    let before = measure_all(instances).await;
     span.await;
-    let after = read(instances).await;
+    let after = measure_all(instances).await;
     let seconds = SPAN.as_secs_f64();
-    let each = |of: fn(&Reading) -> f64| {
+    let each = |of: fn(&Measurement) -> f64| {
         let rates = before.iter().zip(&after).map(|(a, b)| (of(b) - of(a)) / seconds);
         let mut rates: Vec<f64> = rates.collect();
         rates.sort_unstable_by(f64::total_cmp);
         rates
     };
     let (cpu, sent, calls) = (each(|r| r.cpu), each(|r| r.sent), each(|r| r.calls));
-    let mut memory: Vec<u64> = after.iter().map(|reading| reading.memory_kb).collect();
+    let mut memory: Vec<u64> = after.iter().map(|measurement| measurement.memory_kb).collect();
     memory.sort_unstable();
     println!(
         "{count:>9}  {state}  {:>8.3} {:>8.3}  {:>12.0} {:>8.0}  {:>20.2}  {:>9}",
@@ -158,25 +158,25 @@
     );
 }
 
-async fn read(instances: &[Instance]) -> Vec<Reading> {
+async fn measure_all(instances: &[Instance]) -> Vec<Measurement> {
     let client = Client::builder()
         .no_proxy()
         .build()
         .expect("the client has valid options");
-    let mut readings = Vec::new();
+    let mut measurements = Vec::new();
     for instance in instances {
         let url = format!("http://{}/metrics", instance.peers);
         let answer = client.get(url).send().await.expect("the instance answers");
         let text = answer.text().await.expect("the answer is text");
         let id = instance.child.id();
-        readings.push(Reading {
+        measurements.push(Measurement {
             cpu: cpu_seconds(id),
             sent: sum(&text, "jayquay_frame_bytes_sent_total"),
             calls: sum(&text, "jayquay_store_calls_total"),
             memory_kb: resident_kb(id),
         });
     }
-    readings
+    measurements
 }
 
 /// Sums a counter over all its labels.
@@ -198,5 +198,5 @@
 fn resident_kb(id: u32) -> u64 {
     let statm = fs::read_to_string(format!("/proc/{id}/statm")).expect("the process is running");
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE_KB
+    pages.unwrap_or(0) * PAGE_SIZE_KB
 }
--- a/crates/jayquayd/tests/check.rs
+++ b/crates/jayquayd/tests/check.rs
@@ -119,7 +119,7 @@
 /// In a fleet that one round covers completely, a single instance with access to the store is enough, whichever it is:
 /// a change is found within the round and two forwarding delays.
 #[test]
-fn one_instance_that_is_left_hears_of_a_change_in_time() {
+fn one_remaining_instance_finds_a_change_in_time() {
     for size in 2..=MAX_INSTANCES {
         for left in 0..size {
             let mut fleet = Fleet::new(size);
@@ -165,7 +165,7 @@
 
 /// The rank comes from the network and may be any number.
 #[test]
-fn a_question_of_any_rank_is_handed_on_to_few() {
+fn a_request_of_any_rank_is_forwarded_to_few() {
     for rank in [0, 1, 5, MAX_INSTANCES, usize::MAX / 4, usize::MAX] {
         let next = CheckRequest { round: u64::MAX, rank }.forwarded_ranks();
         assert!(next.len() <= 4 && next.end <= MAX_INSTANCES, "{rank}: {next:?}");
@@ -174,7 +174,7 @@
 
 /// Selection is spread evenly over the instances.
 #[test]
-fn each_instance_is_drawn_about_as_often() {
+fn each_instance_is_selected_about_as_often() {
     let fleet = Fleet::new(8);
     let mut times = [0; 8];
     for round in 0..800 {
@@ -189,7 +189,7 @@
     /// In each round, the instances that called the store last are cut off, up to a share of the fleet, and the
     /// earliest ones regain access.
     #[test]
-    fn readers_that_are_cut_one_after_the_other_leave_others_that_hear(size in 4_usize..300, share in 0.1_f64..0.75) {
+    fn instances_cut_off_one_after_another_leave_others_that_find_changes(size in 4_usize..300, share in 0.1_f64..0.75) {
         let mut fleet = Fleet::new(size);
         let most = ((size as f64 * share) as usize).min(size - 1);
         let mut recent_callers: VecDeque<usize> = VecDeque::new();
--- a/crates/jayquayd/tests/flows/cluster.rs
+++ b/crates/jayquayd/tests/flows/cluster.rs
@@ -28,11 +28,11 @@
 pub(crate) const ROUTE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
 /// Gives each test its own loopback subnet, so that all its processes can use the same ports.
-static NEXT_NET: AtomicU8 = AtomicU8::new(1);
+static NEXT_SUBNET: AtomicU8 = AtomicU8::new(1);
 
 /// A test system on a loopback subnet.
-pub(crate) struct World {
-    net: u8,
+pub(crate) struct Cluster {
+    subnet: u8,
     /// The port for packets, on every host.
     pub(crate) packets: u16,
     ready: u16,
@@ -44,7 +44,7 @@
 pub(crate) struct Instance {
     pub(crate) child: Child,
     ip: Ipv4Addr,
-    world: (u16, u16),
+    ports: (u16, u16),
 }
 
 impl Drop for Instance {
@@ -56,7 +56,7 @@
 
 impl Instance {
     pub(crate) fn packets(&self) -> SocketAddr {
-        SocketAddr::from((self.ip, self.world.0))
+        SocketAddr::from((self.ip, self.ports.0))
     }
 
     pub(crate) fn signal(&self, signal: &str) {
@@ -66,7 +66,7 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        let url = SocketAddr::from((self.ip, self.world.1));
+        let url = SocketAddr::from((self.ip, self.ports.1));
         let Ok(mut stream) = std::net::TcpStream::connect_timeout(&url, PAUSE) else {
             return false;
         };
@@ -78,25 +78,25 @@
 }
 
 /// A free port on this subnet.
-fn free_port(net: u8) -> u16 {
-    let socket = UdpSocket::bind((Ipv4Addr::new(127, net, 0, 1), 0)).unwrap();
+fn free_port(subnet: u8) -> u16 {
+    let socket = UdpSocket::bind((Ipv4Addr::new(127, subnet, 0, 1), 0)).unwrap();
     socket.local_addr().unwrap().port()
 }
 
-impl World {
+impl Cluster {
     pub(crate) async fn new() -> Self {
-        let net = 64 + NEXT_NET.fetch_add(1, Ordering::Relaxed);
+        let subnet = 64 + NEXT_SUBNET.fetch_add(1, Ordering::Relaxed);
         Self {
-            net,
-            packets: free_port(net),
-            ready: free_port(net),
-            peers: free_port(net),
+            subnet,
+            packets: free_port(subnet),
+            ready: free_port(subnet),
+            peers: free_port(subnet),
             store: Store::start().await.unwrap(),
         }
     }
 
     pub(crate) fn ip(&self, group: u8, number: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.net, group, number)
+        Ipv4Addr::new(127, self.subnet, group, number)
     }
 
     /// Settings of an instance in the first zone, with the first instance as its seed.
@@ -118,7 +118,7 @@
     }
 
     pub(crate) fn path(&self, number: u8) -> PathBuf {
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("flows-{}-{number}.yaml", self.net))
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("flows-{}-{number}.yaml", self.subnet))
     }
 
     fn log_path(&self, number: u8) -> PathBuf {
@@ -158,13 +158,13 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let world = (self.packets, self.ready);
-        Instance { child, ip, world }
+        let ports = (self.packets, self.ready);
+        Instance { child, ip, ports }
     }
 
     pub(crate) async fn start_ready(&self, number: u8) -> Instance {
         let instance = self.start(number);
-        until("the instance is ready", || instance.is_ready()).await;
+        wait_until("the instance is ready", || instance.is_ready()).await;
         instance
     }
 
@@ -197,7 +197,7 @@
     }
 }
 
-pub(crate) async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..TRIES {
         if holds() {
             return;
@@ -208,7 +208,7 @@
 }
 
 /// Opens flows until one has the expected outcome, since a change in the store takes a moment to reach the instances.
-pub(crate) async fn until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Seen) {
+pub(crate) async fn wait_until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Seen) {
     for _ in 0..TRIES {
         if client.open(route, through).await.unwrap() == *expected {
             return;
--- a/crates/jayquayd/tests/flows/main.rs
+++ b/crates/jayquayd/tests/flows/main.rs
@@ -19,31 +19,31 @@
 use adapter_standin::Upstream;
 use flow::UpstreamId;
 
+use crate::cluster::Cluster;
 use crate::cluster::PAUSE;
 use crate::cluster::ROUTE;
 use crate::cluster::TRIES;
-use crate::cluster::World;
 use crate::cluster::answer;
-use crate::cluster::until;
-use crate::cluster::until_open;
+use crate::cluster::wait_until;
+use crate::cluster::wait_until_open;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_flow_stays_whole_while_its_instance_is_stopped_and_replaced() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let upstream = world.upstream(0xa1, "one", "search").await;
-    let mut first = world.start_ready(1).await;
-    let second = world.start_ready(2).await;
-    let mut client = world.client(1).await;
+async fn a_flow_survives_the_stop_and_replacement_of_its_instance() {
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let upstream = cluster.upstream(0xa1, "one", "search").await;
+    let mut first = cluster.start_ready(1).await;
+    let second = cluster.start_ready(2).await;
+    let mut client = cluster.client(1).await;
     assert_eq!(client.open(ROUTE, first.packets()).await.unwrap(), Seen::Opened);
     assert_eq!(client.ask(b"a", first.packets()).await.unwrap(), answer("one: a"));
     assert_eq!(client.ask(b"b", second.packets()).await.unwrap(), answer("one: b"));
     first.signal("TERM");
-    until("the stopping instance is not ready", || !first.is_ready()).await;
+    wait_until("the stopping instance is not ready", || !first.is_ready()).await;
     assert_eq!(client.ask(b"c", first.packets()).await.unwrap(), answer("one: c"));
     let status = first.child.wait().unwrap();
     assert_eq!(status.code(), Some(0));
-    let first = world.start_ready(1).await;
+    let first = cluster.start_ready(1).await;
     assert_eq!(client.ask(b"d", first.packets()).await.unwrap(), answer("one: d"));
     assert_eq!(upstream.opened(), 1);
     assert_eq!(upstream.strays(), 0);
@@ -51,137 +51,137 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_packet_never_reaches_the_next_upstream_at_an_address() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let old = world.upstream(0xb1, "old", "search").await;
-    let entry = world.start_ready(1).await;
-    let mut client = world.client(1).await;
-    assert_eq!(client.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let old = cluster.upstream(0xb1, "old", "search").await;
+    let instance = cluster.start_ready(1).await;
+    let mut client = cluster.client(1).await;
+    assert_eq!(client.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
     let address = old.address();
     old.crash().await;
-    world.store.remove_upstream(UpstreamId(0xb1));
-    let new = world.upstream_at(0xb2, "new", "photos", address).await;
-    client.send(b"late", entry.packets()).await.unwrap();
-    until("the packet arrives at the address", || new.strays() > 0).await;
+    cluster.store.remove_upstream(UpstreamId(0xb1));
+    let new = cluster.upstream_at(0xb2, "new", "photos", address).await;
+    client.send(b"late", instance.packets()).await.unwrap();
+    wait_until("the packet arrives at the address", || new.strays() > 0).await;
     assert_eq!(new.opened(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_upstream_keeps_its_flows_and_gets_no_new_ones() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let leaving = world.upstream(0xc1, "leaving", "search").await;
-    let entry = world.start_ready(1).await;
-    let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
-    let _staying = world.upstream(0xc2, "staying", "search").await;
-    world
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let leaving = cluster.upstream(0xc1, "leaving", "search").await;
+    let instance = cluster.start_ready(1).await;
+    let mut old = cluster.client(1).await;
+    assert_eq!(old.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
+    let _staying = cluster.upstream(0xc2, "staying", "search").await;
+    cluster
         .store
         .put_upstream(UpstreamId(0xc1), "search", leaving.address(), "zone-a", "draining");
     // Changes are applied in order, so once the last document's route is in force, so is the change of the upstream.
     let marker = SocketAddrV4::new(*ROUTE.ip(), 444);
-    let _mark = world.upstream(0xc3, "mark", "mark").await;
-    world.store.put_document(2, &[(ROUTE, "search"), (marker, "mark")]);
-    let mut new = world.client(2).await;
-    until_open(&mut new, marker, entry.packets(), &Seen::Opened).await;
+    let _mark = cluster.upstream(0xc3, "mark", "mark").await;
+    cluster.store.put_document(2, &[(ROUTE, "search"), (marker, "mark")]);
+    let mut new = cluster.client(2).await;
+    wait_until_open(&mut new, marker, instance.packets(), &Seen::Opened).await;
     let before = leaving.opened();
     for _ in 0..20 {
-        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
-        assert_eq!(new.ask(b"q", entry.packets()).await.unwrap(), answer("staying: q"));
+        assert_eq!(new.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(new.ask(b"q", instance.packets()).await.unwrap(), answer("staying: q"));
     }
     assert_eq!(leaving.opened(), before);
-    assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), answer("leaving: a"));
+    assert_eq!(old.ask(b"a", instance.packets()).await.unwrap(), answer("leaving: a"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn routes_come_and_go_with_the_document_and_leave_open_flows_alone() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let _upstream = world.upstream(0xd1, "one", "search").await;
-    let entry = world.start_ready(1).await;
-    let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
-    world.store.put_document(2, &[]);
-    let mut new = world.client(2).await;
-    until_open(&mut new, ROUTE, entry.packets(), &Seen::Reset).await;
-    assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), answer("one: a"));
-    world.store.put_document(3, &[(ROUTE, "search")]);
-    until_open(&mut new, ROUTE, entry.packets(), &Seen::Opened).await;
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let _upstream = cluster.upstream(0xd1, "one", "search").await;
+    let instance = cluster.start_ready(1).await;
+    let mut old = cluster.client(1).await;
+    assert_eq!(old.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
+    cluster.store.put_document(2, &[]);
+    let mut new = cluster.client(2).await;
+    wait_until_open(&mut new, ROUTE, instance.packets(), &Seen::Reset).await;
+    assert_eq!(old.ask(b"a", instance.packets()).await.unwrap(), answer("one: a"));
+    cluster.store.put_document(3, &[(ROUTE, "search")]);
+    wait_until_open(&mut new, ROUTE, instance.packets(), &Seen::Opened).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_is_ready_only_with_a_document_and_upstreams() {
-    let world = World::new().await;
+    let cluster = Cluster::new().await;
     for fault in [Fault::Busy, Fault::Many, Fault::Silent, Fault::Garbage] {
-        world.store.set_fault(fault);
-        let entry = world.start(1);
-        until("the store was called", || world.store.calls() > 2).await;
-        assert!(!entry.is_ready(), "{fault:?}");
+        cluster.store.set_fault(fault);
+        let instance = cluster.start(1);
+        wait_until("the store was called", || cluster.store.calls() > 2).await;
+        assert!(!instance.is_ready(), "{fault:?}");
     }
-    world.store.set_fault(Fault::None);
-    let entry = world.start(1);
-    until("the store was called", || world.store.calls() > 2).await;
-    assert!(!entry.is_ready(), "without a document");
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    until("the instance is ready", || entry.is_ready()).await;
+    cluster.store.set_fault(Fault::None);
+    let instance = cluster.start(1);
+    wait_until("the store was called", || cluster.store.calls() > 2).await;
+    assert!(!instance.is_ready(), "without a document");
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    wait_until("the instance is ready", || instance.is_ready()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_newcomer_learns_from_others_while_the_store_is_silent() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let _upstream = world.upstream(0xe1, "one", "search").await;
-    let _first = world.start_ready(1).await;
-    world.store.set_fault(Fault::Silent);
-    let second = world.start_ready(2).await;
-    let mut client = world.client(1).await;
+async fn a_new_instance_learns_from_others_while_the_store_is_silent() {
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let _upstream = cluster.upstream(0xe1, "one", "search").await;
+    let _first = cluster.start_ready(1).await;
+    cluster.store.set_fault(Fault::Silent);
+    let second = cluster.start_ready(2).await;
+    let mut client = cluster.client(1).await;
     assert_eq!(client.open(ROUTE, second.packets()).await.unwrap(), Seen::Opened);
     assert_eq!(client.ask(b"a", second.packets()).await.unwrap(), answer("one: a"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_changed_is_known_after_the_history_is_gone_and_garbage_is_skipped() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let entry = world.start_ready(1).await;
-    let mut client = world.client(1).await;
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let instance = cluster.start_ready(1).await;
+    let mut client = cluster.client(1).await;
     assert_eq!(
-        client.open(ROUTE, entry.packets()).await.unwrap(),
+        client.open(ROUTE, instance.packets()).await.unwrap(),
         Seen::Reset,
         "no upstream"
     );
-    world.store.set_fault(Fault::Busy);
-    world
+    cluster.store.set_fault(Fault::Busy);
+    cluster
         .store
         .put("servers", "i-nonsense", serde_json::json!({"service": 7}));
-    world.store.put("config", "other", serde_json::json!([]));
+    cluster.store.put("config", "other", serde_json::json!([]));
     let _upstreams = [
-        world.upstream(0xf1, "one", "search").await,
-        world.upstream(0xf2, "two", "search").await,
-        world.upstream(0xf3, "three", "search").await,
-        world.upstream(0xf4, "four", "photos").await,
+        cluster.upstream(0xf1, "one", "search").await,
+        cluster.upstream(0xf2, "two", "search").await,
+        cluster.upstream(0xf3, "three", "search").await,
+        cluster.upstream(0xf4, "four", "photos").await,
     ];
-    world.store.put_document(2, &[(ROUTE, "photos")]);
-    world.store.compact();
-    world.store.set_fault(Fault::None);
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+    cluster.store.put_document(2, &[(ROUTE, "photos")]);
+    cluster.store.compact();
+    cluster.store.set_fault(Fault::None);
+    wait_until_open(&mut client, ROUTE, instance.packets(), &Seen::Opened).await;
     for _ in 0..TRIES {
-        if client.ask(b"a", entry.packets()).await.unwrap() == answer("four: a") {
+        if client.ask(b"a", instance.packets()).await.unwrap() == answer("four: a") {
             return;
         }
-        until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+        wait_until_open(&mut client, ROUTE, instance.packets(), &Seen::Opened).await;
     }
     panic!("the new document never came into force");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changed_settings_are_taken_with_a_signal_and_without_and_wrong_ones_are_not() {
-    let world = World::new().await;
-    world.store.put_document(1, &[]);
-    let entry = world.start_ready(1).await;
-    let mut client = world.client(1).await;
+async fn changed_settings_apply_with_and_without_a_signal_and_invalid_ones_do_not() {
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[]);
+    let instance = cluster.start_ready(1).await;
+    let mut client = cluster.client(1).await;
     assert_eq!(
-        client.open(ROUTE, entry.packets()).await.unwrap(),
+        client.open(ROUTE, instance.packets()).await.unwrap(),
         Seen::Reset,
         "no route"
     );
@@ -192,31 +192,31 @@
     let upstream = Upstream::start(
         UpstreamId(0x71),
         "one",
-        SocketAddrV4::new(world.ip(3, 1), 0),
-        world.packets,
+        SocketAddrV4::new(cluster.ip(3, 1), 0),
+        cluster.packets,
     );
     let upstream = upstream.await.unwrap();
     next.put_upstream(UpstreamId(0x71), "search", upstream.address(), "zone-a", "ready");
     next.put_document(2, &[(ROUTE, "search")]);
-    fs::write(world.path(1), "store: nonsense").unwrap();
-    entry.signal("HUP");
+    fs::write(cluster.path(1), "store: nonsense").unwrap();
+    instance.signal("HUP");
     tokio::time::sleep(PAUSE).await;
-    assert!(entry.is_ready(), "wrong settings change nothing");
+    assert!(instance.is_ready(), "wrong settings change nothing");
     // Without a signal, the file is checked every two seconds.
-    fs::write(world.path(1), world.settings(1, &next)).unwrap();
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+    fs::write(cluster.path(1), cluster.settings(1, &next)).unwrap();
+    wait_until_open(&mut client, ROUTE, instance.packets(), &Seen::Opened).await;
     let third = Store::start().await.unwrap();
     for _ in 0..20 {
         third.put("other", "name", serde_json::json!(1));
     }
     third.put_document(3, &[]);
-    fs::write(world.path(1), world.settings(1, &third)).unwrap();
-    entry.signal("HUP");
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Reset).await;
+    fs::write(cluster.path(1), cluster.settings(1, &third)).unwrap();
+    instance.signal("HUP");
+    wait_until_open(&mut client, ROUTE, instance.packets(), &Seen::Reset).await;
 }
 
 #[test]
-fn wrong_settings_of_the_flow_mode_are_bad_usage() {
+fn invalid_settings_of_the_flow_mode_are_usage_errors() {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("flows-wrong.yaml");
     let cases = [
         ("name: a", "missing field"),
@@ -247,26 +247,29 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_that_cannot_be_read_keep_nobody_from_starting_and_name_no_upstream() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let was_good = world.upstream(0xa11, "was good", "search").await;
-    let _good = world.upstream(0xa12, "good", "search").await;
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let was_good = cluster.upstream(0xa11, "was good", "search").await;
+    let _good = cluster.upstream(0xa12, "good", "search").await;
     let bytes = b"{\"meta\":{\"name\":\"i-0000000a11\",\"rev\":9},\"spec\":{\"service\":\"\xff".to_vec();
-    let running = world.start_ready(1).await;
-    world.store.put_bytes("servers", "i-0000000a11", bytes);
-    world.store.put_bytes("servers", "i-0000000a13", b"nonsense".to_vec());
-    let newcomer = world.start_ready(2).await;
-    until("the unreadable entry is logged", || {
-        world.log(2).contains("store: unreadable entry")
+    let running = cluster.start_ready(1).await;
+    cluster.store.put_bytes("servers", "i-0000000a11", bytes);
+    cluster.store.put_bytes("servers", "i-0000000a13", b"nonsense".to_vec());
+    let new_instance = cluster.start_ready(2).await;
+    wait_until("the unreadable entry is logged", || {
+        cluster.log(2).contains("store: unreadable entry")
     })
     .await;
-    let mut client = world.client(1).await;
+    let mut client = cluster.client(1).await;
     for _ in 0..10 {
-        assert_eq!(client.open(ROUTE, newcomer.packets()).await.unwrap(), Seen::Opened);
-        assert_eq!(client.ask(b"a", newcomer.packets()).await.unwrap(), answer("good: a"));
+        assert_eq!(client.open(ROUTE, new_instance.packets()).await.unwrap(), Seen::Opened);
+        assert_eq!(
+            client.ask(b"a", new_instance.packets()).await.unwrap(),
+            answer("good: a")
+        );
     }
-    until("the running instance has logged it too", || {
-        world.log(1).contains("name=\"i-0000000a11\"")
+    wait_until("the running instance has logged it too", || {
+        cluster.log(1).contains("name=\"i-0000000a11\"")
     })
     .await;
     let before = was_good.opened();
@@ -277,28 +280,28 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upstream_that_starts_again_under_its_id_gets_flows_and_ends_those_of_before() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
+async fn an_upstream_that_restarts_under_its_id_gets_flows_and_loses_its_earlier_ones() {
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
     let id = UpstreamId(0xb11);
-    let first = world.upstream(0xb11, "first", "search").await;
+    let first = cluster.upstream(0xb11, "first", "search").await;
     let address = first.address();
-    world.store.put_started(id, "search", address, "zone-a", 1_000);
-    let entry = world.start_ready(1).await;
-    let mut old = world.client(1).await;
-    assert_eq!(old.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
+    cluster.store.put_started(id, "search", address, "zone-a", 1_000);
+    let instance = cluster.start_ready(1).await;
+    let mut old = cluster.client(1).await;
+    assert_eq!(old.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
     first.crash().await;
-    let second = Upstream::start(id, "second", address, world.packets).await.unwrap();
-    world.store.put_started(id, "search", address, "zone-a", 2_000);
-    assert_eq!(old.ask(b"a", entry.packets()).await.unwrap(), Seen::Reset);
-    let mut new = world.client(2).await;
-    assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
-    assert_eq!(new.ask(b"b", entry.packets()).await.unwrap(), answer("second: b"));
+    let second = Upstream::start(id, "second", address, cluster.packets).await.unwrap();
+    cluster.store.put_started(id, "search", address, "zone-a", 2_000);
+    assert_eq!(old.ask(b"a", instance.packets()).await.unwrap(), Seen::Reset);
+    let mut new = cluster.client(2).await;
+    assert_eq!(new.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
+    assert_eq!(new.ask(b"b", instance.packets()).await.unwrap(), answer("second: b"));
     assert_eq!(second.strays(), 0);
     for _ in 0..TRIES {
         // Decisions are logged when the next packet arrives.
-        assert_eq!(new.open(ROUTE, entry.packets()).await.unwrap(), Seen::Opened);
-        if world.log(1).contains("flows: restarted upstream=0000000b11") {
+        assert_eq!(new.open(ROUTE, instance.packets()).await.unwrap(), Seen::Opened);
+        if cluster.log(1).contains("flows: restarted upstream=0000000b11") {
             return;
         }
         tokio::time::sleep(PAUSE).await;
--- a/crates/jayquayd/tests/flows/observability.rs
+++ b/crates/jayquayd/tests/flows/observability.rs
@@ -6,11 +6,11 @@
 use adapter_standin::Seen;
 use flow::UpstreamId;
 
+use crate::cluster::Cluster;
 use crate::cluster::ROUTE;
-use crate::cluster::World;
 use crate::cluster::answer;
-use crate::cluster::until;
-use crate::cluster::until_open;
+use crate::cluster::wait_until;
+use crate::cluster::wait_until_open;
 
 /// The value of a metric line.
 fn value(metrics: &str, line: &str) -> Option<f64> {
@@ -19,25 +19,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_tell_waits_by_zone_what_is_in_force_and_who_watches() {
-    let world = World::new().await;
+async fn metrics_show_waits_by_zone_the_state_in_force_and_the_watcher() {
+    let cluster = Cluster::new().await;
     let other = SocketAddrV4::new(*ROUTE.ip(), 444);
-    world.store.put_document(7, &[(ROUTE, "search"), (other, "photos")]);
-    let _near = world.upstream(0x81, "near", "search").await;
-    let far = world.upstream(0x82, "far", "photos").await;
-    world
+    cluster.store.put_document(7, &[(ROUTE, "search"), (other, "photos")]);
+    let _near = cluster.upstream(0x81, "near", "search").await;
+    let far = cluster.upstream(0x82, "far", "photos").await;
+    cluster
         .store
         .put_upstream(UpstreamId(0x82), "photos", far.address(), "zone-b", "ready");
-    let entry = world.start_ready(1).await;
-    let mut client = world.client(1).await;
+    let instance = cluster.start_ready(1).await;
+    let mut client = cluster.client(1).await;
     for route in [ROUTE, other, other] {
-        until_open(&mut client, route, entry.packets(), &Seen::Opened).await;
+        wait_until_open(&mut client, route, instance.packets(), &Seen::Opened).await;
     }
-    assert_eq!(client.ask(b"a", entry.packets()).await.unwrap(), answer("far: a"));
+    assert_eq!(client.ask(b"a", instance.packets()).await.unwrap(), answer("far: a"));
     let waited = "jayquay_flow_response_seconds_count{zone=\"other\"}";
     let mut metrics = String::new();
     for _ in 0..crate::cluster::TRIES {
-        metrics = world.metrics(1).await;
+        metrics = cluster.metrics(1).await;
         if value(&metrics, waited).is_some() {
             break;
         }
@@ -69,22 +69,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_history_that_is_gone_is_not_logged_as_a_lost_store() {
-    let world = World::new().await;
-    world.store.put_document(1, &[(ROUTE, "search")]);
-    let _upstream = world.upstream(0x91, "one", "search").await;
-    let entry = world.start_ready(1).await;
-    let mut client = world.client(1).await;
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Opened).await;
+    let cluster = Cluster::new().await;
+    cluster.store.put_document(1, &[(ROUTE, "search")]);
+    let _upstream = cluster.upstream(0x91, "one", "search").await;
+    let instance = cluster.start_ready(1).await;
+    let mut client = cluster.client(1).await;
+    wait_until_open(&mut client, ROUTE, instance.packets(), &Seen::Opened).await;
     // Both watches wait for changes after a revision. The next one to be renewed finds its history gone.
-    world.store.put_document(2, &[]);
-    world.store.compact();
-    until("the history is logged as gone", || {
-        world.log(1).contains("store: history gone")
+    cluster.store.put_document(2, &[]);
+    cluster.store.compact();
+    wait_until("the history is logged as gone", || {
+        cluster.log(1).contains("store: history gone")
     })
     .await;
-    until_open(&mut client, ROUTE, entry.packets(), &Seen::Reset).await;
-    let log = world.log(1);
+    wait_until_open(&mut client, ROUTE, instance.packets(), &Seen::Reset).await;
+    let log = cluster.log(1);
     assert!(!log.contains("store: lost"), "{log}");
-    world.store.set_fault(Fault::Busy);
-    until("the store is logged as lost", || world.log(1).contains("store: lost")).await;
+    cluster.store.set_fault(Fault::Busy);
+    wait_until("the store is logged as lost", || cluster.log(1).contains("store: lost")).await;
 }
--- a/crates/jayquayd/tests/logging.rs
+++ b/crates/jayquayd/tests/logging.rs
@@ -13,19 +13,19 @@
 
 /// A writer that blocks until it is released.
 #[derive(Clone, Default)]
-struct Reader {
+struct BlockingWriter {
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 #[derive(Default)]
 struct State {
-    is_reading: bool,
+    is_released: bool,
     read: Vec<u8>,
 }
 
-impl Reader {
-    fn begin(&self) {
-        self.state.0.lock().unwrap().is_reading = true;
+impl BlockingWriter {
+    fn release(&self) {
+        self.state.0.lock().unwrap().is_released = true;
         self.state.1.notify_all();
     }
 
@@ -34,11 +34,11 @@
     }
 }
 
-impl Write for Reader {
+impl Write for BlockingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let (state, begun) = &*self.state;
-        let mut state = begun
-            .wait_while(state.lock().unwrap(), |state| !state.is_reading)
+        let (state, released) = &*self.state;
+        let mut state = released
+            .wait_while(state.lock().unwrap(), |state| !state.is_released)
             .unwrap();
         state.read.extend(bytes);
         Ok(bytes.len())
@@ -51,18 +51,18 @@
 
 #[test]
 fn lines_that_nobody_reads_are_left_out_and_counted() {
-    let reader = Reader::default();
-    let mut queue = Queue::start(reader.clone());
+    let writer = BlockingWriter::default();
+    let mut queue = Queue::start(writer.clone());
     for number in 0..LINES {
         // This would never return if it waited for the output.
         queue.write_all(format!("line {number}\n").as_bytes()).unwrap();
     }
-    reader.begin();
-    while !reader.text().contains("left out lines=") {
+    writer.release();
+    while !writer.text().contains("left out lines=") {
         queue.write_all(b"another\n").unwrap();
         queue.finish();
     }
-    let text = reader.text();
+    let text = writer.text();
     let written = text.lines().filter(|line| line.starts_with("line ")).count();
     let left_out = text
         .lines()
--- a/crates/jayquayd/tests/soak.rs
+++ b/crates/jayquayd/tests/soak.rs
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn fixed_seeds_break_no_promise() {
+async fn fixed_seeds_cause_no_violations() {
     for case in &CASES {
         let seed = case.seed;
         let outcome = soak::run(&options(case)).await.unwrap();
--- a/crates/jayquayd/tests/watch_schedule.rs
+++ b/crates/jayquayd/tests/watch_schedule.rs
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn doubt_ends_the_other_watch_and_not_its_own() {
+async fn suspicion_ends_the_other_watch_and_not_its_own() {
     let schedule = WatchSchedule::default();
     let waits = async {
         tokio::select! {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_second_watcher_that_becomes_the_first_finds_its_turns_at_once() {
+fn a_second_watcher_that_becomes_the_first_alternates_at_once() {
     let schedule = WatchSchedule::default();
     let now = Instant::now();
     schedule.wait(ObjectKind::Upstreams, Role::Second, now);
@@ -104,7 +104,7 @@
 /// If other instances have learnt of a change that a watch hasn't reported, the watch is found unresponsive within two
 /// seconds, however long its remaining timeout.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_others_overtake_is_found_out_within_two_seconds() {
+async fn a_stale_watch_is_detected_within_two_seconds() {
     let schedule = WatchSchedule::default();
     let held = Cell::new(Revision(7));
     let begin = tokio::time::Instant::now();
