--- a/crates/jayquayd/src/forward/check.rs
+++ b/crates/jayquayd/src/forward/check.rs
@@ -46,7 +46,7 @@
 /// Time after a change of the knowledge during which the part that lags behind is checked. The store keeps its history
 /// for about 20 s, and a missed change is found within the first of these rounds.
 const RECENT_CHANGE: Duration = Duration::from_secs(10);
-/// Number of checks from other instances that may be queued.
+/// Number of checks that may be queued in each direction.
 const QUEUE_CAPACITY: usize = 16;
 
 /// A request to check the store in a round, forwarded from one instance to another.
@@ -261,7 +261,7 @@
             Finding::HistoryGone => {
                 log::info!("store: check found history gone round={}", request.round);
                 if let Err(error) = store::read_list(&self.store, &self.shared).await {
-                    log::info!("store: check list failed round={} error=\"{error}\"", request.round);
+                    log::info!("store: check read failed round={} error=\"{error}\"", request.round);
                 }
             }
         }
--- a/crates/jayquayd/src/forward/gossip/upstreams.rs
+++ b/crates/jayquayd/src/forward/gossip/upstreams.rs
@@ -21,8 +21,8 @@
 /// made it.
 const LOCAL_RECIPIENTS: usize = 8;
 const REMOTE_RECIPIENTS: usize = 4;
-/// Number of instances to which a receiver forwards a decision that it hears for the first time. With six, all but one
-/// in 400 receive it, and the next message follows within seconds.
+/// Number of instances to which a receiver forwards a decision that it receives for the first time. With six, all but
+/// one in 400 receive it, and the next message follows within seconds.
 const FORWARD_COUNT: usize = 6;
 
 impl Peers {
--- a/crates/jayquayd/src/forward/store.rs
+++ b/crates/jayquayd/src/forward/store.rs
@@ -32,7 +32,8 @@
 /// at once: in a fleet that starts simultaneously, the store would reject all but a few instances for exceeding its
 /// read limit.
 const INITIAL_PAGES: u32 = 4;
-/// Time for which the others wait to learn the list from other instances before they read on.
+/// Time, at least, for which an instance that has read the first pages waits to learn the list from other instances
+/// before it reads on.
 const PEER_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which a starting seed with no packets waiting lets other instances provide the knowledge, drawn from this
 /// range: in a fleet that starts simultaneously, the first readers have then informed the rest before these read as
@@ -216,7 +217,7 @@
 /// new epoch, so the watch would wait for changes after something it has not seen.
 async fn wait_for_new_epoch(shared: &Shared, since: Position) {
     shared.wait_until(|knowledge| knowledge.epoch() > since.epoch).await;
-    // Pause between reads, however often other instances announce new epochs.
+    // Spaces out the reads, however often other instances announce new epochs.
     tokio::time::sleep(ROLE_POLL_INTERVAL).await;
 }
 
