--- a/crates/jayquayd/src/forward.rs
+++ b/crates/jayquayd/src/forward.rs
@@ -1,34 +1,35 @@
-//! The daemon's flow mode: it forwards packets of flows that only their two ends read.
+//! The daemon's flow mode: forwards the packets of flows whose payload only the two endpoints read.
 //!
-//! The decisions are those of [`flow::Core`]. Around it stand the packets' socket, the store's watches, the exchange
-//! with other instances, and the HTTP endpoints. Every part but the packets' may be late or fail without harm to a flow.
+//! [`flow::Core`] makes the forwarding decisions. The surrounding tasks handle the packet socket, the store watches,
+//! the exchange with other instances, and the HTTP endpoints. All of them except packet forwarding may be delayed or
+//! fail without affecting flows.
 
 pub mod check;
 pub mod logging;
 pub mod metric;
-pub mod rhythm;
 pub mod role;
 pub mod settings;
 pub mod status;
+pub mod watch_schedule;
 
-mod answers;
+mod aggregators;
+mod cold_assignment;
 mod compression;
 mod decisions;
+mod exchange;
 mod failures;
-mod figures;
 mod gossip;
 mod http;
-mod keeping;
+mod metric_update;
 mod packets;
 mod pull;
-mod relay;
 mod reload;
+mod response_cache;
 mod run;
 mod shared;
 mod silence;
 mod stop;
 mod store;
-mod summing;
 
 pub use run::RunError;
 pub use run::run;
--- a/crates/jayquayd/src/forward/decisions.rs
+++ b/crates/jayquayd/src/forward/decisions.rs
@@ -1,4 +1,4 @@
-//! One log line for each decision, up to a number of lines a second.
+//! Logs one line per decision, limited to a number of lines per second.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 use units::Revision;
 use units::Time;
 
-/// How many lines about single flows are written in one span. A line costs a few microseconds of processor time, so
-/// these take less than a thousandth of a core.
-const LINES: u32 = 100;
-/// The span that [`LINES`] is counted over.
-const SPAN: Duration = Duration::from_secs(1);
+/// Maximum number of lines about single flows per [`WINDOW`]. A line costs a few microseconds of CPU time, so these
+/// lines take less than a thousandth of a core.
+const MAX_LINES: u32 = 100;
+/// The interval that [`MAX_LINES`] applies to.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Writes decisions to the log, and counts those that it leaves out.
+/// Logs decisions, and counts those that it omits.
 #[derive(Debug, Default)]
 pub(crate) struct DecisionLog {
     since: Time,
@@ -24,20 +24,20 @@
 }
 
 impl DecisionLog {
-    /// Writes decisions. What changes the picture of an upstream is always written, what touches one flow only while
-    /// there is room.
-    pub(crate) fn tell(&mut self, decisions: &[Decision], basis: Basis, now: Time) {
+    /// Logs decisions. Those that concern an upstream, a zone or the document as a whole are always written, those
+    /// about a single flow only within the limit.
+    pub(crate) fn write(&mut self, decisions: &[Decision], basis: Basis, now: Time) {
         for decision in decisions {
-            if is_about_one_flow(decision) && !self.has_room(now) {
+            if is_about_one_flow(decision) && !self.has_capacity(now) {
                 self.left_out += 1;
                 continue;
             }
-            write(decision, basis);
+            log_decision(decision, basis);
         }
     }
 
-    fn has_room(&mut self, now: Time) -> bool {
-        if now.since(self.since) >= SPAN {
+    fn has_capacity(&mut self, now: Time) -> bool {
+        if now.since(self.since) >= WINDOW {
             if self.left_out > 0 {
                 log::warn!("flows: left out lines={}", self.left_out);
             }
@@ -47,7 +47,7 @@
             };
         }
         self.written += 1;
-        self.written <= LINES
+        self.written <= MAX_LINES
     }
 }
 
@@ -66,19 +66,19 @@
     )
 }
 
-/// What a decision was based on.
+/// The document and the upstreams that a decision was based on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Basis {
     /// The revision of the document in force.
     pub(crate) document: Revision,
-    /// The place in the store's history that the upstreams stood at.
+    /// Position in the store's history that the list of upstreams corresponds to.
     pub(crate) upstreams_at: Position,
 }
 
-/// What speaks for a reset, as it stands in the log.
-struct Words(SilenceEvidence);
+/// Formats the evidence for a reset as log fields.
+struct EvidenceFields(SilenceEvidence);
 
-impl fmt::Display for Words {
+impl fmt::Display for EvidenceFields {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let SilenceEvidence {
             waiting,
@@ -93,7 +93,7 @@
     }
 }
 
-fn write(decision: &Decision, basis: Basis) {
+fn log_decision(decision: &Decision, basis: Basis) {
     let Basis { document, upstreams_at } = basis;
     match decision {
         Decision::Placed {
@@ -115,14 +115,16 @@
             flow,
             upstream,
             cause,
-            evidence: grounds,
+            evidence,
         } => {
             let upstream = upstream
                 .map(|upstream| format!(" upstream={upstream}"))
                 .unwrap_or_default();
-            let grounds = grounds.map(|grounds| Words(grounds).to_string()).unwrap_or_default();
+            let evidence = evidence
+                .map(|evidence| EvidenceFields(evidence).to_string())
+                .unwrap_or_default();
             log::info!(
-                "flows: reset flow={flow} cause={cause}{upstream}{grounds} document={document} upstreams_at={upstreams_at}"
+                "flows: reset flow={flow} cause={cause}{upstream}{evidence} document={document} upstreams_at={upstreams_at}"
             );
         }
         Decision::Dropped { flow, echo, cause } => {
@@ -130,21 +132,21 @@
         }
         Decision::MarkedDead {
             upstream,
-            evidence: grounds,
+            evidence,
             flows,
         } => log::warn!(
             "flows: taken for dead upstream={upstream}{} flows={flows}",
-            Words(*grounds)
+            EvidenceFields(*evidence)
         ),
-        Decision::Revived(upstream) => log::warn!("flows: answers again upstream={upstream}"),
+        Decision::Revived(upstream) => log::warn!("flows: recovered upstream={upstream}"),
         Decision::Ejected {
             upstream,
             usual_percent,
         } => log::warn!("flows: ejected upstream={upstream} usual_percent={usual_percent}"),
-        Decision::EjectedElsewhere(upstream) => log::info!("flows: ejected as told upstream={upstream}"),
+        Decision::EjectedElsewhere(upstream) => log::info!("flows: ejected by another instance upstream={upstream}"),
         Decision::Readmitted(upstream) => log::warn!("flows: readmitted upstream={upstream}"),
         Decision::Restarted { upstream, flows } => {
-            log::info!("flows: started again upstream={upstream} flows={flows} upstreams_at={upstreams_at}");
+            log::info!("flows: restarted upstream={upstream} flows={flows} upstreams_at={upstreams_at}");
         }
         Decision::Evacuated { zone, at, flows } => {
             log::warn!("zones: evacuated zone={zone} at={at} open_flows={flows}");
--- a/crates/jayquayd/src/forward/gossip.rs
+++ b/crates/jayquayd/src/forward/gossip.rs
@@ -1,7 +1,8 @@
-//! Membership over UDP: one datagram, one frame. What is lost is sent again by the protocol above.
+//! Membership and the exchange between instances over UDP, with one message per datagram. The membership protocol
+//! handles lost messages.
 
+mod compression_support;
 mod datagram;
-mod readers;
 mod upstreams;
 
 use std::net::SocketAddr;
@@ -28,30 +29,30 @@
 use wire::Frame;
 use wire::Member;
 
-use super::check::Gate;
-use super::check::Question;
+use super::check::CheckRequest;
+use super::check::PeerChannels;
+use super::cold_assignment;
 use super::failures;
-use super::keeping;
 use super::pull;
-use super::pull::Newer;
+use super::pull::Announcement;
 use super::settings::Settings;
 use super::shared::Shared;
 use crate::metric;
-use readers::Readers;
+use compression_support::CompressionSupport;
 
-/// How often membership is given the time.
+/// Interval of the membership protocol's timer.
 const TICK: Duration = Duration::from_millis(100);
-/// How often seeds are asked while no other instance is known.
-const SEED_PAUSE: Duration = Duration::from_millis(300);
-/// How many instances that hold newer knowledge may wait to be asked.
-const PULLS: usize = 64;
-/// How far the incarnation is raised when others know a later one, as after the wall clock was set back.
+/// Interval at which the seeds are contacted while no other instance is known.
+const SEED_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum number of queued instances that hold newer knowledge.
+const PULL_QUEUE_CAPACITY: usize = 64;
+/// Increment of the incarnation when other instances know a later one, as after the wall clock was set back.
 const INCARNATION_STEP: u64 = 10_000 << 10;
-/// The longest datagram that is read.
-const MAX_LEN: usize = 65_536;
+/// Maximum length of a received datagram.
+const MAX_DATAGRAM_LEN: usize = 65_536;
 
-/// How often members look after one another. A probe a second from each of two zones finds a dead watcher within the
-/// bound for a change to be in force, and costs each instance about two datagrams a second.
+/// Intervals of failure detection. A probe per second from each of two zones detects a dead watcher within the bound
+/// for a change to take effect, and costs each instance about two datagrams per second.
 pub(crate) fn timing() -> Timing {
     Timing {
         probe_interval: Duration::from_secs(1),
@@ -63,70 +64,71 @@
     }
 }
 
-/// What an instance tells another, and who it is.
+/// A message between instances, with its sender.
 #[derive(Debug, Serialize, Deserialize)]
 struct Message {
     from: InstanceName,
     incarnation: Incarnation,
     body: Body,
-    /// Whether the sender tells epochs. Those of an earlier release don't.
+    /// Whether the sender's frames carry epochs. Those of an earlier release don't.
     #[serde(default)]
     tells_epochs: bool,
-    /// Whether the sender reads compressed messages. Those of an earlier release don't.
+    /// Whether the sender supports compressed messages. Instances of an earlier release don't.
     #[serde(default)]
     reads_compressed: bool,
 }
 
-/// What an instance tells another.
+/// Payload of a message.
 #[derive(Debug, Serialize, Deserialize)]
 enum Body {
-    /// A frame of the membership.
+    /// A frame of the membership protocol.
     Member(Box<Frame>),
-    /// Upstreams that flows wait for in vain, for whoever sums up, or an answer to that.
+    /// Upstreams that flows wait for without an answer, sent to their aggregators, or better information in reply to
+    /// that.
     Reports(Vec<Report>),
-    /// Tell what you have seen of these upstreams.
+    /// Asks for the receiver's observations of these upstreams.
     Questions(Vec<UpstreamId>),
-    /// The answer to that.
+    /// The reply to `Questions`.
     Views(Vec<Report>),
-    /// Tries that have ended badly, for whoever sums up.
+    /// Failed tries, sent to the aggregators.
     Failures(Vec<FailureReport>),
-    /// Upstreams that get no new flows, or get them again.
+    /// Upstreams that stop receiving new flows, or receive them again.
     Standings(Vec<StatusUpdate>),
-    /// Ask the store whether it knows more.
-    Check(Question),
+    /// Asks the receiver to check the store for newer data.
+    Check(CheckRequest),
 }
 
-/// Whose message it is, and where its datagram came from.
+/// The sender of a message, and the source address of its datagram.
 struct Sender {
     name: InstanceName,
     source: SocketAddr,
 }
 
-/// Membership over one socket.
+/// Exchange with the other instances over one socket.
 pub(crate) struct Peers {
     socket: Arc<UdpSocket>,
     shared: Shared,
     settings: watch::Receiver<Settings>,
-    /// The port at which every instance is reached by others.
+    /// The port on which other instances reach every instance.
     port: u16,
-    pulls: mpsc::Sender<Newer>,
-    /// Questions to the store that instances hand on to one another.
-    checks: Gate,
-    /// Where messages came from whose senders read compressed ones.
-    readers: Mutex<Readers>,
+    pulls: mpsc::Sender<Announcement>,
+    /// Checks of the store that instances forward to one another.
+    checks: PeerChannels,
+    /// Source addresses of messages whose senders support compression.
+    compression_support: Mutex<CompressionSupport>,
 }
 
 impl Peers {
-    /// Starts the task that asks others for their knowledge, and takes the seeds' addresses from their hosts.
+    /// Creates the state and starts the task that fetches knowledge from other instances.
     pub(crate) fn new(
         socket: UdpSocket,
         shared: Shared,
         settings: watch::Receiver<Settings>,
         port: u16,
-        checks: Gate,
+        checks: PeerChannels,
     ) -> Self {
-        let (pulls, wanted) = mpsc::channel(PULLS);
-        tokio::spawn(pull::ask(wanted, pulls.clone(), shared.clone()));
+        let (pulls, announcements) = mpsc::channel(PULL_QUEUE_CAPACITY);
+        tokio::spawn(pull::run(announcements, pulls.clone(), shared.clone()));
         Self {
             socket: Arc::new(socket),
             shared,
@@ -134,37 +136,37 @@
             port,
             pulls,
             checks,
-            readers: Mutex::default(),
+            compression_support: Mutex::default(),
         }
     }
 
     /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
-        let mut buffer = vec![0; MAX_LEN];
+        let mut buffer = vec![0; MAX_DATAGRAM_LEN];
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut next_seed = self.shared.now();
+        let mut next_seed_contact = self.shared.now();
         loop {
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((len, from)) => self.receive(&buffer[..len], from),
-                    Err(error) => log::debug!("peers: {error}"),
+                    Err(error) => log::debug!("peers: receive failed: {error}"),
                 },
                 _ = tick.tick() => {
                     self.tick();
                     self.report_silence();
                     self.report_failures();
-                    self.ask();
-                    self.tell_standings();
-                    keeping::update(&self.shared);
+                    self.send_inquiries();
+                    self.publish_status_updates();
+                    cold_assignment::update(&self.shared);
                     let now = self.shared.now();
-                    if now >= next_seed && self.is_alone() {
-                        next_seed = now + SEED_PAUSE;
-                        self.ask_seeds();
+                    if now >= next_seed_contact && self.is_alone() {
+                        next_seed_contact = now + SEED_INTERVAL;
+                        self.contact_seeds();
                     }
                 }
-                () = self.shared.grown() => self.tell(),
-                Some(handed) = self.checks.handed.recv() => self.send(handed.to, Body::Check(handed.question)),
+                () = self.shared.knowledge_changed() => self.announce(),
+                Some(check) = self.checks.forwards.recv() => self.send(check.to, Body::Check(check.request)),
             }
         }
     }
@@ -173,7 +175,7 @@
         self.shared.members().members().nth(1).is_none()
     }
 
-    fn ask_seeds(&self) {
+    fn contact_seeds(&self) {
         let frame = Frame::News(self.shared.members().introduction());
         let own = self.shared.members().me().address;
         let seeds = self.settings.borrow().seeds.clone();
@@ -190,37 +192,37 @@
         let mut out = Vec::new();
         let now = self.shared.now();
         if self.shared.is_stopping() {
-            // Told once: others watch the store in its place before it is gone.
+            // Announced before the process ends, so that other instances take over watching the store.
             self.shared.members().leave(now, &mut out);
         }
         self.shared.members().tick(now, &mut out);
-        self.carry_out(out);
+        self.process_outputs(out);
     }
 
     /// Whether an instance is in another zone.
-    fn is_far(&self, name: &InstanceName) -> bool {
+    fn is_in_other_zone(&self, name: &InstanceName) -> bool {
         let members = self.shared.members();
         let zone = members.member(name).map(|member| &member.zone);
         zone.is_some_and(|zone| *zone != members.me().zone)
     }
 
-    /// Lets others know that this instance knows more.
-    fn tell(&self) {
+    /// Announces that this instance's knowledge has changed.
+    fn announce(&self) {
         let mut out = Vec::new();
         let (level, parts) = pull::level(&self.shared);
         let now = self.shared.now();
         self.shared.members().set_document(level, parts, now, &mut out);
-        self.carry_out(out);
+        self.process_outputs(out);
     }
 
     fn receive(&self, bytes: &[u8], from: SocketAddr) {
-        let Some(message) = datagram::read(bytes) else {
+        let Some(message) = datagram::decode(bytes) else {
             metric::frames_unread().increment(1);
-            log::debug!("peers: a message from {from} can't be read");
+            log::debug!("peers: malformed message from={from}");
             return;
         };
         if message.reads_compressed {
-            self.readers().insert(from);
+            self.compression_support().insert(from);
         }
         let sender = Sender {
             name: message.from,
@@ -231,21 +233,21 @@
                 if !message.tells_epochs {
                     self.read_without_epochs(&mut frame);
                 }
-                self.handle(&sender.name, message.incarnation, &frame);
+                self.handle_frame(&sender.name, message.incarnation, &frame);
             }
-            Body::Reports(reports) => self.hear_reports(&sender, &reports),
-            Body::Failures(reports) => failures::hear(&self.shared, &reports),
-            Body::Questions(upstreams) => self.answer(&sender, &upstreams),
-            Body::Views(views) => self.hear_views(&sender, &views),
-            Body::Standings(standings) => self.hear_standings(&sender, &standings),
-            Body::Check(question) => {
-                // A queue that is full holds questions of the same kind.
-                let _full = self.checks.asked.try_send(question);
+            Body::Reports(reports) => self.handle_reports(&sender, &reports),
+            Body::Failures(reports) => failures::receive(&self.shared, &reports),
+            Body::Questions(upstreams) => self.answer_inquiry(&sender, &upstreams),
+            Body::Views(replies) => self.handle_inquiry_replies(&sender, &replies),
+            Body::Standings(updates) => self.handle_status_updates(&sender, &updates),
+            Body::Check(request) => {
+                // A full queue holds equivalent checks.
+                let _full = self.checks.requests.try_send(request);
             }
         }
     }
 
-    /// Lets what an instance of an earlier release knows be compared with what is known here.
+    /// Makes the positions announced by an instance of an earlier release comparable with those here.
     fn read_without_epochs(&self, frame: &mut Frame) {
         let (Frame::Probe(_, gossip) | Frame::ProbeAck(_, gossip) | Frame::News(gossip)) = frame else {
             return;
@@ -255,8 +257,8 @@
             .map(|held| pull::level_without_epochs(&self.shared, held));
     }
 
-    /// Takes in a frame of the membership.
-    fn handle(&self, from: &InstanceName, incarnation: Incarnation, frame: &Frame) {
+    /// Processes a frame of the membership protocol.
+    fn handle_frame(&self, from: &InstanceName, incarnation: Incarnation, frame: &Frame) {
         let mut out = Vec::new();
         {
             let mut members = self.shared.members();
@@ -265,10 +267,10 @@
                 raise_incarnation(&mut members, &self.shared);
             }
         }
-        self.carry_out(out);
+        self.process_outputs(out);
     }
 
-    fn carry_out(&self, out: Vec<Output>) {
+    fn process_outputs(&self, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Send { address, frame, .. } => self.send(address, Body::Member(Box::new(frame))),
@@ -279,13 +281,14 @@
                     digest,
                     ..
                 } => {
-                    // A queue that is full holds others that know more; whoever is left out is seen again.
-                    let _full = self.pulls.try_send(Newer {
+                    // A full queue holds other instances with newer knowledge; one that is dropped here will announce
+                    // itself again.
+                    let _full = self.pulls.try_send(Announcement {
                         address,
                         level: revision,
                         parts: digest,
-                        is_far: self.is_far(&from),
-                        is_overdue: false,
+                        is_from_other_zone: self.is_in_other_zone(&from),
+                        has_waited: false,
                     });
                 }
                 Output::Up(member) => log::info!(
@@ -301,8 +304,8 @@
         }
     }
 
-    fn readers(&self) -> MutexGuard<'_, Readers> {
-        self.readers.lock().unwrap_or_else(PoisonError::into_inner)
+    fn compression_support(&self) -> MutexGuard<'_, CompressionSupport> {
+        self.compression_support.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn send(&self, to: SocketAddr, body: Body) {
@@ -317,16 +320,17 @@
                 reads_compressed: true,
             }
         };
-        let bytes = datagram::write(&message, self.readers().contains(&to));
+        let bytes = datagram::encode(&message, self.compression_support().contains(&to));
         metric::frames_sent().increment(1);
         metric::frame_bytes_sent().increment(bytes.len() as u64);
         if let Err(error) = self.socket.try_send_to(&bytes, to) {
-            log::debug!("peers: not sent to {to}: {error}");
+            log::debug!("peers: cannot send to {to}: {error}");
         }
     }
 }
 
-/// Begins a later life under the same name. Nothing but the membership hangs on it here, as no flow has an owner.
+/// Restarts the membership with a later incarnation of the same name. Only the membership depends on the incarnation
+/// here, since flows have no owner.
 fn raise_incarnation(members: &mut Membership, shared: &Shared) {
     let me = members.me();
     let me = Member {
@@ -335,7 +339,7 @@
         ..me.clone()
     };
     log::warn!(
-        "peers: a later life of {} is known, going on as {}",
+        "peers: a later incarnation is known, restarting instance={} incarnation={}",
         me.name,
         me.incarnation
     );
--- a/crates/jayquayd/src/forward/http.rs
+++ b/crates/jayquayd/src/forward/http.rs
@@ -20,25 +20,25 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use tokio::net::TcpListener;
 
-use super::answers::Answers;
-use super::figures;
-use super::relay;
+use super::exchange;
+use super::metric_update;
+use super::response_cache::ResponseCache;
 use super::shared::Shared;
 use super::status;
 use super::status::Status;
 
-/// The path of the metrics, as text.
+/// Path of the metrics, as text.
 pub(crate) const METRICS: &str = "/metrics";
 
-/// What the endpoints need.
+/// State of the endpoints.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
     pub(crate) shared: Shared,
     pub(crate) metrics: PrometheusHandle,
-    pub(crate) answers: Arc<Answers>,
+    pub(crate) responses: Arc<ResponseCache>,
 }
 
-/// Answers whether flows may be led here.
+/// Serves the readiness checks.
 pub(crate) async fn serve_ready(listener: TcpListener, shared: Shared) -> io::Result<()> {
     let router = Router::new().route(ready::PATH, get(is_ready)).with_state(shared);
     axum::serve(listener, router).await
@@ -47,7 +47,7 @@
 /// Serves other instances and operators.
 pub(crate) async fn serve_peers(listener: TcpListener, context: Context) -> io::Result<()> {
     let router = Router::new()
-        .route(relay::PATH, get(changes))
+        .route(exchange::PATH, get(changes))
         .route(METRICS, get(metrics))
         .route(status::PATH, get(own_status))
         .route(status::DOCUMENT_PATH, get(document))
@@ -55,7 +55,7 @@
     axum::serve(listener, router).await
 }
 
-/// Listens, and can listen again at once after an earlier process at the same address.
+/// Listens with `SO_REUSEADDR`, so that a restarted process can use the same address at once.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -63,7 +63,7 @@
     socket.listen(BACKLOG)
 }
 
-/// How many connections may wait to be accepted. A whole fleet may ask one instance at the same time.
+/// Maximum number of connections waiting to be accepted. A whole fleet may contact one instance at the same time.
 const BACKLOG: u32 = 1_024;
 
 async fn is_ready(State(shared): State<Shared>) -> (StatusCode, String) {
@@ -73,11 +73,12 @@
     }
 }
 
-async fn changes(State(context): State<Context>, Query(held): Query<relay::Query>) -> Response {
-    let relay::Encoded { bytes, is_compressed } = context.answers.to(held, context.shared.core().knowledge());
+async fn changes(State(context): State<Context>, Query(held): Query<exchange::Query>) -> Response {
+    let exchange::EncodedChange { bytes, is_compressed } =
+        context.responses.get(held, context.shared.core().knowledge());
     let mut response = Bytes::from_owner(bytes).into_response();
     if is_compressed {
-        let compressed = HeaderValue::from_static(relay::COMPRESSED);
+        let compressed = HeaderValue::from_static(exchange::DEFLATE);
         response.headers_mut().insert(CONTENT_ENCODING, compressed);
     }
     response
@@ -93,6 +94,6 @@
 }
 
 async fn metrics(State(context): State<Context>) -> String {
-    figures::report(&context.shared);
+    metric_update::update(&context.shared);
     context.metrics.render()
 }
--- a/crates/jayquayd/src/forward/shared.rs
+++ b/crates/jayquayd/src/forward/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a process share: the flow path, the members, and whether it stops.
+//! State shared by the tasks of a process: the flow core, the membership, and whether the process is stopping.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,14 +19,14 @@
 
 /// A document in the store that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Unreadable {
-    /// The place in the store's history at which it was seen.
+pub(crate) struct UnreadableDocument {
+    /// Position in the store's history at which the document was seen.
     pub(crate) at: Position,
-    /// Why it can't be read.
-    pub(crate) why: String,
+    /// The reason why it can't be read.
+    pub(crate) reason: String,
 }
 
-/// What the parts of a process share. All of them run on one thread, so that locks are never waited for.
+/// State shared by the tasks of a process. All tasks run on one thread, so the locks are never contended.
 #[derive(Debug, Clone)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
@@ -37,20 +37,20 @@
 struct Inner {
     core: Mutex<Core>,
     members: Mutex<Membership>,
-    /// Knowledge has grown, or the members have changed.
-    news: Notify,
-    /// The same, for those who wait for something in particular.
-    learnt: Notify,
-    /// A packet has come before this instance could serve.
-    awaited: Notify,
-    is_awaited: AtomicBool,
-    /// What was told may have led to decisions that no packet carries out.
-    decided: Notify,
+    /// Signals the gossip task that the knowledge or the members have changed.
+    knowledge_changed: Notify,
+    /// Signals tasks that wait for a condition on the knowledge.
+    condition_waiters: Notify,
+    /// Signals that a packet arrived before this instance was ready.
+    packet_waiting: Notify,
+    has_waiting_packet: AtomicBool,
+    /// Signals that received knowledge may have led to decisions that no incoming packet will trigger.
+    decisions_pending: Notify,
     is_stopping: AtomicBool,
     /// A document in the store that can't be read.
-    unreadable_document: Mutex<Option<Unreadable>>,
+    unreadable_document: Mutex<Option<UnreadableDocument>>,
     last_packet: AtomicU64,
-    grown_at: AtomicU64,
+    knowledge_changed_at: AtomicU64,
 }
 
 impl Shared {
@@ -60,15 +60,15 @@
             inner: Arc::new(Inner {
                 core: Mutex::new(core),
                 members: Mutex::new(members),
-                news: Notify::new(),
-                learnt: Notify::new(),
-                awaited: Notify::new(),
-                is_awaited: AtomicBool::new(false),
-                decided: Notify::new(),
+                knowledge_changed: Notify::new(),
+                condition_waiters: Notify::new(),
+                packet_waiting: Notify::new(),
+                has_waiting_packet: AtomicBool::new(false),
+                decisions_pending: Notify::new(),
                 is_stopping: AtomicBool::new(false),
                 unreadable_document: Mutex::default(),
                 last_packet: AtomicU64::new(0),
-                grown_at: AtomicU64::new(0),
+                knowledge_changed_at: AtomicU64::new(0),
             }),
         }
     }
@@ -85,72 +85,72 @@
         self.inner.members.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in what the store or another instance told, and lets others know if it is new.
+    /// Applies knowledge from the store or another instance and notifies the waiting tasks if it is new.
     pub(crate) fn learn(&self, change: impl FnOnce(&mut Knowledge) -> bool) -> bool {
         let now = self.now();
-        let has_grown = self.core().learn(now, change);
-        if has_grown {
-            self.inner.grown_at.store(now.0, Ordering::Relaxed);
-            self.inner.news.notify_one();
-            self.inner.learnt.notify_waiters();
+        let has_changed = self.core().learn(now, change);
+        if has_changed {
+            self.inner.knowledge_changed_at.store(now.0, Ordering::Relaxed);
+            self.inner.knowledge_changed.notify_one();
+            self.inner.condition_waiters.notify_waiters();
             self.note_decisions();
         }
-        has_grown
+        has_changed
     }
 
-    /// A packet has come, and waits until this instance can serve.
-    pub(crate) fn note_awaited(&self) {
-        self.inner.is_awaited.store(true, Ordering::Relaxed);
-        self.inner.awaited.notify_one();
+    /// Records that a packet is waiting for this instance to become ready.
+    pub(crate) fn note_waiting_packet(&self) {
+        self.inner.has_waiting_packet.store(true, Ordering::Relaxed);
+        self.inner.packet_waiting.notify_one();
     }
 
-    /// Whether one has.
-    pub(crate) fn is_awaited(&self) -> bool {
-        self.inner.is_awaited.load(Ordering::Relaxed)
+    /// Whether a packet arrived before this instance was ready.
+    pub(crate) fn has_waiting_packet(&self) -> bool {
+        self.inner.has_waiting_packet.load(Ordering::Relaxed)
     }
 
-    /// Waits until one has.
-    pub(crate) async fn awaited(&self) {
-        self.inner.awaited.notified().await;
+    /// Waits until a packet arrives before this instance is ready.
+    pub(crate) async fn packet_waiting(&self) {
+        self.inner.packet_waiting.notified().await;
     }
 
-    /// When knowledge has grown last.
-    pub(crate) fn grown_at(&self) -> Time {
-        Time(self.inner.grown_at.load(Ordering::Relaxed))
+    /// The time at which the knowledge last changed.
+    pub(crate) fn knowledge_changed_at(&self) -> Time {
+        Time(self.inner.knowledge_changed_at.load(Ordering::Relaxed))
     }
 
-    /// Waits until knowledge has grown.
-    pub(crate) async fn grown(&self) {
-        self.inner.news.notified().await;
+    /// Waits until the knowledge changes.
+    pub(crate) async fn knowledge_changed(&self) {
+        self.inner.knowledge_changed.notified().await;
     }
 
-    /// What was told may have led to resets and lines for the log.
+    /// Signals that received knowledge may have led to resets and decisions to log.
     pub(crate) fn note_decisions(&self) {
-        self.inner.decided.notify_one();
+        self.inner.decisions_pending.notify_one();
     }
 
-    /// Waits until decisions are to be carried out that no packet has led to.
-    pub(crate) async fn decided(&self) {
-        self.inner.decided.notified().await;
+    /// Waits until there may be decisions to carry out that no packet triggered.
+    pub(crate) async fn decisions_pending(&self) {
+        self.inner.decisions_pending.notified().await;
     }
 
     /// Waits until there is enough knowledge to serve.
-    pub(crate) async fn until_ready(&self) {
-        self.until(Knowledge::is_ready).await;
+    pub(crate) async fn wait_until_ready(&self) {
+        self.wait_until(Knowledge::is_ready).await;
     }
 
-    /// Waits until something holds of what is known.
-    pub(crate) async fn until(&self, holds: impl Fn(&Knowledge) -> bool) {
+    /// Waits until the knowledge satisfies a condition.
+    pub(crate) async fn wait_until(&self, holds: impl Fn(&Knowledge) -> bool) {
         loop {
-            let told = self.inner.learnt.notified();
+            let changed = self.inner.condition_waiters.notified();
             if holds(self.core().knowledge()) {
                 return;
             }
-            told.await;
+            changed.await;
         }
     }
 
-    /// Whether flows may be led here.
+    /// Whether routers may send flows to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.core().knowledge().is_ready()
     }
@@ -163,27 +163,27 @@
         self.inner.is_stopping.load(Ordering::Relaxed)
     }
 
-    fn unreadable(&self) -> MutexGuard<'_, Option<Unreadable>> {
+    fn lock_unreadable(&self) -> MutexGuard<'_, Option<UnreadableDocument>> {
         self.inner
             .unreadable_document
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The document that this instance last saw in the store, if it can't be read, so that an earlier one stays in force.
-    pub(crate) fn unreadable_document(&self) -> Option<Unreadable> {
-        self.unreadable().clone()
+    /// The document last seen in the store, if it can't be parsed, in which case an earlier one stays in force.
+    pub(crate) fn unreadable_document(&self) -> Option<UnreadableDocument> {
+        self.lock_unreadable().clone()
     }
 
-    /// Notes a document that can't be read, or that the last one that was seen can be. Tells whether that is news.
-    pub(crate) fn note_document(&self, unreadable: Option<Unreadable>) -> bool {
-        let mut held = self.unreadable();
+    /// Records that the document last seen can't be parsed, or with `None` that it can. Returns whether this changed.
+    pub(crate) fn set_unreadable_document(&self, unreadable: Option<UnreadableDocument>) -> bool {
+        let mut held = self.lock_unreadable();
         let is_news = *held != unreadable;
         *held = unreadable;
         is_news
     }
 
-    /// What flows can't be led here for, in words for an operator; `None` if they can.
+    /// The reason, in words for operators, why routers can't send flows to this instance; `None` if they can.
     pub(crate) fn why_not_ready(&self) -> Option<String> {
         if self.is_stopping() {
             return Some("stopping".to_owned());
@@ -194,20 +194,22 @@
             return None;
         }
         if knowledge.document().is_some() {
-            return Some("starting: the upstreams, or the zones to be emptied, are not known yet".to_owned());
+            return Some("starting: the upstreams or the evacuated zones are not known yet".to_owned());
         }
-        let why = match self.unreadable_document() {
-            Some(Unreadable { at, why }) => format!("no document: the store's of {at} can't be read: {why}"),
+        let text = match self.unreadable_document() {
+            Some(UnreadableDocument { at, reason }) => {
+                format!("no document: the one in the store at {at} can't be parsed: {reason}")
+            }
             None => "starting: no document yet".to_owned(),
         };
-        Some(why)
+        Some(text)
     }
 
     pub(crate) fn note_packet(&self, now: Time) {
         self.inner.last_packet.store(now.0, Ordering::Relaxed);
     }
 
-    /// When the last packet came.
+    /// The time at which the last packet arrived.
     pub(crate) fn last_packet(&self) -> Time {
         Time(self.inner.last_packet.load(Ordering::Relaxed))
     }
--- a/crates/jayquayd/tests/flows/world.rs
+++ b/crates/jayquayd/tests/flows/cluster.rs
@@ -1,4 +1,4 @@
-//! A system of real processes on a part of the loopback network: instances, the store, upstreams and clients.
+//! A test system of real processes on a loopback subnet: instances, the store, upstreams and clients.
 
 use std::fs;
 use std::fs::File;
@@ -20,31 +20,31 @@
 use adapter_standin::Upstream;
 use flow::UpstreamId;
 
-/// How often something is looked for, and how often at most. Tests fail by this only if it never comes.
+/// Interval and maximum number of polls. The limit is high, so that a test fails only if the condition never holds.
 pub(crate) const PAUSE: Duration = Duration::from_millis(50);
 pub(crate) const TRIES: u32 = 400;
 
-/// The route that clients dial.
+/// The route that clients connect to.
 pub(crate) const ROUTE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 
-/// Gives each test a part of the loopback network of its own, so that all its processes can use the same ports.
-static NEXT_NET: AtomicU8 = AtomicU8::new(1);
+/// Gives each test its own loopback subnet, so that all its processes can use the same ports.
+static NEXT_SUBNET: AtomicU8 = AtomicU8::new(1);
 
-/// A system on a part of the loopback network.
-pub(crate) struct World {
-    net: u8,
-    /// Where packets are taken, on every host.
+/// A test system on a loopback subnet.
+pub(crate) struct Cluster {
+    subnet: u8,
+    /// The port for packets, on every host.
     pub(crate) packets: u16,
     ready: u16,
     peers: u16,
     pub(crate) store: Store,
 }
 
-/// An instance. Dropping it kills it.
+/// An instance process. Dropping it kills the process.
 pub(crate) struct Instance {
     pub(crate) child: Child,
     ip: Ipv4Addr,
-    world: (u16, u16),
+    ports: (u16, u16),
 }
 
 impl Drop for Instance {
@@ -56,7 +56,7 @@
 
 impl Instance {
     pub(crate) fn packets(&self) -> SocketAddr {
-        SocketAddr::from((self.ip, self.world.0))
+        SocketAddr::from((self.ip, self.ports.0))
     }
 
     pub(crate) fn signal(&self, signal: &str) {
@@ -66,7 +66,7 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        let url = SocketAddr::from((self.ip, self.world.1));
+        let url = SocketAddr::from((self.ip, self.ports.1));
         let Ok(mut stream) = std::net::TcpStream::connect_timeout(&url, PAUSE) else {
             return false;
         };
@@ -77,29 +77,29 @@
     }
 }
 
-/// A port that is free on this part of the network.
-fn free_port(net: u8) -> u16 {
-    let socket = UdpSocket::bind((Ipv4Addr::new(127, net, 0, 1), 0)).unwrap();
+/// A free port on this subnet.
+fn free_port(subnet: u8) -> u16 {
+    let socket = UdpSocket::bind((Ipv4Addr::new(127, subnet, 0, 1), 0)).unwrap();
     socket.local_addr().unwrap().port()
 }
 
-impl World {
+impl Cluster {
     pub(crate) async fn new() -> Self {
-        let net = 64 + NEXT_NET.fetch_add(1, Ordering::Relaxed);
+        let subnet = 64 + NEXT_SUBNET.fetch_add(1, Ordering::Relaxed);
         Self {
-            net,
-            packets: free_port(net),
-            ready: free_port(net),
-            peers: free_port(net),
+            subnet,
+            packets: free_port(subnet),
+            ready: free_port(subnet),
+            peers: free_port(subnet),
             store: Store::start().await.unwrap(),
         }
     }
 
     pub(crate) fn ip(&self, group: u8, number: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.net, group, number)
+        Ipv4Addr::new(127, self.subnet, group, number)
     }
 
-    /// The settings of an instance of the first zone that is told to ask the first instance.
+    /// Settings of an instance in the first zone, with the first instance as its seed.
     pub(crate) fn settings(&self, number: u8, store: &Store) -> String {
         self.settings_in("zone-a", number, store)
     }
@@ -118,19 +118,19 @@
     }
 
     pub(crate) fn path(&self, number: u8) -> PathBuf {
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("flows-{}-{number}.yaml", self.net))
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("flows-{}-{number}.yaml", self.subnet))
     }
 
     fn log_path(&self, number: u8) -> PathBuf {
         self.path(number).with_extension("log")
     }
 
-    /// What an instance has logged since its start.
+    /// The log of an instance since its start.
     pub(crate) fn log(&self, number: u8) -> String {
         fs::read_to_string(self.log_path(number)).unwrap()
     }
 
-    /// A page that an instance serves to others.
+    /// Fetches a path from an instance's HTTP endpoint for other instances.
     pub(crate) async fn page(&self, number: u8, path: &str) -> Vec<u8> {
         let url = format!("http://{}:{}{path}", self.ip(1, number), self.peers);
         let answer = reqwest::get(url).await.unwrap();
@@ -138,7 +138,7 @@
         answer.bytes().await.unwrap().to_vec()
     }
 
-    /// An instance's metrics, as text.
+    /// The metrics of an instance, as text.
     pub(crate) async fn metrics(&self, number: u8) -> String {
         String::from_utf8(self.page(number, "/metrics").await).unwrap()
     }
@@ -158,13 +158,13 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let world = (self.packets, self.ready);
-        Instance { child, ip, world }
+        let ports = (self.packets, self.ready);
+        Instance { child, ip, ports }
     }
 
     pub(crate) async fn start_ready(&self, number: u8) -> Instance {
         let instance = self.start(number);
-        until("the instance is ready", || instance.is_ready()).await;
+        wait_until("the instance is ready", || instance.is_ready()).await;
         instance
     }
 
@@ -173,7 +173,7 @@
         Client::new(own, self.packets).await.unwrap()
     }
 
-    /// Starts an upstream and lists it.
+    /// Starts an upstream in the first zone and adds it to the store.
     pub(crate) async fn upstream(&self, id: u64, name: &str, service: &str) -> Upstream {
         let address = SocketAddrV4::new(self.ip(3, 1), 0);
         self.upstream_at(id, name, service, address).await
@@ -183,7 +183,7 @@
         self.start_upstream(id, name, service, address, "zone-a").await
     }
 
-    /// Starts an upstream of another availability zone and lists it.
+    /// Starts an upstream in another availability zone and adds it to the store.
     pub(crate) async fn upstream_in(&self, zone: &str, id: u64, name: &str, service: &str) -> Upstream {
         let address = SocketAddrV4::new(self.ip(3, 1), 0);
         self.start_upstream(id, name, service, address, zone).await
@@ -197,7 +197,7 @@
     }
 }
 
-pub(crate) async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..TRIES {
         if holds() {
             return;
@@ -207,8 +207,8 @@
     panic!("never: {what}");
 }
 
-/// Opens flows until one ends as expected. What was written to the store takes a moment to be known.
-pub(crate) async fn until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Reply) {
+/// Opens flows until one has the expected outcome, since a change in the store takes a moment to reach the instances.
+pub(crate) async fn wait_until_open(client: &mut Client, route: SocketAddrV4, through: SocketAddr, expected: &Reply) {
     for _ in 0..TRIES {
         if client.open(route, through).await.unwrap() == *expected {
             return;
--- a/crates/jayquayd/tests/logging.rs
+++ b/crates/jayquayd/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log of the flow mode never holds the process up.
+//! Tests that logging in the flow mode never blocks the process.
 
 use std::io;
 use std::io::Write;
@@ -8,24 +8,24 @@
 
 use jayquayd::forward::logging::Queue;
 
-/// How many lines are written while nobody reads.
+/// Number of lines written while nothing reads them.
 const LINES: usize = 10_000;
 
-/// A reader that reads nothing until it is let.
+/// A writer that blocks until it is released.
 #[derive(Clone, Default)]
-struct Reader {
+struct BlockingWriter {
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 #[derive(Default)]
 struct State {
-    is_reading: bool,
+    is_released: bool,
     read: Vec<u8>,
 }
 
-impl Reader {
-    fn begin(&self) {
-        self.state.0.lock().unwrap().is_reading = true;
+impl BlockingWriter {
+    fn release(&self) {
+        self.state.0.lock().unwrap().is_released = true;
         self.state.1.notify_all();
     }
 
@@ -34,11 +34,11 @@
     }
 }
 
-impl Write for Reader {
+impl Write for BlockingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let (state, begun) = &*self.state;
-        let mut state = begun
-            .wait_while(state.lock().unwrap(), |state| !state.is_reading)
+        let (state, released) = &*self.state;
+        let mut state = released
+            .wait_while(state.lock().unwrap(), |state| !state.is_released)
             .unwrap();
         state.read.extend(bytes);
         Ok(bytes.len())
@@ -51,18 +51,18 @@
 
 #[test]
 fn lines_that_nobody_reads_are_left_out_and_counted() {
-    let reader = Reader::default();
-    let mut queue = Queue::start(reader.clone());
+    let writer = BlockingWriter::default();
+    let mut queue = Queue::start(writer.clone());
     for number in 0..LINES {
-        // This would never return if it waited for the reader.
+        // This would never return if it waited for the output.
         queue.write_all(format!("line {number}\n").as_bytes()).unwrap();
     }
-    reader.begin();
-    while !reader.text().contains("left out lines=") {
+    writer.release();
+    while !writer.text().contains("left out lines=") {
         queue.write_all(b"another\n").unwrap();
         queue.finish();
     }
-    let text = reader.text();
+    let text = writer.text();
     let written = text.lines().filter(|line| line.starts_with("line ")).count();
     let left_out = text
         .lines()
@@ -72,6 +72,6 @@
     assert!(written > 0 && written + left_out >= LINES, "{written} and {left_out}");
     assert!(
         text.starts_with("line 0\nline 1\n"),
-        "the first ones are kept, in order"
+        "the first lines are kept, in order"
     );
 }
