--- a/crates/config/src/cursor.rs
+++ b/crates/config/src/cursor.rs
@@ -9,15 +9,15 @@
 
 use units::NameError;
 
-use crate::Fault;
-use crate::Field;
+use crate::FieldPath;
 use crate::Position;
 use crate::Problem;
-use crate::Shape;
+use crate::ProblemKind;
+use crate::ValueType;
 use crate::tree::Entry;
 use crate::tree::Node;
 use crate::tree::Value;
-use crate::unique::Unique;
+use crate::unique::UniqueValues;
 
 /// The problems found so far.
 #[derive(Debug, Default)]
@@ -42,13 +42,13 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Cursor<'a> {
     node: &'a Node,
-    field: Field,
+    field: FieldPath,
 }
 
 impl<'a> Cursor<'a> {
     /// The top of a tree.
-    pub(crate) fn top(node: &'a Node) -> Self {
-        let field = Field::default();
+    pub(crate) fn root(node: &'a Node) -> Self {
+        let field = FieldPath::default();
         Self { node, field }
     }
 
@@ -56,31 +56,31 @@
         self.node.position
     }
 
-    pub(crate) fn field(&self) -> &Field {
+    pub(crate) fn field(&self) -> &FieldPath {
         &self.field
     }
 
     /// Notes a problem with this value.
-    pub(crate) fn note(&self, report: &mut Report, fault: Fault) {
+    pub(crate) fn add_problem(&self, report: &mut Report, kind: ProblemKind) {
         report.problems.push(Problem {
             position: self.node.position,
             field: self.field.clone(),
-            fault,
+            kind,
         });
     }
 
-    fn refuse<T>(&self, report: &mut Report, fault: Fault) -> Option<T> {
-        self.note(report, fault);
+    fn reject<T>(&self, report: &mut Report, kind: ProblemKind) -> Option<T> {
+        self.add_problem(report, kind);
         None
     }
 
     /// The fields of a mapping that knows only `known` ones.
     pub(crate) fn fields(&self, known: &'static [&'static str], report: &mut Report) -> Option<Fields<'a>> {
         let Value::Mapping(entries) = &self.node.value else {
-            return self.refuse(report, Fault::Shape(Shape::Mapping));
+            return self.reject(report, ProblemKind::WrongType(ValueType::Mapping));
         };
         let mut fields = Fields {
-            owner: self.clone(),
+            mapping: self.clone(),
             members: Vec::new(),
         };
         for entry in entries {
@@ -92,10 +92,10 @@
     /// The items of a sequence whose length lies in `len`.
     pub(crate) fn items(&self, len: RangeInclusive<usize>, report: &mut Report) -> Option<Vec<Self>> {
         let Value::Sequence(nodes) = &self.node.value else {
-            return self.refuse(report, Fault::Shape(Shape::Sequence));
+            return self.reject(report, ProblemKind::WrongType(ValueType::Sequence));
         };
         if !len.contains(&nodes.len()) {
-            return self.refuse(report, Fault::Count(len));
+            return self.reject(report, ProblemKind::Count(len));
         }
         let mut items = Vec::new();
         for (index, node) in nodes.iter().enumerate() {
@@ -108,18 +108,18 @@
     pub(crate) fn text(&self, report: &mut Report) -> Option<&'a str> {
         match &self.node.value {
             Value::Text(text) => Some(text),
-            _ => self.refuse(report, Fault::Shape(Shape::Text)),
+            _ => self.reject(report, ProblemKind::WrongType(ValueType::Text)),
         }
     }
 
     /// Text for people, of a length in characters that lies in `len`.
-    pub(crate) fn prose(&self, len: RangeInclusive<usize>, report: &mut Report) -> Option<String> {
+    pub(crate) fn free_text(&self, len: RangeInclusive<usize>, report: &mut Report) -> Option<String> {
         let text = self.text(report)?.trim();
         if !len.contains(&text.chars().count()) {
-            return self.refuse(report, Fault::Length(len));
+            return self.reject(report, ProblemKind::Length(len));
         }
         if text.chars().any(char::is_control) {
-            return self.refuse(report, Fault::Control);
+            return self.reject(report, ProblemKind::ControlCharacter);
         }
         Some(text.to_owned())
     }
@@ -127,29 +127,29 @@
     pub(crate) fn name<T: FromStr<Err = NameError>>(&self, report: &mut Report) -> Option<T> {
         match self.text(report)?.parse() {
             Ok(name) => Some(name),
-            Err(error) => self.refuse(report, Fault::Name(error)),
+            Err(error) => self.reject(report, ProblemKind::Name(error)),
         }
     }
 
     pub(crate) fn number(&self, range: RangeInclusive<u64>, report: &mut Report) -> Option<u64> {
         match &self.node.value {
             Value::Number(number) if range.contains(number) => Some(*number),
-            Value::Number(_) | Value::OtherNumber => self.refuse(report, Fault::Range(range)),
-            _ => self.refuse(report, Fault::Shape(Shape::Number)),
+            Value::Number(_) | Value::UnsupportedNumber => self.reject(report, ProblemKind::Range(range)),
+            _ => self.reject(report, ProblemKind::WrongType(ValueType::Number)),
         }
     }
 
     /// A number that fits 32 bits.
-    pub(crate) fn number32(&self, range: RangeInclusive<u32>, report: &mut Report) -> Option<u32> {
+    pub(crate) fn number_u32(&self, range: RangeInclusive<u32>, report: &mut Report) -> Option<u32> {
         let range = u64::from(*range.start())..=u64::from(*range.end());
         let number = self.number(range, report)?;
         u32::try_from(number).ok()
     }
 
-    pub(crate) fn flag(&self, report: &mut Report) -> Option<bool> {
+    pub(crate) fn boolean(&self, report: &mut Report) -> Option<bool> {
         match &self.node.value {
-            Value::Flag(flag) => Some(*flag),
-            _ => self.refuse(report, Fault::Shape(Shape::Flag)),
+            Value::Boolean(flag) => Some(*flag),
+            _ => self.reject(report, ProblemKind::WrongType(ValueType::Boolean)),
         }
     }
 
@@ -157,29 +157,29 @@
     pub(crate) fn choice(&self, choices: &'static [&'static str], report: &mut Report) -> Option<usize> {
         let text = self.text(report)?;
         let index = choices.iter().position(|choice| *choice == text);
-        index.or_else(|| self.refuse(report, Fault::Choice(choices)))
+        index.or_else(|| self.reject(report, ProblemKind::Choice(choices)))
     }
 
     /// An address to listen on: any IP address, and port 0 where the system picks one.
     pub(crate) fn address(&self, report: &mut Report) -> Option<SocketAddr> {
         match self.text(report)?.parse() {
             Ok(address) => Some(address),
-            Err(error) => self.refuse(report, Fault::Address(error)),
+            Err(error) => self.reject(report, ProblemKind::Address(error)),
         }
     }
 
     /// An address that others can dial.
-    pub(crate) fn dialable(&self, report: &mut Report) -> Option<SocketAddr> {
+    pub(crate) fn dialable_address(&self, report: &mut Report) -> Option<SocketAddr> {
         let address = self.address(report)?;
         let ip = address.ip();
         if address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
-            return self.refuse(report, Fault::Undialable(address));
+            return self.reject(report, ProblemKind::Undialable(address));
         }
         Some(address)
     }
 
     /// A name that stands nowhere else among `seen`.
-    pub(crate) fn unique_name<T>(&self, seen: &mut Unique<T>, report: &mut Report) -> Option<T>
+    pub(crate) fn unique_name<T>(&self, seen: &mut UniqueValues<T>, report: &mut Report) -> Option<T>
     where
         T: FromStr<Err = NameError> + Ord + Clone + fmt::Display,
     {
@@ -189,8 +189,12 @@
     }
 
     /// An address that others can dial and that stands nowhere else among `seen`.
-    pub(crate) fn unique_address(&self, seen: &mut Unique<SocketAddr>, report: &mut Report) -> Option<SocketAddr> {
-        let address = self.dialable(report)?;
+    pub(crate) fn unique_address(
+        &self,
+        seen: &mut UniqueValues<SocketAddr>,
+        report: &mut Report,
+    ) -> Option<SocketAddr> {
+        let address = self.dialable_address(report)?;
         seen.add(&address, self, report);
         Some(address)
     }
@@ -199,14 +203,14 @@
 /// The fields of a mapping.
 #[derive(Debug)]
 pub(crate) struct Fields<'a> {
-    owner: Cursor<'a>,
+    mapping: Cursor<'a>,
     members: Vec<Member<'a>>,
 }
 
 #[derive(Debug)]
 struct Member<'a> {
     name: &'static str,
-    key: Position,
+    key_position: Position,
     value: &'a Node,
 }
 
@@ -214,26 +218,26 @@
     fn add(&mut self, entry: &'a Entry, known: &'static [&'static str], report: &mut Report) {
         let key = Cursor {
             node: &entry.key,
-            field: self.owner.field.clone(),
+            field: self.mapping.field.clone(),
         };
         let Some(text) = key.text(report) else {
             return;
         };
         let Some(name) = known.iter().find(|name| **name == text) else {
-            key.note(report, Fault::Unknown(text.to_owned(), known.to_vec()));
+            key.add_problem(report, ProblemKind::UnknownField(text.to_owned(), known.to_vec()));
             return;
         };
         if let Some(first) = self.members.iter().find(|member| member.name == *name) {
-            let repeated = Cursor {
+            let duplicate = Cursor {
                 node: &entry.key,
-                field: self.owner.field.member(name),
+                field: self.mapping.field.member(name),
             };
-            repeated.note(report, Fault::Repeated(first.key));
+            duplicate.add_problem(report, ProblemKind::DuplicateField(first.key_position));
             return;
         }
         self.members.push(Member {
             name,
-            key: entry.key.position,
+            key_position: entry.key.position,
             value: &entry.value,
         });
     }
@@ -241,7 +245,7 @@
     /// The value of a field that may be left out.
     pub(crate) fn find(&self, name: &str) -> Option<Cursor<'a>> {
         let member = self.members.iter().find(|member| member.name == name)?;
-        let field = self.owner.field.member(name);
+        let field = self.mapping.field.member(name);
         let node = member.value;
         Some(Cursor { node, field })
     }
@@ -253,7 +257,7 @@
     {
         match self.find(name) {
             Some(value) => read(&value, report),
-            None => self.owner.refuse(report, Fault::Missing(name.to_owned())),
+            None => self.mapping.reject(report, ProblemKind::MissingField(name.to_owned())),
         }
     }
 
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -96,8 +96,8 @@
 impl fmt::Display for Properties<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, property) in self.1.iter().enumerate() {
-            let lead = if index == 0 { self.0 } else { ", " };
-            write!(f, "{lead}{} {}", property.name, property.value)?;
+            let prefix = if index == 0 { self.0 } else { ", " };
+            write!(f, "{prefix}{} {}", property.name, property.value)?;
         }
         Ok(())
     }
@@ -107,34 +107,34 @@
 ///
 /// The revision and who made it are no difference, because no two documents share them.
 pub fn diff(old: &Document, new: &Document) -> Vec<Difference> {
-    let old = parts(old);
-    let new = parts(new);
+    let old = items(old);
+    let new = items(new);
     let mut differences = Vec::new();
-    removed(&old, &new, &mut differences);
-    added_or_changed(&old, &new, &mut differences);
+    push_removed(&old, &new, &mut differences);
+    push_added_or_changed(&old, &new, &mut differences);
     differences
 }
 
-fn removed(old: &[Part], new: &[Part], differences: &mut Vec<Difference>) {
-    let new = index(new);
-    for part in old {
-        if new.contains_key(&part.subject) {
+fn push_removed(old: &[Item], new: &[Item], differences: &mut Vec<Difference>) {
+    let new = index_by_subject(new);
+    for item in old {
+        if new.contains_key(&item.subject) {
             continue;
         }
-        let edit = Edit::Removed(part.properties.clone());
-        differences.push(part.difference(edit));
+        let edit = Edit::Removed(item.properties.clone());
+        differences.push(item.difference(edit));
     }
 }
 
-fn added_or_changed(old: &[Part], new: &[Part], differences: &mut Vec<Difference>) {
-    let old = index(old);
-    for part in new {
-        let Some(before) = old.get(&part.subject) else {
-            let edit = Edit::Added(part.properties.clone());
-            differences.push(part.difference(edit));
+fn push_added_or_changed(old: &[Item], new: &[Item], differences: &mut Vec<Difference>) {
+    let old = index_by_subject(old);
+    for item in new {
+        let Some(before) = old.get(&item.subject) else {
+            let edit = Edit::Added(item.properties.clone());
+            differences.push(item.difference(edit));
             continue;
         };
-        for (from, to) in before.properties.iter().zip(&part.properties) {
+        for (from, to) in before.properties.iter().zip(&item.properties) {
             if from == to {
                 continue;
             }
@@ -143,24 +143,24 @@
                 from: from.value.clone(),
                 to: to.value.clone(),
             };
-            differences.push(part.difference(edit));
+            differences.push(item.difference(edit));
         }
     }
 }
 
 /// A subject with its properties, which are the same ones in the same order for each kind of subject.
-struct Part {
+struct Item {
     subject: Subject,
     properties: Vec<Property>,
 }
 
-impl Part {
+impl Item {
     fn new(subject: Subject) -> Self {
         let properties = Vec::new();
         Self { subject, properties }
     }
 
-    fn with(mut self, name: &'static str, value: &impl fmt::Display) -> Self {
+    fn with_property(mut self, name: &'static str, value: &impl fmt::Display) -> Self {
         let value = value.to_string();
         self.properties.push(Property { name, value });
         self
@@ -172,51 +172,51 @@
     }
 }
 
-fn index(parts: &[Part]) -> BTreeMap<&Subject, &Part> {
-    parts.iter().map(|part| (&part.subject, part)).collect()
+fn index_by_subject(items: &[Item]) -> BTreeMap<&Subject, &Item> {
+    items.iter().map(|item| (&item.subject, item)).collect()
 }
 
-fn parts(document: &Document) -> Vec<Part> {
-    let mut parts = Vec::new();
+fn items(document: &Document) -> Vec<Item> {
+    let mut items = Vec::new();
     for zone in &document.zones {
-        parts.push(Part::new(Subject::Zone(zone.name.clone())).with("region", &zone.region));
+        items.push(Item::new(Subject::Zone(zone.name.clone())).with_property("region", &zone.region));
     }
     for service in &document.services {
-        parts.push(service_part(service));
+        items.push(service_item(service));
         for address in &service.addresses {
-            parts.push(Part::new(Subject::Address(*address)).with("service", &service.name));
+            items.push(Item::new(Subject::Address(*address)).with_property("service", &service.name));
         }
         for kind in &service.kinds {
-            parts.push(kind_part(service, kind));
+            items.push(kind_item(service, kind));
         }
         for upstream in &service.upstreams {
-            parts.push(upstream_part(service, upstream));
+            items.push(upstream_item(service, upstream));
         }
     }
-    parts
+    items
 }
 
-fn service_part(service: &Service) -> Part {
+fn service_item(service: &Service) -> Item {
     let sharing = &service.sharing;
-    Part::new(Subject::Service(service.name.clone()))
-        .with("affinity", &sharing.affinity)
-        .with("prefer-local-zone", &sharing.prefer_local_zone)
-        .with("queue-limit", &sharing.queue_limit)
-        .with("retry-budget-percent", &sharing.retry_budget_percent)
-        .with("slow-start-ms", &sharing.slow_start.as_millis())
-}
-
-fn kind_part(service: &Service, kind: &Kind) -> Part {
-    Part::new(Subject::Kind(service.name.clone(), kind.name.clone()))
-        .with("weight", &kind.weight)
-        .with("idempotent", &kind.idempotent)
-}
-
-fn upstream_part(service: &Service, upstream: &Upstream) -> Part {
-    Part::new(Subject::Upstream(upstream.name.clone()))
-        .with("service", &service.name)
-        .with("zone", &upstream.zone)
-        .with("address", &upstream.address)
-        .with("slots", &upstream.slots)
-        .with("state", &upstream.state)
+    Item::new(Subject::Service(service.name.clone()))
+        .with_property("affinity", &sharing.affinity)
+        .with_property("prefer-local-zone", &sharing.prefer_local_zone)
+        .with_property("queue-limit", &sharing.queue_limit)
+        .with_property("retry-budget-percent", &sharing.retry_budget_percent)
+        .with_property("slow-start-ms", &sharing.slow_start.as_millis())
+}
+
+fn kind_item(service: &Service, kind: &Kind) -> Item {
+    Item::new(Subject::Kind(service.name.clone(), kind.name.clone()))
+        .with_property("weight", &kind.weight)
+        .with_property("idempotent", &kind.idempotent)
+}
+
+fn upstream_item(service: &Service, upstream: &Upstream) -> Item {
+    Item::new(Subject::Upstream(upstream.name.clone()))
+        .with_property("service", &service.name)
+        .with_property("zone", &upstream.zone)
+        .with_property("address", &upstream.address)
+        .with_property("slots", &upstream.slots)
+        .with_property("state", &upstream.state)
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/document_check.rs
@@ -16,9 +16,9 @@
 use crate::Affinity;
 use crate::Change;
 use crate::Document;
-use crate::Fault;
 use crate::Kind;
 use crate::Problem;
+use crate::ProblemKind;
 use crate::Service;
 use crate::Sharing;
 use crate::Upstream;
@@ -27,31 +27,31 @@
 use crate::cursor::Cursor;
 use crate::cursor::Report;
 use crate::tree;
-use crate::tree::Quoting;
-use crate::unique::Unique;
+use crate::tree::ErrorDetail;
+use crate::unique::UniqueValues;
 
 /// The bound keeps a slip of the pen from using up the revisions.
-const REVISIONS: RangeInclusive<u64> = 1..=1_000_000_000;
-const PERSON_LEN: RangeInclusive<usize> = 1..=100;
+const REVISION_RANGE: RangeInclusive<u64> = 1..=1_000_000_000;
+const PERSON_NAME_LEN: RangeInclusive<usize> = 1..=100;
 const REASON_LEN: RangeInclusive<usize> = 1..=500;
 const ZONE_COUNT: RangeInclusive<usize> = 1..=100;
 const SERVICE_COUNT: RangeInclusive<usize> = 1..=3_000;
 const ADDRESS_COUNT: RangeInclusive<usize> = 1..=100;
 const KIND_COUNT: RangeInclusive<usize> = 1..=100;
 const UPSTREAM_COUNT: RangeInclusive<usize> = 0..=2_000;
-const SLOTS: RangeInclusive<u32> = 1..=1_000;
-const WEIGHTS: RangeInclusive<u32> = 1..=1_000_000;
-const QUEUE_LIMITS: RangeInclusive<u32> = 0..=100_000;
-const PERCENTS: RangeInclusive<u32> = 0..=100;
-const SLOW_STARTS: RangeInclusive<u32> = 0..=600_000;
+const SLOT_RANGE: RangeInclusive<u32> = 1..=1_000;
+const WEIGHT_RANGE: RangeInclusive<u32> = 1..=1_000_000;
+const QUEUE_LIMIT_RANGE: RangeInclusive<u32> = 0..=100_000;
+const RETRY_BUDGET_PERCENT_RANGE: RangeInclusive<u32> = 0..=100;
+const SLOW_START_MS_RANGE: RangeInclusive<u32> = 0..=600_000;
 const AFFINITIES: [&str; 2] = ["request", "flow"];
-const STATES: [&str; 2] = ["active", "draining"];
+const UPSTREAM_STATES: [&str; 2] = ["active", "draining"];
 
 /// Reads a configuration document, or tells everything that is wrong with it in the order of the text.
 pub fn parse(text: &str) -> Result<Document, Vec<Problem>> {
-    let tree = tree::read(text, Quoting::Free).map_err(|problem| vec![problem])?;
+    let tree = tree::parse(text, ErrorDetail::Full).map_err(|problem| vec![problem])?;
     let mut report = Report::default();
-    let document = document(&Cursor::top(&tree), text, &mut report);
+    let document = document(&Cursor::root(&tree), text, &mut report);
     report.finish(document)
 }
 
@@ -66,17 +66,17 @@
 /// What must be unique in the document, as far as it has been read.
 #[derive(Debug, Default)]
 struct Seen {
-    zones: Unique<ZoneName>,
-    services: Unique<ServiceName>,
-    service_addresses: Unique<SocketAddr>,
-    upstreams: Unique<UpstreamName>,
-    upstream_addresses: Unique<SocketAddr>,
+    zones: UniqueValues<ZoneName>,
+    services: UniqueValues<ServiceName>,
+    service_addresses: UniqueValues<SocketAddr>,
+    upstreams: UniqueValues<UpstreamName>,
+    upstream_addresses: UniqueValues<SocketAddr>,
 }
 
-fn document(top: &Cursor<'_>, text: &str, report: &mut Report) -> Option<Document> {
-    let fields = top.fields(&["revision", "change", "zones", "services"], report)?;
+fn document(root: &Cursor<'_>, text: &str, report: &mut Report) -> Option<Document> {
+    let fields = root.fields(&["revision", "change", "zones", "services"], report)?;
     let mut seen = Seen::default();
-    let revision = fields.read("revision", report, |value, report| value.number(REVISIONS, report));
+    let revision = fields.read("revision", report, |value, report| value.number(REVISION_RANGE, report));
     let change = fields.read("change", report, change);
     let zones = fields.read("zones", report, |value, report| zones(value, &mut seen, report));
     let services = fields.read("services", report, |value, report| services(value, &mut seen, report));
@@ -92,11 +92,13 @@
 
 fn change(cursor: &Cursor<'_>, report: &mut Report) -> Option<Change> {
     let fields = cursor.fields(&["author", "approver", "reason"], report)?;
-    let author = fields.read("author", report, |value, report| value.prose(PERSON_LEN, report));
+    let author = fields.read("author", report, |value, report| {
+        value.free_text(PERSON_NAME_LEN, report)
+    });
     let approver = fields.read("approver", report, |value, report| {
         approver(value, author.as_deref(), report)
     });
-    let reason = fields.read("reason", report, |value, report| value.prose(REASON_LEN, report));
+    let reason = fields.read("reason", report, |value, report| value.free_text(REASON_LEN, report));
     Some(Change {
         author: author?,
         approver: approver?,
@@ -105,9 +107,9 @@
 }
 
 fn approver(value: &Cursor<'_>, author: Option<&str>, report: &mut Report) -> Option<String> {
-    let approver = value.prose(PERSON_LEN, report)?;
+    let approver = value.free_text(PERSON_NAME_LEN, report)?;
     if author.is_some_and(|author| author.to_lowercase() == approver.to_lowercase()) {
-        value.note(report, Fault::SameAuthor);
+        value.add_problem(report, ProblemKind::SelfApproval);
     }
     Some(approver)
 }
@@ -176,25 +178,25 @@
     ];
     let fields = cursor.fields(known, report)?;
     let default = Sharing::default();
-    let number = |range| move |value: &Cursor<'_>, report: &mut Report| value.number32(range, report);
+    let number = |range| move |value: &Cursor<'_>, report: &mut Report| value.number_u32(range, report);
     let affinity = fields.read_or("affinity", default.affinity, report, affinity);
-    let local = fields.read_or("prefer-local-zone", default.prefer_local_zone, report, Cursor::flag);
-    let queue = fields.read_or("queue-limit", default.queue_limit, report, number(QUEUE_LIMITS));
-    let retries = fields.read_or(
+    let prefer_local_zone = fields.read_or("prefer-local-zone", default.prefer_local_zone, report, Cursor::boolean);
+    let queue_limit = fields.read_or("queue-limit", default.queue_limit, report, number(QUEUE_LIMIT_RANGE));
+    let retry_budget = fields.read_or(
         "retry-budget-percent",
         default.retry_budget_percent,
         report,
-        number(PERCENTS),
+        number(RETRY_BUDGET_PERCENT_RANGE),
     );
     let slow_start = fields.read_or("slow-start-ms", default.slow_start, report, |value, report| {
-        let millis = value.number32(SLOW_STARTS, report)?;
+        let millis = value.number_u32(SLOW_START_MS_RANGE, report)?;
         Some(Millis(millis).duration())
     });
     Some(Sharing {
         affinity: affinity?,
-        prefer_local_zone: local?,
-        queue_limit: queue?,
-        retry_budget_percent: retries?,
+        prefer_local_zone: prefer_local_zone?,
+        queue_limit: queue_limit?,
+        retry_budget_percent: retry_budget?,
         slow_start: slow_start?,
     })
 }
@@ -205,7 +207,7 @@
 }
 
 fn kinds(cursor: &Cursor<'_>, report: &mut Report) -> Option<Vec<Kind>> {
-    let mut names = Unique::default();
+    let mut names = UniqueValues::default();
     let mut kinds = Vec::new();
     for item in cursor.items(KIND_COUNT, report)? {
         kinds.extend(kind(&item, &mut names, report));
@@ -213,11 +215,11 @@
     Some(kinds)
 }
 
-fn kind(cursor: &Cursor<'_>, names: &mut Unique<KindName>, report: &mut Report) -> Option<Kind> {
+fn kind(cursor: &Cursor<'_>, names: &mut UniqueValues<KindName>, report: &mut Report) -> Option<Kind> {
     let fields = cursor.fields(&["name", "weight", "idempotent"], report)?;
     let name = fields.read("name", report, |value, report| value.unique_name(names, report));
-    let weight = fields.read("weight", report, |value, report| value.number32(WEIGHTS, report));
-    let idempotent = fields.read("idempotent", report, Cursor::flag);
+    let weight = fields.read("weight", report, |value, report| value.number_u32(WEIGHT_RANGE, report));
+    let idempotent = fields.read("idempotent", report, Cursor::boolean);
     Some(Kind {
         name: name?,
         weight: Weight(weight?),
@@ -242,8 +244,8 @@
     let address = fields.read("address", report, |value, report| {
         value.unique_address(&mut seen.upstream_addresses, report)
     });
-    let slots = fields.read("slots", report, |value, report| value.number32(SLOTS, report));
-    let state = fields.read_or("state", UpstreamState::default(), report, state);
+    let slots = fields.read("slots", report, |value, report| value.number_u32(SLOT_RANGE, report));
+    let state = fields.read_or("state", UpstreamState::default(), report, upstream_state);
     Some(Upstream {
         name: name?,
         zone: zone?,
@@ -253,16 +255,16 @@
     })
 }
 
-fn state(cursor: &Cursor<'_>, report: &mut Report) -> Option<UpstreamState> {
-    let index = cursor.choice(&STATES, report)?;
+fn upstream_state(cursor: &Cursor<'_>, report: &mut Report) -> Option<UpstreamState> {
+    let index = cursor.choice(&UPSTREAM_STATES, report)?;
     Some([UpstreamState::Active, UpstreamState::Draining][index])
 }
 
-fn known_zone(cursor: &Cursor<'_>, zones: &Unique<ZoneName>, report: &mut Report) -> Option<ZoneName> {
+fn known_zone(cursor: &Cursor<'_>, zones: &UniqueValues<ZoneName>, report: &mut Report) -> Option<ZoneName> {
     let name: ZoneName = cursor.name(report)?;
     if !zones.contains(&name) {
         let known = zones.values().map(ZoneName::to_string).collect();
-        cursor.note(report, Fault::NoZone(name.to_string(), known));
+        cursor.add_problem(report, ProblemKind::UnknownZone(name.to_string(), known));
     }
     Some(name)
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,17 +3,16 @@
 //! This crate does no I/O and reads no clock. Whoever holds a [`Document`] or [`Settings`] holds one that passed every
 //! check. Neither knows the other: that a setting names a zone of the document is checked where both are at hand.
 
-mod check;
 mod cursor;
 mod diff;
 mod document;
+mod document_check;
 mod problem;
 mod settings;
 mod settings_check;
 mod tree;
 mod unique;
 
-pub use check::parse;
 pub use diff::Difference;
 pub use diff::Edit;
 pub use diff::Property;
@@ -28,11 +27,12 @@
 pub use document::Upstream;
 pub use document::UpstreamState;
 pub use document::Zone;
-pub use problem::Fault;
-pub use problem::Field;
+pub use document_check::parse;
+pub use problem::FieldPath;
 pub use problem::Position;
 pub use problem::Problem;
-pub use problem::Shape;
+pub use problem::ProblemKind;
+pub use problem::ValueType;
 pub use settings::Advertise;
 pub use settings::Limits;
 pub use settings::Listen;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -9,13 +9,13 @@
 use units::NameError;
 
 /// Longer field names are not repeated in messages, because a misplaced secret could stand there.
-const MAX_SHOWN_LEN: usize = 24;
+const MAX_QUOTED_NAME_LEN: usize = 24;
 
 /// The way from the top of a text to a value, such as `services[0].name`. It is empty at the top.
 #[derive(Debug, Default, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Field(String);
+pub struct FieldPath(String);
 
-impl Field {
+impl FieldPath {
     /// The field as text.
     pub fn as_str(&self) -> &str {
         &self.0
@@ -37,7 +37,7 @@
     }
 }
 
-impl fmt::Display for Field {
+impl fmt::Display for FieldPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(&self.0)
     }
@@ -64,9 +64,9 @@
     /// Where it stands.
     pub position: Position,
     /// Which field it concerns.
-    pub field: Field,
+    pub field: FieldPath,
     /// What is wrong, and what is allowed.
-    pub fault: Fault,
+    pub kind: ProblemKind,
 }
 
 impl fmt::Display for Problem {
@@ -75,7 +75,7 @@
         if !self.field.as_str().is_empty() {
             write!(f, "{}: ", self.field)?;
         }
-        self.fault.fmt(f)
+        self.kind.fmt(f)
     }
 }
 
@@ -83,7 +83,7 @@
 
 /// The kinds of value that a field may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum ValueType {
     /// Fields with values.
     Mapping,
     /// A list of values.
@@ -93,17 +93,17 @@
     /// A whole number.
     Number,
     /// `true` or `false`.
-    Flag,
+    Boolean,
 }
 
-impl fmt::Display for Shape {
+impl fmt::Display for ValueType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
             Self::Mapping => "fields with values",
             Self::Sequence => "a list",
             Self::Text => "text (in quotes if it looks like a number)",
             Self::Number => "a whole number",
-            Self::Flag => "`true` or `false`",
+            Self::Boolean => "`true` or `false`",
         };
         f.write_str(text)
     }
@@ -111,19 +111,19 @@
 
 /// What is wrong, and what is allowed instead.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum ProblemKind {
     /// The text is longer than this many bytes as a JSON string.
     TooLong(usize),
     /// The text is not the YAML that is taken here.
     Syntax(String),
     /// The field is not known; these are.
-    Unknown(String, Vec<&'static str>),
+    UnknownField(String, Vec<&'static str>),
     /// The field stands twice, first here.
-    Repeated(Position),
+    DuplicateField(Position),
     /// The field is missing.
-    Missing(String),
+    MissingField(String),
     /// The value has another shape than this one.
-    Shape(Shape),
+    WrongType(ValueType),
     /// The number does not lie in this range.
     Range(RangeInclusive<u64>),
     /// The number of characters does not lie in this range.
@@ -131,7 +131,7 @@
     /// The number of items does not lie in this range.
     Count(RangeInclusive<usize>),
     /// The text holds a control character.
-    Control,
+    ControlCharacter,
     /// The text is none of these.
     Choice(&'static [&'static str]),
     /// The text is not a name.
@@ -141,65 +141,69 @@
     /// The address is one that nobody can dial.
     Undialable(SocketAddr),
     /// The value must be unique, and stands at this field and place already.
-    Taken(String, Field, Position),
+    Duplicate(String, FieldPath, Position),
     /// No availability zone has this name; these exist.
-    NoZone(String, Vec<String>),
+    UnknownZone(String, Vec<String>),
     /// The author approves the change.
-    SameAuthor,
+    SelfApproval,
     /// The secret is too weak. It is not shown.
     Secret(SecretError),
     /// The address is reached from other machines, and nothing says that it may be.
-    Exposed,
+    AdminNotLoopback,
     /// The address that others should dial is missing, because this one is not dialable.
-    Unadvertised,
+    NotAdvertised,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ProblemKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooLong(max) => write!(f, "the text is longer than {max} bytes as a JSON string"),
             Self::Syntax(message) => f.write_str(message),
-            Self::Unknown(name, known) => write_unknown(f, name, known),
-            Self::Repeated(first) => write!(f, "the field stands twice, first at {first}"),
-            Self::Missing(name) => write!(f, "the field `{name}` is missing"),
-            Self::Shape(shape) => write!(f, "this must be {shape}"),
+            Self::UnknownField(name, known) => write_unknown_field(f, name, known),
+            Self::DuplicateField(first) => write!(f, "the field stands twice, first at {first}"),
+            Self::MissingField(name) => write!(f, "the field `{name}` is missing"),
+            Self::WrongType(expected) => write!(f, "this must be {expected}"),
             Self::Range(range) => write!(f, "this must be from {} to {}", range.start(), range.end()),
             Self::Length(range) => write!(f, "this must have from {} to {} characters", range.start(), range.end()),
             Self::Count(range) => write!(f, "this must have from {} to {} items", range.start(), range.end()),
-            Self::Control => f.write_str("a control character is not allowed here"),
-            Self::Choice(choices) => write!(f, "this must be {}", Listed(choices, "or")),
+            Self::ControlCharacter => f.write_str("a control character is not allowed here"),
+            Self::Choice(choices) => write!(f, "this must be {}", QuotedList(choices, "or")),
             Self::Name(error) => error.fmt(f),
             Self::Address(_) => f.write_str("this must be an IP address with a port, such as \"10.1.0.1:4000\""),
             Self::Undialable(address) => write!(f, "nobody can dial {address}: give a host's IP address and its port"),
-            Self::Taken(value, field, first) => {
+            Self::Duplicate(value, field, first) => {
                 write!(
                     f,
                     "`{value}` must be unique, and stands at {field} already (line {})",
                     first.line
                 )
             }
-            Self::NoZone(name, zones) => write!(f, "no zone is named `{name}`; allowed: {}", Listed(zones, "or")),
-            Self::SameAuthor => f.write_str("the approver must be somebody else than the author"),
+            Self::UnknownZone(name, zones) => {
+                write!(f, "no zone is named `{name}`; allowed: {}", QuotedList(zones, "or"))
+            }
+            Self::SelfApproval => f.write_str("the approver must be somebody else than the author"),
             Self::Secret(error) => error.fmt(f),
-            Self::Exposed => {
+            Self::AdminNotLoopback => {
                 f.write_str("this must be a loopback address, unless `listen.admin-on-any-address` is `true`")
             }
-            Self::Unadvertised => f.write_str("others cannot dial this address, so `advertise` must name one they can"),
+            Self::NotAdvertised => {
+                f.write_str("others cannot dial this address, so `advertise` must name one they can")
+            }
         }
     }
 }
 
-fn write_unknown(f: &mut fmt::Formatter<'_>, name: &str, known: &[&'static str]) -> fmt::Result {
-    if name.chars().count() > MAX_SHOWN_LEN {
-        return write!(f, "no such field; allowed: {}", Listed(known, "and"));
+fn write_unknown_field(f: &mut fmt::Formatter<'_>, name: &str, known: &[&'static str]) -> fmt::Result {
+    if name.chars().count() > MAX_QUOTED_NAME_LEN {
+        return write!(f, "no such field; allowed: {}", QuotedList(known, "and"));
     }
-    write!(f, "no such field: `{name}`; allowed: {}", Listed(known, "and"))
+    write!(f, "no such field: `{name}`; allowed: {}", QuotedList(known, "and"))
 }
 
 /// Displays items as "a, b or c".
-struct Listed<'a, T>(&'a [T], &'a str);
+struct QuotedList<'a, T>(&'a [T], &'a str);
 
-impl<T: fmt::Display> fmt::Display for Listed<'_, T> {
+impl<T: fmt::Display> fmt::Display for QuotedList<'_, T> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some((last, others)) = self.0.split_last() else {
             return f.write_str("none");
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -15,19 +15,19 @@
 use serde_saphyr::options::DuplicateKeyPolicy;
 use serde_saphyr::options::MergeKeyPolicy;
 
-use crate::Fault;
-use crate::Field;
+use crate::FieldPath;
 use crate::Position;
 use crate::Problem;
+use crate::ProblemKind;
 
 /// The longest text that is read, in bytes as a JSON string, which is how the platform holds it.
 pub const MAX_TEXT_LEN: usize = 1_000_000;
 
 /// How deeply a text may nest.
-const MAX_DEPTH: usize = 16;
+const MAX_NESTING_DEPTH: usize = 16;
 
 /// Where a text starts.
-const START: Position = Position { line: 1, column: 1 };
+const TEXT_START: Position = Position { line: 1, column: 1 };
 
 /// A value and where it stands.
 #[derive(Debug)]
@@ -40,10 +40,10 @@
 #[derive(Debug)]
 pub(crate) enum Value {
     Null,
-    Flag(bool),
+    Boolean(bool),
     Number(u64),
     /// A number that no field takes: negative or with a fraction.
-    OtherNumber,
+    UnsupportedNumber,
     Text(String),
     Sequence(Vec<Node>),
     Mapping(Vec<Entry>),
@@ -58,25 +58,25 @@
 
 /// How much of the reader's own message a problem may repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Quoting {
+pub(crate) enum ErrorDetail {
     /// All of it.
-    Free,
+    Full,
     /// None, because the text holds secrets.
-    Secret,
+    Redacted,
 }
 
 /// Reads `text` as a tree.
-pub(crate) fn read(text: &str, quoting: Quoting) -> Result<Node, Problem> {
-    if json_len(text) > MAX_TEXT_LEN {
-        return Err(top_problem(
+pub(crate) fn parse(text: &str, detail: ErrorDetail) -> Result<Node, Problem> {
+    if json_string_len(text) > MAX_TEXT_LEN {
+        return Err(root_problem(
             Position { line: 1, column: 1 },
-            Fault::TooLong(MAX_TEXT_LEN),
+            ProblemKind::TooLong(MAX_TEXT_LEN),
         ));
     }
     let options = serde_saphyr::options! {
         budget: serde_saphyr::budget! {
-            max_depth: MAX_DEPTH,
-            flow_nesting_limit: MAX_DEPTH,
+            max_depth: MAX_NESTING_DEPTH,
+            flow_nesting_limit: MAX_NESTING_DEPTH,
             max_anchors: 0,
             max_aliases: 0,
         },
@@ -86,11 +86,11 @@
         leading_zero_numbers_as_strings: true,
         underscored_numbers_as_strings: true,
     };
-    serde_saphyr::from_str_with_options(text, options).map_err(|error| syntax_problem(&error, quoting))
+    serde_saphyr::from_str_with_options(text, options).map_err(|error| syntax_problem(&error, detail))
 }
 
 /// The length of `text` as a JSON string, with its quotes and escapes.
-fn json_len(text: &str) -> usize {
+fn json_string_len(text: &str) -> usize {
     let mut len = 2;
     for byte in text.bytes() {
         len += match byte {
@@ -102,30 +102,30 @@
     len
 }
 
-fn syntax_problem(error: &serde_saphyr::Error, quoting: Quoting) -> Problem {
+fn syntax_problem(error: &serde_saphyr::Error, detail: ErrorDetail) -> Problem {
     let error = error.without_snippet();
-    let position = error.location().map_or(START, position_of);
+    let position = error.location().map_or(TEXT_START, position_of);
     let message = match error {
         serde_saphyr::Error::MultipleDocuments { .. } => "only one YAML document is allowed".to_owned(),
         serde_saphyr::Error::Budget { .. } => "the text nests too deeply, or holds anchors or aliases".to_owned(),
-        _ if quoting == Quoting::Secret => "this is not valid YAML".to_owned(),
-        _ => own_words(&error.to_string()),
+        _ if detail == ErrorDetail::Redacted => "this is not valid YAML".to_owned(),
+        _ => parser_message(&error.to_string()),
     };
-    top_problem(position, Fault::Syntax(message))
+    root_problem(position, ProblemKind::Syntax(message))
 }
 
 /// The library's message without its own note of the place, which the problem tells already.
-fn own_words(message: &str) -> String {
+fn parser_message(message: &str) -> String {
     let line = message.lines().next().unwrap_or_default();
-    let words = line.split(" at line ").next().unwrap_or_default();
-    format!("this is not valid YAML: {words}")
+    let reason = line.split(" at line ").next().unwrap_or_default();
+    format!("this is not valid YAML: {reason}")
 }
 
-fn top_problem(position: Position, fault: Fault) -> Problem {
+fn root_problem(position: Position, kind: ProblemKind) -> Problem {
     Problem {
         position,
-        field: Field::default(),
-        fault,
+        field: FieldPath::default(),
+        kind,
     }
 }
 
@@ -166,7 +166,7 @@
     }
 
     fn visit_bool<E>(self, flag: bool) -> Result<Value, E> {
-        Ok(Value::Flag(flag))
+        Ok(Value::Boolean(flag))
     }
 
     fn visit_u64<E>(self, number: u64) -> Result<Value, E> {
@@ -174,11 +174,11 @@
     }
 
     fn visit_i64<E>(self, _number: i64) -> Result<Value, E> {
-        Ok(Value::OtherNumber)
+        Ok(Value::UnsupportedNumber)
     }
 
     fn visit_f64<E>(self, _number: f64) -> Result<Value, E> {
-        Ok(Value::OtherNumber)
+        Ok(Value::UnsupportedNumber)
     }
 
     fn visit_str<E>(self, text: &str) -> Result<Value, E> {
--- a/crates/config/tests/diff.rs
+++ b/crates/config/tests/diff.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn each_difference_is_one_sentence() {
+fn each_difference_displays_as_one_line() {
     assert_snapshot!(differences(OLD, NEW), @r"
     upstream search-2 removed; it had service availability, zone brugge, address 10.2.0.2:8080, slots 2, state active
     zone gent added: region flanders
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn order_and_spelling_are_no_difference() {
-    let spelled = OLD
+fn order_and_explicit_defaults_are_no_difference() {
+    let explicit = OLD
         .replace("slots: 2", "slots: 2, state: active")
         .replace("revision: 1", "revision: 2");
-    assert_snapshot!(differences(OLD, &spelled), @"");
+    assert_snapshot!(differences(OLD, &explicit), @"");
 }
--- a/crates/config/tests/document.rs
+++ b/crates/config/tests/document.rs
@@ -28,13 +28,13 @@
 }
 
 /// Every problem of the valid text after an edit.
-fn edited(from: &str, to: &str) -> String {
+fn problems_after_edit(from: &str, to: &str) -> String {
     assert!(VALID.contains(from), "the edit applies");
     problems(&VALID.replacen(from, to, 1))
 }
 
 #[test]
-fn defaults_fill_what_may_be_left_out() {
+fn omitted_fields_get_defaults() {
     let document = parse(VALID).expect("the text is valid");
     assert_snapshot!(format!("{:?}", document.services[0].sharing), @"Sharing { affinity: Request, prefer_local_zone: true, queue_limit: 200, retry_budget_percent: 10, slow_start: 5s }");
     assert_eq!(document.digest, wire::Digest::of(VALID.as_bytes()));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_problem_is_told_at_once() {
+fn all_problems_are_reported_together() {
     let text = r#"
 revision: 0
 change: {author: An, approver: an, reason: " "}
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_is_not_a_document_is_refused_where_it_breaks() {
+fn syntax_errors_report_their_position() {
     assert_snapshot!(problems(""), @"1:1: this must be fields with values");
     assert_snapshot!(problems("[]"), @"1:1: this must be fields with values");
     assert_snapshot!(problems("revision: [1"), @"1:11: this is not valid YAML: unclosed bracket '['");
@@ -119,22 +119,22 @@
 }
 
 #[test]
-fn what_an_auditor_could_misread_is_refused() {
-    assert_snapshot!(edited("slots: 2", "slots: 02"), @"12:73: services[0].upstreams[0].slots: this must be a whole number");
-    assert_snapshot!(edited("slots: 2", "slots: 2, slots: 3"), @"12:76: services[0].upstreams[0].slots: the field stands twice, first at 12:66");
-    assert_snapshot!(edited("{name: search-1", "{<<: {name: search-1}"), @r"
+fn ambiguous_yaml_is_rejected() {
+    assert_snapshot!(problems_after_edit("slots: 2", "slots: 02"), @"12:73: services[0].upstreams[0].slots: this must be a whole number");
+    assert_snapshot!(problems_after_edit("slots: 2", "slots: 2, slots: 3"), @"12:76: services[0].upstreams[0].slots: the field stands twice, first at 12:66");
+    assert_snapshot!(problems_after_edit("{name: search-1", "{<<: {name: search-1}"), @r"
     12:9: services[0].upstreams[0]: the field `name` is missing
     12:10: services[0].upstreams[0]: no such field: `<<`; allowed: `name`, `zone`, `address`, `slots` and `state`
     ");
-    assert_snapshot!(edited("change: {", "change: &change {"), @"3:17: the text nests too deeply, or holds anchors or aliases");
-    assert_snapshot!(edited("reason: \"Add", "reason: \"Add\\e"), @"3:47: change.reason: a control character is not allowed here");
+    assert_snapshot!(problems_after_edit("change: {", "change: &change {"), @"3:17: the text nests too deeply, or holds anchors or aliases");
+    assert_snapshot!(problems_after_edit("reason: \"Add", "reason: \"Add\\e"), @"3:47: change.reason: a control character is not allowed here");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn mutated_text_is_taken_or_refused(at in 0..VALID.len(), len in 0..20_usize, insert in "[\\PC\n]{0,8}") {
+    fn mutated_text_does_not_panic(at in 0..VALID.len(), len in 0..20_usize, insert in "[\\PC\n]{0,8}") {
         let mut text = VALID.to_owned();
         let end = (at + len).min(text.len());
         text.replace_range(at..end, &insert);
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -29,16 +29,16 @@
 }
 
 #[test]
-fn documents_have_the_sizes_of_their_deployments() {
+fn example_documents_have_expected_sizes() {
     assert_snapshot!(sizes("verblijfnet.yaml"), @"3 zones; availability: 14 upstreams, 28 slots; photos: 4 upstreams, 8 slots");
     assert_snapshot!(sizes("coral-table.yaml"), @"4 zones; quotes: 14 upstreams, 42 slots; packs: 4 upstreams, 12 slots");
 }
 
 #[test]
-fn settings_are_valid_and_show_no_secret() {
+fn example_settings_are_valid_and_debug_hides_secrets() {
     let text = read("settings.yaml");
     let settings = Settings::try_from(text.as_str()).expect("the example is valid");
-    let shown = format!("{settings:?}");
+    let debug = format!("{settings:?}");
     assert!(text.contains("replace-this"));
-    assert!(!shown.contains("replace-this"), "{shown}");
+    assert!(!debug.contains("replace-this"), "{debug}");
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -19,19 +19,19 @@
     }
 }
 
-fn edited(from: &str, to: &str) -> String {
+fn problems_after_edit(from: &str, to: &str) -> String {
     assert!(VALID.contains(from), "the edit applies");
     problems(&VALID.replacen(from, to, 1))
 }
 
 #[test]
-fn defaults_fill_what_may_be_left_out() {
+fn omitted_fields_get_defaults() {
     let settings = parse_settings(VALID).expect("the text is valid");
     assert_snapshot!(format!("{:?} {:?} {:?}", settings.limits, settings.stop_within, settings.token_lifetime), @"Limits { flows: 500000, requests: 100000, answer_bytes: Bytes(268435456), sessions: 512, packets_per_second: 5000, total_packets_per_second: 200000 } 30s 86400s");
 }
 
 #[test]
-fn every_problem_is_told_at_once() {
+fn all_problems_are_reported_together() {
     let text = r#"
 name: Entry
 listen: {callers: 4000, instances: "0.0.0.0:4100", admin: "10.0.0.1:4200", port: 1}
@@ -71,31 +71,31 @@
 }
 
 #[test]
-fn admin_leaves_loopback_only_when_told() {
+fn admin_address_off_loopback_needs_opt_in() {
     let admin = "admin: \"127.0.0.1:0\"";
-    assert_snapshot!(edited(admin, "admin: \"0.0.0.0:0\""), @"4:67: listen.admin: this must be a loopback address, unless `listen.admin-on-any-address` is `true`");
-    assert_snapshot!(edited(admin, "admin: \"0.0.0.0:0\", admin-on-any-address: true"), @"taken for entry-1");
+    assert_snapshot!(problems_after_edit(admin, "admin: \"0.0.0.0:0\""), @"4:67: listen.admin: this must be a loopback address, unless `listen.admin-on-any-address` is `true`");
+    assert_snapshot!(problems_after_edit(admin, "admin: \"0.0.0.0:0\", admin-on-any-address: true"), @"taken for entry-1");
 }
 
 #[test]
-fn no_message_repeats_a_secret() {
+fn messages_never_contain_a_secret() {
     let secret = "0123456789abcdef0123456789abcdef";
     let quoted = format!("\"{secret}\"");
-    let broken = [
-        edited("{current", "{currents"),
-        edited(&format!("current: {quoted}"), &quoted),
-        edited(&format!("{{current: {quoted}}}"), &quoted),
-        edited(&quoted, &format!("*{secret}")),
-        edited(&quoted, &format!("\"{secret}")),
-        edited(&quoted, &format!("!{secret} 1")),
-        edited("name: entry-1", &format!("name: {quoted}")),
-        edited("zone: brugge", &format!("{secret}: brugge")),
+    let messages = [
+        problems_after_edit("{current", "{currents"),
+        problems_after_edit(&format!("current: {quoted}"), &quoted),
+        problems_after_edit(&format!("{{current: {quoted}}}"), &quoted),
+        problems_after_edit(&quoted, &format!("*{secret}")),
+        problems_after_edit(&quoted, &format!("\"{secret}")),
+        problems_after_edit(&quoted, &format!("!{secret} 1")),
+        problems_after_edit("name: entry-1", &format!("name: {quoted}")),
+        problems_after_edit("zone: brugge", &format!("{secret}: brugge")),
     ];
-    for message in &broken {
+    for message in &messages {
         assert!(!message.contains("taken"), "{message}");
         assert!(!message.contains(secret), "{message}");
     }
-    assert_snapshot!(broken.join("\n"), @r"
+    assert_snapshot!(messages.join("\n"), @r"
     6:10: secrets: the field `current` is missing
     6:11: secrets: no such field: `currents`; allowed: `current` and `previous`
     6:10: secrets: the field `current` is missing
@@ -114,7 +114,7 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn mutated_text_is_taken_or_refused(at in 0..VALID.len(), len in 0..20_usize, insert in "[\\PC\n]{0,8}") {
+    fn mutated_text_does_not_panic(at in 0..VALID.len(), len in 0..20_usize, insert in "[\\PC\n]{0,8}") {
         let mut text = VALID.to_owned();
         let end = (at + len).min(text.len());
         text.replace_range(at..end, &insert);
--- a/crates/console/src/draft.rs
+++ b/crates/console/src/draft.rs
@@ -3,7 +3,7 @@
 //! Values have the same paths as in the document, so that a problem is shown at the input where it stands.
 
 use config::Document;
-use config::Field;
+use config::FieldPath;
 
 /// A document while it is being edited.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
@@ -162,21 +162,21 @@
 }
 
 /// The path of the change.
-pub fn change_field() -> Field {
-    Field::default().member("change")
+pub fn change_field() -> FieldPath {
+    FieldPath::default().member("change")
 }
 
 /// The path of the zones.
-pub fn zones_field() -> Field {
-    Field::default().member("zones")
+pub fn zones_field() -> FieldPath {
+    FieldPath::default().member("zones")
 }
 
 /// The path of the services.
-pub fn services_field() -> Field {
-    Field::default().member("services")
+pub fn services_field() -> FieldPath {
+    FieldPath::default().member("services")
 }
 
 /// The path of a service.
-pub fn service_field(index: usize) -> Field {
+pub fn service_field(index: usize) -> FieldPath {
     services_field().item(index)
 }
--- a/crates/console/src/input.rs
+++ b/crates/console/src/input.rs
@@ -1,6 +1,6 @@
 //! The inputs of a draft: which value has which path, and what a posted form does to it.
 
-use config::Field;
+use config::FieldPath;
 
 use crate::draft;
 use crate::draft::Change;
@@ -22,7 +22,7 @@
 
 /// A value that can be edited, and its path.
 struct Input<'a> {
-    field: Field,
+    field: FieldPath,
     value: &'a mut String,
 }
 
@@ -70,19 +70,19 @@
     }
 }
 
-fn remove<T>(list: &Field, items: &mut Vec<T>, path: &str) {
+fn remove<T>(list: &FieldPath, items: &mut Vec<T>, path: &str) {
     let index = (0..items.len()).find(|index| list.item(*index).as_str() == path);
     if let Some(index) = index {
         items.remove(index);
     }
 }
 
-fn input(field: Field, value: &mut String) -> Input<'_> {
+fn input(field: FieldPath, value: &mut String) -> Input<'_> {
     Input { field, value }
 }
 
 impl Change {
-    fn inputs(&mut self, at: &Field) -> Vec<Input<'_>> {
+    fn inputs(&mut self, at: &FieldPath) -> Vec<Input<'_>> {
         vec![
             input(at.member("author"), &mut self.author),
             input(at.member("approver"), &mut self.approver),
@@ -92,7 +92,7 @@
 }
 
 impl Zone {
-    fn inputs(&mut self, at: &Field) -> Vec<Input<'_>> {
+    fn inputs(&mut self, at: &FieldPath) -> Vec<Input<'_>> {
         vec![
             input(at.member("name"), &mut self.name),
             input(at.member("region"), &mut self.region),
@@ -101,7 +101,7 @@
 }
 
 impl Service {
-    fn add(&mut self, at: &Field, path: &str) {
+    fn add(&mut self, at: &FieldPath, path: &str) {
         if path == at.member("addresses").as_str() {
             self.addresses.push(String::new());
         }
@@ -113,13 +113,13 @@
         }
     }
 
-    fn remove(&mut self, at: &Field, path: &str) {
+    fn remove(&mut self, at: &FieldPath, path: &str) {
         remove(&at.member("addresses"), &mut self.addresses, path);
         remove(&at.member("kinds"), &mut self.kinds, path);
         remove(&at.member("upstreams"), &mut self.upstreams, path);
     }
 
-    fn inputs(&mut self, at: &Field) -> Vec<Input<'_>> {
+    fn inputs(&mut self, at: &FieldPath) -> Vec<Input<'_>> {
         let mut inputs = vec![input(at.member("name"), &mut self.name)];
         for (index, address) in self.addresses.iter_mut().enumerate() {
             inputs.push(input(at.member("addresses").item(index), address));
@@ -136,7 +136,7 @@
 }
 
 impl Sharing {
-    fn inputs(&mut self, at: &Field) -> Vec<Input<'_>> {
+    fn inputs(&mut self, at: &FieldPath) -> Vec<Input<'_>> {
         vec![
             input(at.member("affinity"), &mut self.affinity),
             input(at.member("prefer-local-zone"), &mut self.prefer_local_zone),
@@ -148,7 +148,7 @@
 }
 
 impl Kind {
-    fn inputs(&mut self, at: &Field) -> Vec<Input<'_>> {
+    fn inputs(&mut self, at: &FieldPath) -> Vec<Input<'_>> {
         vec![
             input(at.member("name"), &mut self.name),
             input(at.member("weight"), &mut self.weight),
@@ -158,7 +158,7 @@
 }
 
 impl Upstream {
-    fn inputs(&mut self, at: &Field) -> Vec<Input<'_>> {
+    fn inputs(&mut self, at: &FieldPath) -> Vec<Input<'_>> {
         vec![
             input(at.member("name"), &mut self.name),
             input(at.member("zone"), &mut self.zone),
--- a/crates/console/src/page.rs
+++ b/crates/console/src/page.rs
@@ -18,7 +18,7 @@
 pub use service::service;
 pub use zones::zones;
 
-use config::Field;
+use config::FieldPath;
 use config::Problem;
 
 use crate::session::Check;
@@ -68,17 +68,17 @@
     }
 
     /// The problems that stand at this very field.
-    fn at<'a>(&'a self, field: &'a Field) -> impl Iterator<Item = &'a Problem> {
+    fn at<'a>(&'a self, field: &'a FieldPath) -> impl Iterator<Item = &'a Problem> {
         self.problems().filter(move |problem| &problem.field == field)
     }
 
     /// How many problems stand at this field or below it.
-    fn below(&self, field: &Field) -> usize {
+    fn below(&self, field: &FieldPath) -> usize {
         self.problems().filter(|problem| lies_in(&problem.field, field)).count()
     }
 }
 
-fn lies_in(field: &Field, owner: &Field) -> bool {
+fn lies_in(field: &FieldPath, owner: &FieldPath) -> bool {
     let Some(rest) = field.as_str().strip_prefix(owner.as_str()) else {
         return false;
     };
--- a/crates/console/src/page/form.rs
+++ b/crates/console/src/page/form.rs
@@ -1,6 +1,6 @@
 //! Inputs, and the problems that stand at them.
 
-use config::Field;
+use config::FieldPath;
 use maud::Markup;
 use maud::html;
 
@@ -26,7 +26,7 @@
 }
 
 /// A line of text with a visible label.
-pub fn labelled(view: &View<'_>, field: &Field, label: &str, hint: &str, value: &str) -> Markup {
+pub fn labelled(view: &View<'_>, field: &FieldPath, label: &str, hint: &str, value: &str) -> Markup {
     html! {
         div.line {
             label for=(field) { (label) }
@@ -37,7 +37,7 @@
 }
 
 /// A line of text whose label is the heading of its column.
-pub fn text(view: &View<'_>, field: &Field, label: &str, value: &str) -> Markup {
+pub fn text(view: &View<'_>, field: &FieldPath, label: &str, value: &str) -> Markup {
     let faulty = view.at(field).next().is_some();
     html! {
         input type="text" id=(field) name=(field) value=(value) aria-label=(label) spellcheck="false"
@@ -47,7 +47,7 @@
 }
 
 /// A choice with a visible label.
-pub fn labelled_choice(view: &View<'_>, field: &Field, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
+pub fn labelled_choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
     html! {
         div.line {
             label for=(field) { (label) }
@@ -66,7 +66,7 @@
 }
 
 /// A choice whose label is the heading of its column. A value that is none of the choices stays, as a further one.
-pub fn choice(view: &View<'_>, field: &Field, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
+pub fn choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
     let faulty = view.at(field).next().is_some();
     let known = choices.iter().any(|choice| choice.value == value);
     html! {
@@ -82,12 +82,12 @@
 }
 
 /// The problems that stand at a field.
-pub fn faults(view: &View<'_>, field: &Field) -> Markup {
+pub fn faults(view: &View<'_>, field: &FieldPath) -> Markup {
     let faults: Vec<_> = view.at(field).collect();
     html! {
         @if !faults.is_empty() {
             ul.faults id=(note_id(field)) {
-                @for problem in faults { li { (problem.fault) } }
+                @for problem in faults { li { (problem.kind) } }
             }
         }
     }
@@ -99,17 +99,17 @@
 }
 
 /// A button that adds an item to a list.
-pub fn add(list: &Field, text: &str) -> Markup {
+pub fn add(list: &FieldPath, text: &str) -> Markup {
     html! { button name=(BUTTON_FIELD) value={ "add " (list) } { (text) } }
 }
 
 /// A button that removes an item from a list.
-pub fn remove(item: &Field, name: &str) -> Markup {
+pub fn remove(item: &FieldPath, name: &str) -> Markup {
     html! {
         button.remove name=(BUTTON_FIELD) value={ "remove " (item) } aria-label={ "Remove " (name) } { "Remove" }
     }
 }
 
-fn note_id(field: &Field) -> String {
+fn note_id(field: &FieldPath) -> String {
     format!("{field}.faults")
 }
--- a/crates/console/src/page/layout.rs
+++ b/crates/console/src/page/layout.rs
@@ -67,7 +67,7 @@
             h2 { "Problems" }
             ul.faults {
                 @for problem in problems {
-                    li { a href=(place(problem, services)) { (problem.field) } ": " (problem.fault) }
+                    li { a href=(place(problem, services)) { (problem.field) } ": " (problem.kind) }
                 }
             }
         }
--- a/crates/console/src/page/service.rs
+++ b/crates/console/src/page/service.rs
@@ -1,6 +1,6 @@
 //! The page of one service: its addresses, rules for sharing, kinds of request and upstreams.
 
-use config::Field;
+use config::FieldPath;
 use maud::Markup;
 use maud::html;
 
@@ -70,7 +70,7 @@
     layout::page(view, &path, &title, &content)
 }
 
-fn addresses(view: &View<'_>, list: &Field, addresses: &[String]) -> Markup {
+fn addresses(view: &View<'_>, list: &FieldPath, addresses: &[String]) -> Markup {
     html! {
         fieldset id=(list) {
             legend { "Addresses that callers dial" }
@@ -91,7 +91,7 @@
     }
 }
 
-fn sharing(view: &View<'_>, at: &Field, sharing: &Sharing) -> Markup {
+fn sharing(view: &View<'_>, at: &FieldPath, sharing: &Sharing) -> Markup {
     let field = |name| at.member(name);
     let affinity = field("affinity");
     let local = field("prefer-local-zone");
@@ -110,7 +110,7 @@
     }
 }
 
-fn kinds(view: &View<'_>, list: &Field, kinds: &[Kind]) -> Markup {
+fn kinds(view: &View<'_>, list: &FieldPath, kinds: &[Kind]) -> Markup {
     html! {
         fieldset id=(list) {
             legend { "Kinds of request" }
@@ -134,7 +134,7 @@
     }
 }
 
-fn upstreams(view: &View<'_>, list: &Field, upstreams: &[Upstream]) -> Markup {
+fn upstreams(view: &View<'_>, list: &FieldPath, upstreams: &[Upstream]) -> Markup {
     let zones = zone_choices(view);
     html! {
         fieldset id=(list) {
@@ -153,7 +153,7 @@
     }
 }
 
-fn upstream_row(view: &View<'_>, item: &Field, upstream: &Upstream, zones: &[Choice<'_>]) -> Markup {
+fn upstream_row(view: &View<'_>, item: &FieldPath, upstream: &Upstream, zones: &[Choice<'_>]) -> Markup {
     html! {
         tr id=(item) {
             td { (form::text(view, &item.member("name"), "Name", &upstream.name)) }
--- a/crates/jayquay/src/document/json.rs
+++ b/crates/jayquay/src/document/json.rs
@@ -22,7 +22,7 @@
             line: problem.position.line,
             column: problem.position.column,
             field: problem.field.to_string(),
-            message: problem.fault.to_string(),
+            message: problem.kind.to_string(),
         }
     }
 }
