--- a/crates/config/src/cursor.rs
+++ b/crates/config/src/cursor.rs
@@ -1,6 +1,6 @@
-//! A walk over a tree that notes every problem and goes on.
+//! Traversal of a YAML tree that collects all problems instead of stopping at the first.
 //!
-//! A method that returns `None` has noted a problem, so a caller may drop what it was building.
+//! A method that returns `None` has reported a problem, so its caller may discard the value under construction.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 }
 
 impl Report {
-    /// The checked value if there is no problem, else every problem in the order of the text.
+    /// Returns the validated value if there are no problems, otherwise all problems in the order of the text.
     pub(crate) fn finish<T>(mut self, value: Option<T>) -> Result<T, Vec<Problem>> {
         match value {
             Some(value) if self.problems.is_empty() => Ok(value),
@@ -38,7 +38,7 @@
     }
 }
 
-/// A value, where it stands and which field it is.
+/// A value with its position and field path.
 #[derive(Debug, Clone)]
 pub(crate) struct Cursor<'a> {
     node: &'a Node,
@@ -46,7 +46,7 @@
 }
 
 impl<'a> Cursor<'a> {
-    /// The top of a tree.
+    /// Returns a cursor at the root of a tree.
     pub(crate) fn root(node: &'a Node) -> Self {
         let field = FieldPath::default();
         Self { node, field }
@@ -60,7 +60,7 @@
         &self.field
     }
 
-    /// Notes a problem with this value.
+    /// Reports a problem with this value.
     pub(crate) fn add_problem(&self, report: &mut Report, kind: ProblemKind) {
         report.problems.push(Problem {
             position: self.node.position,
@@ -74,7 +74,7 @@
         None
     }
 
-    /// The fields of a mapping that knows only `known` ones.
+    /// Returns the fields of a mapping, and reports those that are not in `known`.
     pub(crate) fn fields(&self, known: &'static [&'static str], report: &mut Report) -> Option<Fields<'a>> {
         let Value::Mapping(entries) = &self.node.value else {
             return self.reject(report, ProblemKind::WrongType(ValueType::Mapping));
@@ -89,7 +89,7 @@
         Some(fields)
     }
 
-    /// The items of a sequence whose length lies in `len`.
+    /// Returns the items of a sequence whose length must be in the range `len`.
     pub(crate) fn items(&self, len: RangeInclusive<usize>, report: &mut Report) -> Option<Vec<Self>> {
         let Value::Sequence(nodes) = &self.node.value else {
             return self.reject(report, ProblemKind::WrongType(ValueType::Sequence));
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Text for people, of a length in characters that lies in `len`.
+    /// Returns trimmed free text without control characters. Its length in characters must be in the range `len`.
     pub(crate) fn free_text(&self, len: RangeInclusive<usize>, report: &mut Report) -> Option<String> {
         let text = self.text(report)?.trim();
         if !len.contains(&text.chars().count()) {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A number that fits 32 bits.
+    /// Returns a number that fits into 32 bits.
     pub(crate) fn number_u32(&self, range: RangeInclusive<u32>, report: &mut Report) -> Option<u32> {
         let range = u64::from(*range.start())..=u64::from(*range.end());
         let number = self.number(range, report)?;
@@ -153,14 +153,14 @@
         }
     }
 
-    /// The index of the text among `choices`.
+    /// Returns the index of the text in `choices`.
     pub(crate) fn choice(&self, choices: &'static [&'static str], report: &mut Report) -> Option<usize> {
         let text = self.text(report)?;
         let index = choices.iter().position(|choice| *choice == text);
         index.or_else(|| self.reject(report, ProblemKind::Choice(choices)))
     }
 
-    /// An address to listen on: any IP address, and port 0 where the system picks one.
+    /// Returns an address to listen on: any IP address, and port 0 to let the operating system assign one.
     pub(crate) fn address(&self, report: &mut Report) -> Option<SocketAddr> {
         match self.text(report)?.parse() {
             Ok(address) => Some(address),
@@ -168,7 +168,7 @@
         }
     }
 
-    /// An address that others can dial.
+    /// Returns an address that can be connected to.
     pub(crate) fn dialable_address(&self, report: &mut Report) -> Option<SocketAddr> {
         let address = self.address(report)?;
         let ip = address.ip();
@@ -178,7 +178,7 @@
         Some(address)
     }
 
-    /// A name that stands nowhere else among `seen`.
+    /// Returns a name, and reports a problem if it is already in `seen`.
     pub(crate) fn unique_name<T>(&self, seen: &mut UniqueValues<T>, report: &mut Report) -> Option<T>
     where
         T: FromStr<Err = NameError> + Ord + Clone + fmt::Display,
@@ -188,7 +188,7 @@
         Some(name)
     }
 
-    /// An address that others can dial and that stands nowhere else among `seen`.
+    /// Returns an address that can be connected to, and reports a problem if it is already in `seen`.
     pub(crate) fn unique_address(
         &self,
         seen: &mut UniqueValues<SocketAddr>,
@@ -242,7 +242,7 @@
         });
     }
 
-    /// The value of a field that may be left out.
+    /// Returns the value of an optional field.
     pub(crate) fn find(&self, name: &str) -> Option<Cursor<'a>> {
         let member = self.members.iter().find(|member| member.name == name)?;
         let field = self.mapping.field.member(name);
@@ -250,7 +250,7 @@
         Some(Cursor { node, field })
     }
 
-    /// Reads a field that must be there.
+    /// Reads a required field.
     pub(crate) fn read<T, F>(&self, name: &str, report: &mut Report, read: F) -> Option<T>
     where
         F: FnOnce(&Cursor<'a>, &mut Report) -> Option<T>,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Reads a field that may be left out, and then has the value `default`.
+    /// Reads an optional field, which has the value `default` if it is omitted.
     pub(crate) fn read_or<T, F>(&self, name: &str, default: T, report: &mut Report, read: F) -> Option<T>
     where
         F: FnOnce(&Cursor<'a>, &mut Report) -> Option<T>,
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, in words that an auditor reads.
+//! Differences between two documents, displayed in a form for audits.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,7 +15,7 @@
 use crate::Service;
 use crate::Upstream;
 
-/// What a difference is about.
+/// The part of the document that a difference concerns.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Subject {
@@ -23,7 +23,7 @@
     Zone(ZoneName),
     /// A service.
     Service(ServiceName),
-    /// An address that callers dial.
+    /// An address that callers connect to.
     Address(SocketAddr),
     /// A kind of request of a service.
     Kind(ServiceName, KindName),
@@ -52,21 +52,21 @@
     pub value: String,
 }
 
-/// What became of a subject.
+/// How a subject changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Edit {
-    /// It is new, with these properties.
+    /// It was added, with these properties.
     Added(Vec<Property>),
-    /// It is gone, and had these properties.
+    /// It was removed, and had these properties.
     Removed(Vec<Property>),
     /// One of its properties changed.
     Changed {
         /// The property's name in the document.
         name: &'static str,
-        /// What it was.
+        /// The old value.
         from: String,
-        /// What it is.
+        /// The new value.
         to: String,
     },
 }
@@ -74,9 +74,9 @@
 /// One difference between two documents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// What it is about.
+    /// The part of the document that changed.
     pub subject: Subject,
-    /// What became of it.
+    /// How it changed.
     pub edit: Edit,
 }
 
@@ -103,9 +103,9 @@
     }
 }
 
-/// Tells what differs between `old` and `new`: first what is gone, then what is new or changed, in the order of `new`.
+/// Returns the differences between `old` and `new`: removals first, then additions and changes in the order of `new`.
 ///
-/// The revision and who made it are no difference, because no two documents share them.
+/// The revision and the change record are not compared, because they differ between any two documents.
 pub fn diff(old: &Document, new: &Document) -> Vec<Difference> {
     let old = items(old);
     let new = items(new);
@@ -148,7 +148,8 @@
     }
 }
 
-/// A subject with its properties, which are the same ones in the same order for each kind of subject.
+/// A subject with its properties. All subjects of one kind have the same properties in the same order, so that they
+/// can be compared pairwise.
 struct Item {
     subject: Subject,
     properties: Vec<Property>,
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The checked configuration document.
+//! The validated configuration document.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use units::ZoneName;
 use wire::Digest;
 
-/// The one validated document that is the whole current truth.
+/// A validated configuration document, the complete description of zones and services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Document {
-    /// Its revision, which only grows.
+    /// The revision, which increases monotonically.
     pub revision: Revision,
-    /// The digest of its text.
+    /// The digest of `text`.
     pub digest: Digest,
-    /// Its text, as it was approved.
+    /// The source text, as it was approved.
     pub text: String,
     /// Who changed what, and why.
     pub change: Change,
@@ -31,19 +31,19 @@
 }
 
 impl Document {
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| &service.name == name)
     }
 
-    /// The service at this address.
+    /// Returns the service that callers reach at this address.
     pub fn service_at(&self, address: SocketAddr) -> Option<&Service> {
         self.services
             .iter()
             .find(|service| service.addresses.contains(&address))
     }
 
-    /// The region of an availability zone.
+    /// Returns the region of an availability zone.
     pub fn region(&self, zone: &ZoneName) -> Option<&ZoneName> {
         self.zones
             .iter()
@@ -68,7 +68,7 @@
 pub struct Zone {
     /// Its name.
     pub name: ZoneName,
-    /// The region it lies in. Requests do not leave their region.
+    /// The region that contains the zone. Requests are never routed to another region.
     pub region: ZoneName,
 }
 
@@ -77,35 +77,36 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// The addresses that callers dial.
+    /// The addresses that callers connect to.
     pub addresses: Vec<SocketAddr>,
-    /// The rules for sharing its traffic.
+    /// How its traffic is distributed over the upstreams.
     pub sharing: Sharing,
-    /// The kinds of request that it takes.
+    /// The kinds of request that it accepts.
     pub kinds: Vec<Kind>,
     /// The upstreams that serve it.
     pub upstreams: Vec<Upstream>,
 }
 
 impl Service {
-    /// The kind of request of this name.
+    /// Returns the request kind with this name.
     pub fn kind(&self, name: &KindName) -> Option<&Kind> {
         self.kinds.iter().find(|kind| &kind.name == name)
     }
 
-    /// The upstream of this name.
+    /// Returns the upstream with this name.
     pub fn upstream(&self, name: &UpstreamName) -> Option<&Upstream> {
         self.upstreams.iter().find(|upstream| &upstream.name == name)
     }
 }
 
-/// Whether a flow keeps its upstream.
+/// Whether all requests of a flow go to the same upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Affinity {
     /// Each request may go to another upstream.
     #[default]
     Request,
-    /// A flow keeps its upstream, and moves only between requests and only when that upstream leaves.
+    /// All requests of a flow go to one upstream. The flow moves only between requests, and only when that upstream
+    /// leaves.
     Flow,
 }
 
@@ -119,18 +120,18 @@
     }
 }
 
-/// The rules for sharing a service's traffic.
+/// How the traffic of a service is distributed over its upstreams.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sharing {
-    /// Whether a flow keeps its upstream.
+    /// Whether all requests of a flow go to the same upstream.
     pub affinity: Affinity,
-    /// Whether a free slot in the packet's own availability zone goes first.
+    /// Whether free slots in the availability zone of the packet are preferred.
     pub prefer_local_zone: bool,
-    /// The most requests that wait for a slot.
+    /// The maximum number of requests that wait for a slot.
     pub queue_limit: u32,
-    /// The most retries, in percent of successes.
+    /// The maximum number of retries, as a percentage of successful requests.
     pub retry_budget_percent: u32,
-    /// How long a cold upstream takes to get its full share.
+    /// How long a cold upstream takes to ramp up to its full share.
     pub slow_start: Duration,
 }
 
@@ -151,34 +152,34 @@
 pub struct Kind {
     /// Its name.
     pub name: KindName,
-    /// How much one completed request counts.
+    /// How much one completed request counts, relative to other kinds.
     pub weight: Weight,
-    /// Whether running it twice does no harm.
+    /// Whether the request is safe to run twice.
     pub idempotent: bool,
 }
 
 /// An upstream of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Its name, unique in the document.
+    /// Its name, unique within the document.
     pub name: UpstreamName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it serves HTTP.
+    /// The address of its HTTP server.
     pub address: SocketAddr,
-    /// How many requests it serves at a time.
+    /// The maximum number of concurrent requests.
     pub slots: Slots,
-    /// Whether it gets new work.
+    /// Whether it accepts new requests.
     pub state: UpstreamState,
 }
 
-/// Whether an upstream gets new work.
+/// Whether an upstream accepts new requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// It does.
+    /// It accepts new requests.
     #[default]
     Active,
-    /// It finishes what it has.
+    /// It finishes the requests in progress and gets no new ones.
     Draining,
 }
 
--- a/crates/config/src/document_check.rs
+++ b/crates/config/src/document_check.rs
@@ -1,4 +1,4 @@
-//! From a tree to a checked document.
+//! Validates a YAML tree as a configuration document.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -30,7 +30,7 @@
 use crate::tree::ErrorDetail;
 use crate::unique::UniqueValues;
 
-/// The bound keeps a slip of the pen from using up the revisions.
+/// Revisions only increase, so the upper bound keeps a mistyped one from exhausting the range.
 const REVISION_RANGE: RangeInclusive<u64> = 1..=1_000_000_000;
 const PERSON_NAME_LEN: RangeInclusive<usize> = 1..=100;
 const REASON_LEN: RangeInclusive<usize> = 1..=500;
@@ -47,7 +47,7 @@
 const AFFINITIES: [&str; 2] = ["request", "flow"];
 const UPSTREAM_STATES: [&str; 2] = ["active", "draining"];
 
-/// Reads a configuration document, or tells everything that is wrong with it in the order of the text.
+/// Parses and validates a configuration document. On failure, returns all problems in the order of the text.
 pub fn parse(text: &str) -> Result<Document, Vec<Problem>> {
     let tree = tree::parse(text, ErrorDetail::Full).map_err(|problem| vec![problem])?;
     let mut report = Report::default();
@@ -63,7 +63,7 @@
     }
 }
 
-/// What must be unique in the document, as far as it has been read.
+/// The values read so far that must be unique within the document.
 #[derive(Debug, Default)]
 struct Seen {
     zones: UniqueValues<ZoneName>,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The configuration document and the settings of a process: raw text to checked types.
+//! Parses and validates the configuration document and the settings of a process.
 //!
-//! This crate does no I/O and reads no clock. Whoever holds a [`Document`] or [`Settings`] holds one that passed every
-//! check. Neither knows the other: that a setting names a zone of the document is checked where both are at hand.
+//! This crate does no I/O and reads no clock. A parsed [`Document`] or [`Settings`] has passed every check. The two are
+//! validated independently: whether a zone in the settings exists in the document is checked by the code that has both.
 
 mod cursor;
 mod diff;
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a text, where it stands, and what is allowed there.
+//! Validation problems: what is wrong, where, and what is allowed instead.
 
 use std::fmt;
 use std::net::AddrParseError;
@@ -8,20 +8,20 @@
 use token::SecretError;
 use units::NameError;
 
-/// Longer field names are not repeated in messages, because a misplaced secret could stand there.
+/// Unknown field names longer than this are left out of messages, because they could be a misplaced secret.
 const MAX_QUOTED_NAME_LEN: usize = 24;
 
-/// The way from the top of a text to a value, such as `services[0].name`. It is empty at the top.
+/// The path from the root of a text to a value, such as `services[0].name`. It is empty for the root.
 #[derive(Debug, Default, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FieldPath(String);
 
 impl FieldPath {
-    /// The field as text.
+    /// Returns the path as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The field of this name in the mapping that `self` names.
+    /// Returns the path of the field `name` of the mapping at `self`.
     #[must_use]
     pub fn member(&self, name: &str) -> Self {
         if self.0.is_empty() {
@@ -30,7 +30,7 @@
         Self(format!("{}.{name}", self.0))
     }
 
-    /// The item at this index in the sequence that `self` names.
+    /// Returns the path of the item at `index` of the sequence at `self`.
     #[must_use]
     pub fn item(&self, index: usize) -> Self {
         Self(format!("{}[{index}]", self.0))
@@ -43,7 +43,7 @@
     }
 }
 
-/// A place in a text.
+/// A position in a text.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
     /// The line, counted from 1.
@@ -58,12 +58,12 @@
     }
 }
 
-/// One thing that is wrong with a text. It displays as `line:column: field: message`.
+/// A validation problem. It displays as `line:column: field: message`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Where it stands.
+    /// Where the problem is.
     pub position: Position,
-    /// Which field it concerns.
+    /// The path of the field.
     pub field: FieldPath,
     /// What is wrong, and what is allowed.
     pub kind: ProblemKind,
@@ -81,12 +81,12 @@
 
 impl std::error::Error for Problem {}
 
-/// The kinds of value that a field may hold.
+/// The type of value that a field requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ValueType {
-    /// Fields with values.
+    /// A mapping.
     Mapping,
-    /// A list of values.
+    /// A list.
     Sequence,
     /// Text.
     Text,
@@ -99,7 +99,7 @@
 impl fmt::Display for ValueType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            Self::Mapping => "fields with values",
+            Self::Mapping => "a mapping",
             Self::Sequence => "a list",
             Self::Text => "text (in quotes if it looks like a number)",
             Self::Number => "a whole number",
@@ -112,55 +112,55 @@
 /// What is wrong, and what is allowed instead.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProblemKind {
-    /// The text is longer than this many bytes as a JSON string.
+    /// The text exceeds this many bytes when encoded as a JSON string.
     TooLong(usize),
-    /// The text is not the YAML that is taken here.
+    /// The text is not valid YAML, or uses a YAML feature that is not allowed.
     Syntax(String),
-    /// The field is not known; these are.
+    /// The field with this name is not known. The list holds the known fields.
     UnknownField(String, Vec<&'static str>),
-    /// The field stands twice, first here.
+    /// The field occurs twice, first at this position.
     DuplicateField(Position),
-    /// The field is missing.
+    /// The field with this name is missing.
     MissingField(String),
-    /// The value has another shape than this one.
+    /// The value is not of this type.
     WrongType(ValueType),
-    /// The number does not lie in this range.
+    /// The number is outside this range.
     Range(RangeInclusive<u64>),
-    /// The number of characters does not lie in this range.
+    /// The number of characters is outside this range.
     Length(RangeInclusive<usize>),
-    /// The number of items does not lie in this range.
+    /// The number of items is outside this range.
     Count(RangeInclusive<usize>),
-    /// The text holds a control character.
+    /// The text contains a control character.
     ControlCharacter,
-    /// The text is none of these.
+    /// The text is not one of these choices.
     Choice(&'static [&'static str]),
-    /// The text is not a name.
+    /// The text is not a valid name.
     Name(NameError),
-    /// The text is not an address.
+    /// The text is not a socket address.
     Address(AddrParseError),
-    /// The address is one that nobody can dial.
+    /// The address cannot be connected to: it is unspecified or multicast, or its port is 0.
     Undialable(SocketAddr),
-    /// The value must be unique, and stands at this field and place already.
+    /// The value must be unique, and already occurs in this field at this position.
     Duplicate(String, FieldPath, Position),
-    /// No availability zone has this name; these exist.
+    /// No availability zone has this name. The list holds the zones that exist.
     UnknownZone(String, Vec<String>),
-    /// The author approves the change.
+    /// The approver is the author of the change.
     SelfApproval,
-    /// The secret is too weak. It is not shown.
+    /// The secret is too weak. The message does not contain it.
     Secret(SecretError),
-    /// The address is reached from other machines, and nothing says that it may be.
+    /// The address is reachable from other machines, and the settings do not allow that.
     AdminNotLoopback,
-    /// The address that others should dial is missing, because this one is not dialable.
+    /// Other instances cannot connect to this listen address, and none is advertised for them.
     NotAdvertised,
 }
 
 impl fmt::Display for ProblemKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong(max) => write!(f, "the text is longer than {max} bytes as a JSON string"),
+            Self::TooLong(max) => write!(f, "the text exceeds {max} bytes as a JSON string"),
             Self::Syntax(message) => f.write_str(message),
             Self::UnknownField(name, known) => write_unknown_field(f, name, known),
-            Self::DuplicateField(first) => write!(f, "the field stands twice, first at {first}"),
+            Self::DuplicateField(first) => write!(f, "duplicate field, first defined at {first}"),
             Self::MissingField(name) => write!(f, "the field `{name}` is missing"),
             Self::WrongType(expected) => write!(f, "this must be {expected}"),
             Self::Range(range) => write!(f, "this must be from {} to {}", range.start(), range.end()),
@@ -170,11 +170,14 @@
             Self::Choice(choices) => write!(f, "this must be {}", QuotedList(choices, "or")),
             Self::Name(error) => error.fmt(f),
             Self::Address(_) => f.write_str("this must be an IP address with a port, such as \"10.1.0.1:4000\""),
-            Self::Undialable(address) => write!(f, "nobody can dial {address}: give a host's IP address and its port"),
+            Self::Undialable(address) => write!(
+                f,
+                "cannot connect to {address}: specify the IP address and port of a host"
+            ),
             Self::Duplicate(value, field, first) => {
                 write!(
                     f,
-                    "`{value}` must be unique, and stands at {field} already (line {})",
+                    "`{value}` must be unique, but is already used at {field} (line {})",
                     first.line
                 )
             }
@@ -187,7 +190,7 @@
                 f.write_str("this must be a loopback address, unless `listen.admin-on-any-address` is `true`")
             }
             Self::NotAdvertised => {
-                f.write_str("others cannot dial this address, so `advertise` must name one they can")
+                f.write_str("other instances cannot connect to this address; set one that they can use in `advertise`")
             }
         }
     }
@@ -200,7 +203,7 @@
     write!(f, "no such field: `{name}`; allowed: {}", QuotedList(known, "and"))
 }
 
-/// Displays items as "a, b or c".
+/// Displays items in backquotes as "`a`, `b` or `c`", with the given conjunction.
 struct QuotedList<'a, T>(&'a [T], &'a str);
 
 impl<T: fmt::Display> fmt::Display for QuotedList<'_, T> {
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry instance's process.
+//! The settings of an entry instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,87 +8,87 @@
 use units::InstanceName;
 use units::ZoneName;
 
-/// The checked settings of one entry instance.
+/// The validated settings of one entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The instance's name, unique in its region.
+    /// The name of the instance, unique within its region.
     pub name: InstanceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// The addresses it listens on.
     pub listen: Listen,
-    /// Where others reach it, as far as that differs from where it listens.
+    /// The addresses it advertises, where they differ from those it listens on.
     pub advertise: Advertise,
-    /// Where the platform's service is, in the order of preference.
+    /// The addresses of the platform service, in order of preference.
     pub platform: Vec<SocketAddr>,
-    /// Instances to ask at the start when the platform cannot be reached.
+    /// Instances to contact at startup when the platform is unreachable.
     pub peers: Vec<Seed>,
-    /// The secrets of the fleet.
+    /// The shared secrets of all instances.
     pub secrets: Secrets,
-    /// What the instance takes at most.
+    /// Resource limits.
     pub limits: Limits,
-    /// How long a planned stop may take.
+    /// The deadline for a graceful shutdown.
     pub stop_within: Duration,
-    /// How long a flow token lives.
+    /// The lifetime of a flow token.
     pub token_lifetime: Duration,
 }
 
-/// Where an instance listens. Port 0 lets the system pick one.
+/// The addresses that an instance listens on. With port 0, the operating system assigns one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listen {
-    /// For datagrams of callers, over UDP.
+    /// UDP address for datagrams from callers.
     pub callers: SocketAddr,
-    /// For sessions of other instances, over TCP.
+    /// TCP address for sessions with other instances.
     pub instances: SocketAddr,
-    /// For operators and probes, over HTTP.
+    /// HTTP address for operators and health probes.
     pub admin: SocketAddr,
 }
 
-/// Where others reach an instance, as far as that differs from where it listens.
+/// The advertised addresses of an instance, where they differ from those it listens on.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Advertise {
-    /// For datagrams of callers.
+    /// Address for datagrams from callers.
     pub callers: Option<SocketAddr>,
-    /// For sessions of other instances.
+    /// Address for sessions with other instances.
     pub instances: Option<SocketAddr>,
-    /// For operators and probes.
+    /// Address for operators and health probes.
     pub admin: Option<SocketAddr>,
 }
 
-/// An instance that may be asked at the start.
+/// An instance to contact at startup.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seed {
     /// Its name.
     pub name: InstanceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for other instances.
+    /// Its address for sessions with other instances.
     pub address: SocketAddr,
 }
 
-/// The secrets of the fleet. They are rotated by moving the current one to the previous ones.
+/// The shared secrets of all instances. To rotate them, move the current secret to the previous ones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Secrets {
-    /// The one that seals.
+    /// The secret used for sealing.
     pub current: Secret,
-    /// Those that still open.
+    /// Older secrets, still accepted for opening.
     pub previous: Vec<Secret>,
 }
 
-/// What an instance takes at most.
+/// The resource limits of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Flows that it owns.
+    /// Flows owned by the instance.
     pub flows: u32,
-    /// Requests whose state is in memory.
+    /// Requests with state in memory.
     pub requests: u32,
-    /// Answers kept until callers have them, together.
+    /// Total size of the answers that are kept until callers have received them.
     pub answer_bytes: Bytes,
     /// Sessions with other instances.
     pub sessions: u32,
     /// Packets per second from one caller's address.
     pub packets_per_second: u32,
-    /// Packets per second in all.
+    /// Packets per second from all callers.
     pub total_packets_per_second: u32,
 }
 
--- a/crates/config/src/settings_check.rs
+++ b/crates/config/src/settings_check.rs
@@ -1,4 +1,4 @@
-//! From a tree to checked settings. No message repeats a secret.
+//! Validates a YAML tree as settings. No error message contains a secret.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -33,7 +33,7 @@
 const DEFAULT_STOP_WITHIN: Duration = Duration::from_secs(30);
 const DEFAULT_TOKEN_LIFETIME: Duration = Duration::from_hours(24);
 
-/// Reads the settings of an entry instance, or tells everything that is wrong with them in the order of the text.
+/// Parses and validates the settings of an entry instance. On failure, returns all problems in the order of the text.
 pub fn parse_settings(text: &str) -> Result<Settings, Vec<Problem>> {
     let tree = tree::parse(text, ErrorDetail::Redacted).map_err(|problem| vec![problem])?;
     let mut report = Report::default();
@@ -103,7 +103,8 @@
     let callers = fields.read_or("callers", None, report, dialable);
     let instances = fields.read_or("instances", None, report, dialable);
     let admin = fields.read_or("admin", None, report, dialable);
-    // One bad address must not hide that another one is missing, so the rest is kept.
+    // An invalid address counts as absent but does not discard the others. Otherwise `listen` could not be checked
+    // for an address that is missing here.
     Some(Advertise {
         callers: callers.flatten(),
         instances: instances.flatten(),
@@ -128,7 +129,7 @@
     })
 }
 
-/// Other instances must be told an address that they can dial.
+/// Checks that other instances get an address that they can connect to: an unspecified one needs `advertise`.
 fn instances_address(value: &Cursor<'_>, advertise: Option<&Advertise>, report: &mut Report) -> Option<SocketAddr> {
     let address = value.address(report)?;
     let is_advertised = advertise.is_none_or(|advertise| advertise.instances.is_some());
@@ -138,7 +139,8 @@
     Some(address)
 }
 
-/// Operators' endpoints leave loopback only on purpose. `any_address_allowed` is `None` if what it says is a problem itself.
+/// Checks that the operators' endpoints are on loopback, unless the settings explicitly allow other addresses.
+/// `any_address_allowed` is `None` if that setting is itself invalid.
 fn admin_address(value: &Cursor<'_>, any_address_allowed: Option<bool>, report: &mut Report) -> Option<SocketAddr> {
     let address = value.address(report)?;
     if !address.ip().is_loopback() && any_address_allowed == Some(false) {
--- a/crates/config/src/tree.rs
+++ b/crates/config/src/tree.rs
@@ -1,7 +1,8 @@
-//! YAML text as a tree whose nodes know where they stand.
+//! Parses YAML text into a tree whose nodes carry their positions.
 //!
-//! A tree rather than typed structs is read, because serde stops at the first value of a wrong type, and an operator
-//! wants to see every problem at once. Anchors, aliases and merge keys are refused: an auditor reads what is there.
+//! The text is not deserialised into typed structs, because serde stops at the first value of a wrong type and an
+//! operator needs to see all problems at once. Anchors, aliases and merge keys are not allowed, so that an auditor can
+//! read each value where it is written.
 
 use std::fmt;
 
@@ -20,29 +21,29 @@
 use crate::Problem;
 use crate::ProblemKind;
 
-/// The longest text that is read, in bytes as a JSON string, which is how the platform holds it.
+/// The maximum length of a text, in bytes as a JSON string, which is how the platform stores it.
 pub const MAX_TEXT_LEN: usize = 1_000_000;
 
-/// How deeply a text may nest.
+/// The maximum nesting depth of a text.
 const MAX_NESTING_DEPTH: usize = 16;
 
-/// Where a text starts.
+/// The position of the first character.
 const TEXT_START: Position = Position { line: 1, column: 1 };
 
-/// A value and where it stands.
+/// A value with its position.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) position: Position,
     pub(crate) value: Value,
 }
 
-/// A value of any shape.
+/// A value of any type.
 #[derive(Debug)]
 pub(crate) enum Value {
     Null,
     Boolean(bool),
     Number(u64),
-    /// A number that no field takes: negative or with a fraction.
+    /// A number that no field accepts: negative or fractional.
     UnsupportedNumber,
     Text(String),
     Sequence(Vec<Node>),
@@ -56,16 +57,16 @@
     pub(crate) value: Node,
 }
 
-/// How much of the reader's own message a problem may repeat.
+/// How much of the YAML parser's message is included in a problem.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ErrorDetail {
-    /// All of it.
+    /// The whole message.
     Full,
-    /// None, because the text holds secrets.
+    /// None of it, because the text contains secrets.
     Redacted,
 }
 
-/// Reads `text` as a tree.
+/// Parses `text` into a tree.
 pub(crate) fn parse(text: &str, detail: ErrorDetail) -> Result<Node, Problem> {
     if json_string_len(text) > MAX_TEXT_LEN {
         return Err(root_problem(
@@ -89,7 +90,7 @@
     serde_saphyr::from_str_with_options(text, options).map_err(|error| syntax_problem(&error, detail))
 }
 
-/// The length of `text` as a JSON string, with its quotes and escapes.
+/// Returns the length of `text` as a JSON string, including quotes and escapes.
 fn json_string_len(text: &str) -> usize {
     let mut len = 2;
     for byte in text.bytes() {
@@ -107,14 +108,16 @@
     let position = error.location().map_or(TEXT_START, position_of);
     let message = match error {
         serde_saphyr::Error::MultipleDocuments { .. } => "only one YAML document is allowed".to_owned(),
-        serde_saphyr::Error::Budget { .. } => "the text nests too deeply, or holds anchors or aliases".to_owned(),
+        serde_saphyr::Error::Budget { .. } => {
+            "the YAML is nested too deeply, or contains anchors or aliases".to_owned()
+        }
         _ if detail == ErrorDetail::Redacted => "this is not valid YAML".to_owned(),
         _ => parser_message(&error.to_string()),
     };
     root_problem(position, ProblemKind::Syntax(message))
 }
 
-/// The library's message without its own note of the place, which the problem tells already.
+/// Returns the library's message without its position, which the problem already includes.
 fn parser_message(message: &str) -> String {
     let line = message.lines().next().unwrap_or_default();
     let reason = line.split(" at line ").next().unwrap_or_default();
--- a/crates/config/src/unique.rs
+++ b/crates/config/src/unique.rs
@@ -1,4 +1,4 @@
-//! Values that may stand only once in a text.
+//! Detection of values that may occur only once in a text.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,13 +9,13 @@
 use crate::cursor::Cursor;
 use crate::cursor::Report;
 
-/// The values seen so far, and where each stands.
+/// The values seen so far, each with the location of its first occurrence.
 #[derive(Debug)]
 pub(crate) struct UniqueValues<T> {
     locations: BTreeMap<T, Location>,
 }
 
-/// Where a value stands.
+/// The location of a value.
 #[derive(Debug)]
 struct Location {
     field: FieldPath,
@@ -31,7 +31,7 @@
 }
 
 impl<T: Ord + Clone + fmt::Display> UniqueValues<T> {
-    /// Notes a problem if `value`, which stands at `cursor`, has been seen before.
+    /// Records `value`, read at `cursor`, or reports a problem if it was seen before.
     pub(crate) fn add(&mut self, value: &T, cursor: &Cursor<'_>, report: &mut Report) {
         if let Some(first) = self.locations.get(value) {
             let kind = ProblemKind::Duplicate(value.to_string(), first.field.clone(), first.position);
@@ -47,7 +47,7 @@
         self.locations.contains_key(value)
     }
 
-    /// The values in their order.
+    /// Returns the values in sorted order.
     pub(crate) fn values(&self) -> impl Iterator<Item = &T> {
         self.locations.keys()
     }
--- a/crates/config/tests/diff.rs
+++ b/crates/config/tests/diff.rs
@@ -1,4 +1,4 @@
-//! How a difference reads.
+//! The differences between two documents and how they are displayed.
 
 use config::diff;
 use config::parse;
--- a/crates/config/tests/document.rs
+++ b/crates/config/tests/document.rs
@@ -1,4 +1,4 @@
-//! What a document may hold, and how a refusal reads.
+//! Which documents are valid, and the messages for invalid ones.
 
 use config::MAX_TEXT_LEN;
 use config::parse;
@@ -19,15 +19,15 @@
       - {name: search-1, zone: brugge, address: "10.2.0.1:8080", slots: 2}
 "#;
 
-/// Every problem of a text, one a line.
+/// Parses `text` and returns all problems, one per line.
 fn problems(text: &str) -> String {
     match parse(text) {
-        Ok(document) => format!("taken as revision {}", document.revision),
+        Ok(document) => format!("accepted as revision {}", document.revision),
         Err(problems) => problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
     }
 }
 
-/// Every problem of the valid text after an edit.
+/// Returns all problems of the valid text after replacing `from` with `to`.
 fn problems_after_edit(from: &str, to: &str) -> String {
     assert!(VALID.contains(from), "the edit applies");
     problems(&VALID.replacen(from, to, 1))
@@ -69,9 +69,9 @@
     3:44: change.reason: this must have from 1 to 500 characters
     5:28: zones[0].region: a name starts with a lower-case letter
     5:38: zones[0]: no such field: `country`; allowed: `name` and `region`
-    6:12: zones[1].name: `brugge` must be unique, and stands at zones[0].name already (line 5)
-    9:34: services[0].addresses[1]: `10.1.0.1:4000` must be unique, and stands at services[0].addresses[0] already (line 9)
-    9:51: services[0].addresses[2]: nobody can dial 0.0.0.0:1: give a host's IP address and its port
+    6:12: zones[1].name: `brugge` must be unique, but is already used at zones[0].name (line 5)
+    9:34: services[0].addresses[1]: `10.1.0.1:4000` must be unique, but is already used at services[0].addresses[0] (line 9)
+    9:51: services[0].addresses[2]: cannot connect to 0.0.0.0:1: specify the IP address and port of a host
     9:64: services[0].addresses[3]: this must be an IP address with a port, such as "10.1.0.1:4000"
     10:25: services[0].sharing.affinity: this must be `request` or `flow`
     10:52: services[0].sharing.prefer-local-zone: this must be `true` or `false`
@@ -80,19 +80,19 @@
     10:116: services[0].sharing.slow-start-ms: this must be from 0 to 600000
     12:30: services[0].kinds[0].weight: this must be from 1 to 1000000
     13:9: services[0].kinds[1]: the field `idempotent` is missing
-    13:16: services[0].kinds[1].name: `feed` must be unique, and stands at services[0].kinds[0].name already (line 12)
+    13:16: services[0].kinds[1].name: `feed` must be unique, but is already used at services[0].kinds[0].name (line 12)
     13:30: services[0].kinds[1].weight: this must be a whole number
     15:32: services[0].upstreams[0].zone: no zone is named `gent`; allowed: `brugge`
     15:71: services[0].upstreams[0].slots: this must be from 1 to 1000
     15:84: services[0].upstreams[0].state: this must be `active` or `draining`
-    16:16: services[0].upstreams[1].name: `search-1` must be unique, and stands at services[0].upstreams[0].name already (line 15)
-    16:49: services[0].upstreams[1].address: `10.2.0.1:8080` must be unique, and stands at services[0].upstreams[0].address already (line 15)
-    17:9: services[0].upstreams[2]: this must be fields with values
-    18:12: services[1].name: `availability` must be unique, and stands at services[0].name already (line 8)
+    16:16: services[0].upstreams[1].name: `search-1` must be unique, but is already used at services[0].upstreams[0].name (line 15)
+    16:49: services[0].upstreams[1].address: `10.2.0.1:8080` must be unique, but is already used at services[0].upstreams[0].address (line 15)
+    17:9: services[0].upstreams[2]: this must be a mapping
+    18:12: services[1].name: `availability` must be unique, but is already used at services[0].name (line 8)
     18:37: services[1].addresses: this must have from 1 to 100 items
     18:48: services[1].kinds: this must have from 1 to 100 items
     18:63: services[1].upstreams: this must be a list
-    18:67: services[1].upstreams: the field stands twice, first at 18:52
+    18:67: services[1].upstreams: duplicate field, first defined at 18:52
     19:5: services[2]: the field `addresses` is missing
     19:5: services[2]: the field `kinds` is missing
     19:5: services[2]: the field `upstreams` is missing
@@ -102,8 +102,8 @@
 
 #[test]
 fn syntax_errors_report_their_position() {
-    assert_snapshot!(problems(""), @"1:1: this must be fields with values");
-    assert_snapshot!(problems("[]"), @"1:1: this must be fields with values");
+    assert_snapshot!(problems(""), @"1:1: this must be a mapping");
+    assert_snapshot!(problems("[]"), @"1:1: this must be a mapping");
     assert_snapshot!(problems("revision: [1"), @"1:11: this is not valid YAML: unclosed bracket '['");
     assert_snapshot!(problems("{}\n---\n{}"), @"3:1: only one YAML document is allowed");
     assert_snapshot!(problems("{1: 2}"), @r"
@@ -114,19 +114,19 @@
     1:2: this must be text (in quotes if it looks like a number)
     ");
     assert_snapshot!(problems(&"[".repeat(100)), @"1:17: this is not valid YAML: recursion limit exceeded");
-    assert_snapshot!(problems(&"#\n".repeat(MAX_TEXT_LEN / 3)), @"1:1: the text is longer than 1000000 bytes as a JSON string");
-    assert_snapshot!(problems(&"#".repeat(MAX_TEXT_LEN)), @"1:1: the text is longer than 1000000 bytes as a JSON string");
+    assert_snapshot!(problems(&"#\n".repeat(MAX_TEXT_LEN / 3)), @"1:1: the text exceeds 1000000 bytes as a JSON string");
+    assert_snapshot!(problems(&"#".repeat(MAX_TEXT_LEN)), @"1:1: the text exceeds 1000000 bytes as a JSON string");
 }
 
 #[test]
 fn ambiguous_yaml_is_rejected() {
     assert_snapshot!(problems_after_edit("slots: 2", "slots: 02"), @"12:73: services[0].upstreams[0].slots: this must be a whole number");
-    assert_snapshot!(problems_after_edit("slots: 2", "slots: 2, slots: 3"), @"12:76: services[0].upstreams[0].slots: the field stands twice, first at 12:66");
+    assert_snapshot!(problems_after_edit("slots: 2", "slots: 2, slots: 3"), @"12:76: services[0].upstreams[0].slots: duplicate field, first defined at 12:66");
     assert_snapshot!(problems_after_edit("{name: search-1", "{<<: {name: search-1}"), @r"
     12:9: services[0].upstreams[0]: the field `name` is missing
     12:10: services[0].upstreams[0]: no such field: `<<`; allowed: `name`, `zone`, `address`, `slots` and `state`
     ");
-    assert_snapshot!(problems_after_edit("change: {", "change: &change {"), @"3:17: the text nests too deeply, or holds anchors or aliases");
+    assert_snapshot!(problems_after_edit("change: {", "change: &change {"), @"3:17: the YAML is nested too deeply, or contains anchors or aliases");
     assert_snapshot!(problems_after_edit("reason: \"Add", "reason: \"Add\\e"), @"3:47: change.reason: a control character is not allowed here");
 }
 
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The committed examples are what the crate takes.
+//! The committed example files are valid.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
     fs::read_to_string(path).expect("the example is committed")
 }
 
-/// The sizes of a document: zones, then for each service its upstreams and their slots.
+/// Returns the number of zones of a document, then the numbers of upstreams and slots of each service.
 fn sizes(name: &str) -> String {
     let text = read(name);
     let document = Document::try_from(text.as_str()).expect("the example is valid");
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What settings may hold, and how a refusal reads.
+//! Which settings are valid, and the messages for invalid ones.
 
 use config::parse_settings;
 use insta::assert_snapshot;
@@ -14,7 +14,7 @@
 
 fn problems(text: &str) -> String {
     match parse_settings(text) {
-        Ok(settings) => format!("taken for {}", settings.name),
+        Ok(settings) => format!("accepted for {}", settings.name),
         Err(problems) => problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
     }
 }
@@ -49,14 +49,14 @@
     2:1: the field `zone` is missing
     2:7: name: a name starts with a lower-case letter
     3:19: listen.callers: this must be text (in quotes if it looks like a number)
-    3:36: listen.instances: others cannot dial this address, so `advertise` must name one they can
+    3:36: listen.instances: other instances cannot connect to this address; set one that they can use in `advertise`
     3:59: listen.admin: this must be a loopback address, unless `listen.admin-on-any-address` is `true`
     3:76: listen: no such field: `port`; allowed: `callers`, `instances`, `admin` and `admin-on-any-address`
-    4:22: advertise.callers: nobody can dial 0.0.0.0:1: give a host's IP address and its port
+    4:22: advertise.callers: cannot connect to 0.0.0.0:1: specify the IP address and port of a host
     5:11: platform: this must have from 1 to 16 items
-    7:44: peers[0].address: nobody can dial 10.0.0.2:0: give a host's IP address and its port
+    7:44: peers[0].address: cannot connect to 10.0.0.2:0: specify the IP address and port of a host
     8:5: peers[1]: the field `zone` is missing
-    8:12: peers[1].name: `entry-2` must be unique, and stands at peers[0].name already (line 7)
+    8:12: peers[1].name: `entry-2` must be unique, but is already used at peers[0].name (line 7)
     9:20: secrets.current: a secret has at least 32 characters
     9:39: secrets.previous: this must be a list
     10:17: limits.flows: this must be from 1 to 10000000
@@ -74,7 +74,7 @@
 fn admin_address_off_loopback_needs_opt_in() {
     let admin = "admin: \"127.0.0.1:0\"";
     assert_snapshot!(problems_after_edit(admin, "admin: \"0.0.0.0:0\""), @"4:67: listen.admin: this must be a loopback address, unless `listen.admin-on-any-address` is `true`");
-    assert_snapshot!(problems_after_edit(admin, "admin: \"0.0.0.0:0\", admin-on-any-address: true"), @"taken for entry-1");
+    assert_snapshot!(problems_after_edit(admin, "admin: \"0.0.0.0:0\", admin-on-any-address: true"), @"accepted for entry-1");
 }
 
 #[test]
@@ -92,7 +92,7 @@
         problems_after_edit("zone: brugge", &format!("{secret}: brugge")),
     ];
     for message in &messages {
-        assert!(!message.contains("taken"), "{message}");
+        assert!(!message.contains("accepted"), "{message}");
         assert!(!message.contains(secret), "{message}");
     }
     assert_snapshot!(messages.join("\n"), @r"
@@ -100,7 +100,7 @@
     6:11: secrets: no such field: `currents`; allowed: `current` and `previous`
     6:10: secrets: the field `current` is missing
     6:11: secrets: no such field; allowed: `current` and `previous`
-    6:10: secrets: this must be fields with values
+    6:10: secrets: this must be a mapping
     6:20: this is not valid YAML
     6:20: this is not valid YAML
     6:54: secrets.current: this must be text (in quotes if it looks like a number)
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -136,7 +136,7 @@
     services[0].sharing.queue-limit: this must be a whole number
     services[0].kinds[0].weight: this must be a whole number
     services[0].upstreams[1].zone: a name starts with a lower-case letter
-    services[0].upstreams[1].address: `10.2.0.1:8080` must be unique, and stands at services[0].upstreams[0].address already (line 21)
+    services[0].upstreams[1].address: `10.2.0.1:8080` must be unique, but is already used at services[0].upstreams[0].address (line 21)
     ");
     assert!(page.text.contains("value=\"1 &lt;b&gt;\""));
     assert!(!page.text.contains("1 <b>"));
