--- a/crates/apply/src/plan.rs
+++ b/crates/apply/src/plan.rs
@@ -22,7 +22,7 @@
 }
 
 impl Base {
-    pub(crate) fn of(text: &str) -> Self {
+    pub(crate) fn parse(text: &str) -> Self {
         config::parse(text).map_or(Self::Invalid, Self::Checked)
     }
 
@@ -30,7 +30,7 @@
     pub fn differences(&self, document: &Document) -> Vec<Difference> {
         match self {
             Self::Checked(base) => config::diff(base, document),
-            Self::Absent | Self::Invalid => config::diff(&empty(), document),
+            Self::Absent | Self::Invalid => config::diff(&empty_document(), document),
         }
     }
 }
@@ -47,25 +47,25 @@
     /// What it changes.
     pub differences: Vec<Difference>,
     /// The newest revision at the platform, if this very text was made before and so nothing is left to do.
-    pub made: Option<Revision>,
+    pub applied: Option<Revision>,
 }
 
 /// Plans to apply `document` in place of the revision `from`, which is the one that was reviewed.
 pub async fn plan(client: &Client, from: Revision, document: Document) -> Result<Plan, Refusal> {
     if document.revision != from.next() {
-        let says = document.revision;
-        return Err(Refusal::Revision { from, says });
+        let stated = document.revision;
+        return Err(Refusal::WrongRevision { from, stated });
     }
     let current = client.document().await?;
     let newest = current.as_ref().map_or(Revision(0), |current| current.revision);
     if newest < from {
-        return Err(Refusal::Unknown { from, newest });
+        return Err(Refusal::UnknownRevision { from, newest });
     }
     let base = read_base(client, from).await?;
-    let made = match client.revision(document.revision).await? {
+    let applied = match client.revision(document.revision).await? {
         None => None,
-        Some(made) if made.text == document.text => Some(newest.max(made.revision)),
-        Some(winner) => return Err(refusal::raced(&base, &document, &winner)),
+        Some(applied) if applied.text == document.text => Some(newest.max(applied.revision)),
+        Some(winner) => return Err(refusal::conflict(&base, &document, &winner)),
     };
     let differences = base.differences(&document);
     Ok(Plan {
@@ -73,7 +73,7 @@
         base,
         document,
         differences,
-        made,
+        applied,
     })
 }
 
@@ -83,11 +83,11 @@
     }
     // A revision that the platform no longer keeps cannot be compared with, but it can be replaced.
     let found = client.revision(from).await?;
-    Ok(found.map_or(Base::Invalid, |found| Base::of(&found.text)))
+    Ok(found.map_or(Base::Invalid, |found| Base::parse(&found.text)))
 }
 
 /// What an empty document would hold. It would not pass the checks, and only serves to compare with.
-fn empty() -> Document {
+fn empty_document() -> Document {
     Document {
         revision: Revision(0),
         digest: Digest::of(&[]),
--- a/crates/apply/src/refusal.rs
+++ b/crates/apply/src/refusal.rs
@@ -13,21 +13,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
     /// The document does not follow the revision that was reviewed.
-    Revision {
+    WrongRevision {
         /// The revision that was reviewed.
         from: Revision,
         /// The revision that the document states.
-        says: Revision,
+        stated: Revision,
     },
     /// The platform does not know the revision that was reviewed.
-    Unknown {
+    UnknownRevision {
         /// The revision that was reviewed.
         from: Revision,
         /// The newest one that the platform knows.
         newest: Revision,
     },
     /// Another document was written first. Nothing was changed.
-    Raced(Box<Race>),
+    Conflict(Box<Conflict>),
     /// The platform did not do its part. Nothing was changed.
     Platform(platform::Error),
     /// The write was sent, and whether it took effect could not be found out.
@@ -49,22 +49,22 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Revision { from, says } => {
-                let makes = from.next();
+            Self::WrongRevision { from, stated } => {
+                let expected = from.next();
                 write!(
                     f,
-                    "nothing was changed: the document states revision {says}, but what follows "
+                    "nothing was changed: the document states revision {stated}, but what follows "
                 )?;
-                write!(f, "revision {from} is revision {makes}")
+                write!(f, "revision {from} is revision {expected}")
             }
-            Self::Unknown { from, newest } => {
+            Self::UnknownRevision { from, newest } => {
                 write!(
                     f,
                     "nothing was changed: the platform knows no revision {from}, its newest is {newest}; "
                 )?;
                 f.write_str("if you have seen it, a replica lags, so try again")
             }
-            Self::Raced(race) => race.fmt(f),
+            Self::Conflict(conflict) => conflict.fmt(f),
             Self::Platform(error) => write!(f, "nothing was changed: {error}"),
             Self::InDoubt { revision, cause } => {
                 write!(f, "it is not known whether revision {revision} was made: {cause}; ")?;
@@ -78,7 +78,7 @@
 
 /// A document that was written first.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Race {
+pub struct Conflict {
     /// The revision that both wanted to make.
     pub revision: Revision,
     /// Who wrote it.
@@ -86,12 +86,12 @@
     /// Who changed what and why, if the winner's document passes the checks.
     pub change: Option<Change>,
     /// What the winner changed.
-    pub won: Vec<Difference>,
+    pub winner_changes: Vec<Difference>,
     /// What the loser's document would change in the winner's.
-    pub left: Vec<Difference>,
+    pub remaining: Vec<Difference>,
 }
 
-impl fmt::Display for Race {
+impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let revision = self.revision;
         write!(
@@ -104,14 +104,14 @@
             write!(f, ", approved by {approver}, because: {reason}")?;
         }
         write!(f, "\nThat revision changed:")?;
-        list(f, &self.won)?;
+        write_differences(f, &self.winner_changes)?;
         write!(f, "\nYour document would change in it:")?;
-        list(f, &self.left)?;
+        write_differences(f, &self.remaining)?;
         write!(f, "\nReview again from revision {revision}.")
     }
 }
 
-fn list(f: &mut fmt::Formatter<'_>, differences: &[Difference]) -> fmt::Result {
+fn write_differences(f: &mut fmt::Formatter<'_>, differences: &[Difference]) -> fmt::Result {
     if differences.is_empty() {
         return f.write_str("\n  nothing");
     }
@@ -122,19 +122,19 @@
 }
 
 /// Tells the loser who won and what differs.
-pub(crate) fn raced(base: &Base, document: &Document, winner: &platform::Document) -> Refusal {
-    let won = Base::of(&winner.text);
-    let left = won.differences(document);
-    let mut race = Race {
+pub(crate) fn conflict(base: &Base, document: &Document, winner: &platform::Document) -> Refusal {
+    let won = Base::parse(&winner.text);
+    let remaining = won.differences(document);
+    let mut conflict = Conflict {
         revision: winner.revision,
         writer: winner.writer.clone(),
         change: None,
-        won: Vec::new(),
-        left,
+        winner_changes: Vec::new(),
+        remaining,
     };
     if let Base::Checked(won) = won {
-        race.won = base.differences(&won);
-        race.change = Some(won.change);
+        conflict.winner_changes = base.differences(&won);
+        conflict.change = Some(won.change);
     }
-    Refusal::Raced(Box::new(race))
+    Refusal::Conflict(Box::new(conflict))
 }
--- a/crates/apply/src/write.rs
+++ b/crates/apply/src/write.rs
@@ -15,25 +15,25 @@
 
 /// How long to go on reading back a write in doubt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct RetryPolicy {
     /// How often it is tried.
-    pub tries: u32,
+    pub attempts: u32,
     /// How long to wait before the second try. Each further wait is twice as long.
-    pub first_wait: Duration,
+    pub initial_delay: Duration,
 }
 
-impl Default for Patience {
+impl Default for RetryPolicy {
     /// Some six seconds, on top of the platform's own timeouts.
     fn default() -> Self {
         Self {
-            tries: 6,
-            first_wait: Duration::from_millis(200),
+            attempts: 6,
+            initial_delay: Duration::from_millis(200),
         }
     }
 }
 
 /// Nonces lie below this, so that every JSON reader keeps them exact.
-const NONCE_END: u64 = 1 << 53;
+const NONCE_LIMIT: u64 = 1 << 53;
 
 /// A document came into force at the platform. If that was read back, a later one may be in force by now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,9 +47,9 @@
 /// Carries out a plan.
 ///
 /// The write is sent again only under its own nonce and condition, so that it never takes effect twice.
-pub async fn apply(client: &Client, plan: &Plan, patience: Patience) -> Result<Applied, Refusal> {
+pub async fn apply(client: &Client, plan: &Plan, policy: RetryPolicy) -> Result<Applied, Refusal> {
     let revision = plan.document.revision;
-    if plan.made.is_some() {
+    if plan.applied.is_some() {
         let read_back = true;
         return Ok(Applied { revision, read_back });
     }
@@ -57,34 +57,34 @@
         base: plan.from,
         text: plan.document.text.clone(),
         writer: plan.document.change.author.clone(),
-        nonce: Nonce(rand::random_range(1..NONCE_END)),
+        nonce: Nonce(rand::random_range(1..NONCE_LIMIT)),
     };
     match client.write(&write).await {
         Ok(revision) => Ok(Applied {
             revision,
             read_back: false,
         }),
-        Err(cause @ Error::InDoubt(_)) => settle(client, plan, &write, patience, cause).await,
-        Err(error @ Error::Conflict { .. }) => Err(lost(client, plan, error).await),
+        Err(cause @ Error::InDoubt(_)) => resolve_in_doubt(client, plan, &write, policy, cause).await,
+        Err(error @ Error::Conflict { .. }) => Err(conflict_refusal(client, plan, error).await),
         Err(error) => Err(Refusal::Platform(error)),
     }
 }
 
 /// Reads back what became of a write, and sends it again while neither it nor another one has made the revision.
-async fn settle(
+async fn resolve_in_doubt(
     client: &Client,
     plan: &Plan,
     write: &Write,
-    patience: Patience,
-    first: Error,
+    policy: RetryPolicy,
+    initial_cause: Error,
 ) -> Result<Applied, Refusal> {
     let revision = write.revision();
-    let mut cause = first;
-    let mut wait = patience.first_wait;
-    for attempt in 0..patience.tries {
+    let mut cause = initial_cause;
+    let mut delay = policy.initial_delay;
+    for attempt in 0..policy.attempts {
         if attempt > 0 {
-            tokio::time::sleep(wait).await;
-            wait *= 2;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
         log::info!("apply: reading back revision {revision}, {cause}");
         match client.settle(write).await {
@@ -92,7 +92,7 @@
                 let read_back = true;
                 return Ok(Applied { revision, read_back });
             }
-            Ok(Settled::Lost(winner)) => return Err(refusal::raced(&plan.base, &plan.document, &winner)),
+            Ok(Settled::Lost(winner)) => return Err(refusal::conflict(&plan.base, &plan.document, &winner)),
             Ok(Settled::Open) => {}
             Err(error) => {
                 cause = error;
@@ -111,9 +111,9 @@
 }
 
 /// Tells who won, as far as the platform tells.
-async fn lost(client: &Client, plan: &Plan, error: Error) -> Refusal {
+async fn conflict_refusal(client: &Client, plan: &Plan, error: Error) -> Refusal {
     match client.revision(plan.document.revision).await {
-        Ok(Some(winner)) => refusal::raced(&plan.base, &plan.document, &winner),
+        Ok(Some(winner)) => refusal::conflict(&plan.base, &plan.document, &winner),
         Ok(None) | Err(_) => Refusal::Platform(error),
     }
 }
--- a/crates/apply/tests/apply.rs
+++ b/crates/apply/tests/apply.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use apply::Applied;
-use apply::Patience;
 use apply::Refusal;
+use apply::RetryPolicy;
 use config::Document;
 use insta::assert_snapshot;
 use platform::Client;
@@ -16,9 +16,9 @@
 use tokio::net::TcpListener;
 use units::Revision;
 
-const PATIENCE: Patience = Patience {
-    tries: 3,
-    first_wait: Duration::from_millis(1),
+const RETRY_POLICY: RetryPolicy = RetryPolicy {
+    attempts: 3,
+    initial_delay: Duration::from_millis(1),
 };
 
 /// A document that says who made it and how many slots its upstream has.
@@ -52,16 +52,16 @@
 }
 
 /// How many writes took effect, but for the first document's.
-fn taken(handle: &Handle) -> u64 {
+fn applied_writes(handle: &Handle) -> u64 {
     handle.counts().taken - 1
 }
 
 async fn apply(client: &Client, from: u64, document: Document) -> Result<Applied, Refusal> {
     let plan = apply::plan(client, Revision(from), document).await?;
-    apply::apply(client, &plan, PATIENCE).await
+    apply::apply(client, &plan, RETRY_POLICY).await
 }
 
-fn told(result: Result<Applied, Refusal>) -> String {
+fn outcome(result: Result<Applied, Refusal>) -> String {
     match result {
         Ok(applied) => format!("revision {} made, read back: {}", applied.revision, applied.read_back),
         Err(refusal) => refusal.to_string(),
@@ -69,22 +69,22 @@
 }
 
 #[tokio::test]
-async fn a_document_follows_the_revision_that_was_reviewed() {
+async fn document_must_follow_the_reviewed_revision() {
     let (handle, client) = platform().await;
-    assert_snapshot!(told(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: false");
-    assert_snapshot!(told(apply(&client, 2, document(2, "an", 3)).await), @"nothing was changed: the document states revision 2, but what follows revision 2 is revision 3");
-    assert_snapshot!(told(apply(&client, 7, document(8, "an", 3)).await), @"nothing was changed: the platform knows no revision 7, its newest is 2; if you have seen it, a replica lags, so try again");
+    assert_snapshot!(outcome(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: false");
+    assert_snapshot!(outcome(apply(&client, 2, document(2, "an", 3)).await), @"nothing was changed: the document states revision 2, but what follows revision 2 is revision 3");
+    assert_snapshot!(outcome(apply(&client, 7, document(8, "an", 3)).await), @"nothing was changed: the platform knows no revision 7, its newest is 2; if you have seen it, a replica lags, so try again");
     assert_eq!(handle.counts().writes, 1);
 }
 
 #[tokio::test]
-async fn the_loser_of_a_race_is_told_who_won_and_what_differs() {
+async fn conflict_names_the_winner_and_the_differences() {
     let (handle, client) = platform().await;
     let late = apply::plan(&client, Revision(1), document(2, "bea", 4)).await;
     let late = late.expect("nobody has written yet");
-    assert_snapshot!(told(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: false");
-    let lost = apply::apply(&client, &late, PATIENCE).await;
-    assert_snapshot!(told(lost.clone()), @r"
+    assert_snapshot!(outcome(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: false");
+    let lost = apply::apply(&client, &late, RETRY_POLICY).await;
+    assert_snapshot!(outcome(lost.clone()), @r"
     nothing was changed: revision 2 was made first by an, approved by joost, because: 2 slots
     That revision changed:
       upstream search-1: slots changed from 1 to 2
@@ -93,11 +93,11 @@
     Review again from revision 2.
     ");
     assert_eq!(lost, apply(&client, 1, document(2, "bea", 4)).await);
-    assert_eq!(taken(&handle), 1);
+    assert_eq!(applied_writes(&handle), 1);
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn lost_response_is_resolved_by_reading_back() {
     let (handle, client) = platform().await;
     let lose_answers = 1;
     handle
@@ -106,13 +106,13 @@
             ..Behaviour::default()
         })
         .await;
-    assert_snapshot!(told(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: true");
-    assert_snapshot!(told(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: true");
-    assert_eq!(taken(&handle), 1);
+    assert_snapshot!(outcome(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: true");
+    assert_snapshot!(outcome(apply(&client, 1, document(2, "an", 2)).await), @"revision 2 made, read back: true");
+    assert_eq!(applied_writes(&handle), 1);
 }
 
 /// Takes connections and answers nothing.
-async fn silent() -> SocketAddr {
+async fn closing_listener() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
     let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
@@ -124,17 +124,17 @@
 }
 
 #[tokio::test]
-async fn a_write_that_got_lost_itself_is_sent_again() {
+async fn lost_write_is_retried() {
     let (handle, client) = platform().await;
     let plan = apply::plan(&client, Revision(1), document(2, "an", 2)).await;
     let plan = plan.expect("the platform serves");
-    let client = Client::new(Options::new(vec![silent().await, handle.address()]));
-    assert_snapshot!(told(apply::apply(&client, &plan, PATIENCE).await), @"revision 2 made, read back: true");
-    assert_eq!(taken(&handle), 1);
+    let client = Client::new(Options::new(vec![closing_listener().await, handle.address()]));
+    assert_snapshot!(outcome(apply::apply(&client, &plan, RETRY_POLICY).await), @"revision 2 made, read back: true");
+    assert_eq!(applied_writes(&handle), 1);
 }
 
 #[tokio::test]
-async fn an_outage_changes_nothing() {
+async fn outage_changes_nothing() {
     let (handle, client) = platform().await;
     let plan = apply::plan(&client, Revision(1), document(2, "an", 2)).await;
     let plan = plan.expect("the platform serves");
@@ -144,13 +144,13 @@
             ..Behaviour::default()
         })
         .await;
-    assert_snapshot!(told(apply(&client, 1, document(2, "an", 2)).await), @"nothing was changed: the platform is unavailable: status 503 Service Unavailable");
-    assert_snapshot!(told(apply::apply(&client, &plan, PATIENCE).await), @"nothing was changed: the platform is unavailable: status 503 Service Unavailable");
-    assert_eq!(taken(&handle), 0);
+    assert_snapshot!(outcome(apply(&client, 1, document(2, "an", 2)).await), @"nothing was changed: the platform is unavailable: status 503 Service Unavailable");
+    assert_snapshot!(outcome(apply::apply(&client, &plan, RETRY_POLICY).await), @"nothing was changed: the platform is unavailable: status 503 Service Unavailable");
+    assert_eq!(applied_writes(&handle), 0);
 }
 
 #[tokio::test]
-async fn what_stays_in_doubt_is_found_out_by_applying_again() {
+async fn applying_again_resolves_an_in_doubt_write() {
     let (handle, client) = platform().await;
     let plan = apply::plan(&client, Revision(1), document(2, "an", 2)).await;
     let plan = plan.expect("the platform serves");
@@ -160,11 +160,11 @@
             ..Behaviour::default()
         })
         .await;
-    assert_snapshot!(told(apply::apply(&client, &plan, PATIENCE).await), @"it is not known whether revision 2 was made: the platform is unavailable: no answer in time; apply the same file again to find out, which never makes it twice");
+    assert_snapshot!(outcome(apply::apply(&client, &plan, RETRY_POLICY).await), @"it is not known whether revision 2 was made: the platform is unavailable: no answer in time; apply the same file again to find out, which never makes it twice");
     handle.behave(Behaviour::default()).await;
     let again = apply(&client, 1, document(2, "an", 2))
         .await
         .expect("the platform serves");
     assert_eq!(again.revision, Revision(2));
-    assert_eq!(taken(&handle), 1);
+    assert_eq!(applied_writes(&handle), 1);
 }
--- a/crates/console/src/routes.rs
+++ b/crates/console/src/routes.rs
@@ -5,8 +5,8 @@
 
 use std::sync::Arc;
 
-use apply::Patience;
 use apply::Refusal;
+use apply::RetryPolicy;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use axum::extract::Path;
@@ -194,7 +194,7 @@
 
 async fn carry_out(console: &Console, session: &Session, document: config::Document) -> Result<Applied, Refusal> {
     let plan = apply::plan(&console.client, session.from(), document).await?;
-    let applied = apply::apply(&console.client, &plan, Patience::default()).await?;
+    let applied = apply::apply(&console.client, &plan, RetryPolicy::default()).await?;
     log::info!("console: revision {} applied", applied.revision);
     Ok(Applied {
         document: plan.document,
--- a/crates/console/src/routes/answer.rs
+++ b/crates/console/src/routes/answer.rs
@@ -101,7 +101,7 @@
 /// The draft was not applied, or whether it was is not known.
 pub fn refused(view: &View<'_>, refusal: &Refusal) -> Response {
     let status = match refusal {
-        Refusal::Revision { .. } | Refusal::Unknown { .. } | Refusal::Raced(_) => StatusCode::CONFLICT,
+        Refusal::WrongRevision { .. } | Refusal::UnknownRevision { .. } | Refusal::Conflict(_) => StatusCode::CONFLICT,
         Refusal::Platform(_) | Refusal::InDoubt { .. } => StatusCode::BAD_GATEWAY,
     };
     let title = match refusal {
--- a/crates/jayquay/src/document/apply.rs
+++ b/crates/jayquay/src/document/apply.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::path::PathBuf;
 
-use apply::Patience;
 use apply::Plan;
+use apply::RetryPolicy;
 use bpaf::Bpaf;
 use bpaf::ShellComp;
 use platform::Client;
@@ -106,13 +106,13 @@
 }
 
 async fn carry_out(client: &Client, plan: &Plan, dry_run: bool) -> Result<Effect, Error> {
-    if let Some(newest) = plan.made {
+    if let Some(newest) = plan.applied {
         return Ok(Effect::Already(newest));
     }
     if dry_run {
         return Ok(Effect::DryRun);
     }
-    let applied = apply::apply(client, plan, Patience::default()).await?;
+    let applied = apply::apply(client, plan, RetryPolicy::default()).await?;
     Ok(if applied.read_back {
         Effect::ReadBack
     } else {
