--- a/crates/apply/src/lib.rs
+++ b/crates/apply/src/lib.rs
@@ -1,8 +1,9 @@
-//! Bringing a checked document into force at the platform, and telling truthfully what became of it.
+//! Writes a validated document to the platform and reports the actual outcome.
 //!
-//! A document is applied from the revision that was reviewed: if another one was written meanwhile, nothing is changed
-//! and the loser is told who won. The crate does not check documents and keeps nothing between calls: what is not
-//! known after a call can be found out by any later one, because the revision's own record at the platform decides.
+//! A document replaces the revision that was reviewed. If another document was written in the meantime, nothing is
+//! changed and the conflict is reported with the document that was written. The crate neither validates documents nor
+//! keeps state between calls: an outcome that is unknown after one call can be determined by any later call, because
+//! the platform's record of the revision is authoritative.
 
 mod plan;
 mod refusal;
--- a/crates/apply/src/plan.rs
+++ b/crates/apply/src/plan.rs
@@ -1,4 +1,4 @@
-//! What applying a document would do.
+//! The effect of applying a document, determined before anything is written.
 
 use config::Change;
 use config::Difference;
@@ -10,14 +10,15 @@
 use crate::Refusal;
 use crate::refusal;
 
-/// The document that a plan starts from.
+/// The document that a plan replaces.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Base {
-    /// There is none yet.
+    /// There is no document yet.
     Absent,
-    /// It passes the checks.
+    /// The document is valid.
     Checked(Document),
-    /// The platform holds a text that does not pass the checks, so every part of the new document counts as added.
+    /// There is no valid text of that revision to compare with, because the platform's text is invalid or is no longer
+    /// kept. Every part of the new document counts as added.
     Invalid,
 }
 
@@ -26,7 +27,7 @@
         config::parse(text).map_or(Self::Invalid, Self::Checked)
     }
 
-    /// What `document` changes.
+    /// Returns the differences from this base to `document`.
     pub fn differences(&self, document: &Document) -> Vec<Difference> {
         match self {
             Self::Checked(base) => config::diff(base, document),
@@ -35,22 +36,23 @@
     }
 }
 
-/// A document and what applying it would change.
+/// A document to apply, with the changes that this would make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// The revision that was reviewed, zero if there is no document yet.
+    /// The revision that was reviewed, 0 if there is no document yet.
     pub from: Revision,
     /// The document of that revision.
     pub base: Base,
     /// The document to apply.
     pub document: Document,
-    /// What it changes.
+    /// The differences from the base to the document.
     pub differences: Vec<Difference>,
-    /// The newest revision at the platform, if this very text was made before and so nothing is left to do.
+    /// The newest revision at the platform if an identical document has already been written as this revision, so that
+    /// nothing is left to do.
     pub applied: Option<Revision>,
 }
 
-/// Plans to apply `document` in place of the revision `from`, which is the one that was reviewed.
+/// Plans to replace the revision `from`, which is the reviewed one, by `document`.
 pub async fn plan(client: &Client, from: Revision, document: Document) -> Result<Plan, Refusal> {
     if document.revision != from.next() {
         let stated = document.revision;
@@ -81,12 +83,12 @@
     if from == Revision(0) {
         return Ok(Base::Absent);
     }
-    // A revision that the platform no longer keeps cannot be compared with, but it can be replaced.
+    // A revision that the platform no longer keeps cannot be compared, but it can be replaced.
     let found = client.revision(from).await?;
     Ok(found.map_or(Base::Invalid, |found| Base::parse(&found.text)))
 }
 
-/// What an empty document would hold. It would not pass the checks, and only serves to compare with.
+/// Returns an empty document. It is invalid, and serves only as the old side of a comparison.
 fn empty_document() -> Document {
     Document {
         revision: Revision(0),
--- a/crates/apply/src/refusal.rs
+++ b/crates/apply/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a document was not applied, or why that is not known.
+//! The reasons why a document was not applied, or why the outcome is unknown.
 
 use std::fmt;
 
@@ -9,38 +9,38 @@
 
 use crate::Base;
 
-/// Why a document was not applied, or why that is not known.
+/// The reason why a document was not applied, or why the outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The document does not follow the revision that was reviewed.
+    /// The revision of the document is not the successor of the reviewed one.
     WrongRevision {
         /// The revision that was reviewed.
         from: Revision,
         /// The revision that the document states.
         stated: Revision,
     },
-    /// The platform does not know the revision that was reviewed.
+    /// The reviewed revision is newer than any that the platform knows.
     UnknownRevision {
         /// The revision that was reviewed.
         from: Revision,
-        /// The newest one that the platform knows.
+        /// The newest revision that the platform knows.
         newest: Revision,
     },
-    /// Another document was written first. Nothing was changed.
+    /// Another document was written as this revision first. Nothing was changed.
     Conflict(Box<Conflict>),
-    /// The platform did not do its part. Nothing was changed.
+    /// A call to the platform failed. Nothing was changed.
     Platform(platform::Error),
-    /// The write was sent, and whether it took effect could not be found out.
+    /// The write was sent, but whether it took effect could not be determined.
     InDoubt {
-        /// The revision that the write would make.
+        /// The revision that the write would create.
         revision: Revision,
-        /// Why it could not be found out.
+        /// Why the outcome could not be determined.
         cause: platform::Error,
     },
 }
 
 impl From<platform::Error> for Refusal {
-    /// For calls before anything was written.
+    /// Converts the error of a call that precedes the write.
     fn from(error: platform::Error) -> Self {
         Self::Platform(error)
     }
@@ -76,18 +76,18 @@
 
 impl std::error::Error for Refusal {}
 
-/// A document that was written first.
+/// A conflict with another document that was written first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
-    /// The revision that both wanted to make.
+    /// The revision that both documents claim.
     pub revision: Revision,
-    /// Who wrote it.
+    /// Who wrote the winning document.
     pub writer: String,
-    /// Who changed what and why, if the winner's document passes the checks.
+    /// The change record of the winning document, if that is valid.
     pub change: Option<Change>,
-    /// What the winner changed.
+    /// What the winning document changed.
     pub winner_changes: Vec<Difference>,
-    /// What the loser's document would change in the winner's.
+    /// What the refused document would change in the winning one.
     pub remaining: Vec<Difference>,
 }
 
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-/// Tells the loser who won and what differs.
+/// Returns the refusal of `document`, with the winner and the differences.
 pub(crate) fn conflict(base: &Base, document: &Document, winner: &platform::Document) -> Refusal {
     let won = Base::parse(&winner.text);
     let remaining = won.differences(document);
--- a/crates/apply/src/write.rs
+++ b/crates/apply/src/write.rs
@@ -1,4 +1,4 @@
-//! The write itself, and finding out what became of it when its answer was lost.
+//! Writes a document, and determines the outcome if the platform's response was lost.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use crate::Refusal;
 use crate::refusal;
 
-/// How long to go on reading back a write in doubt.
+/// How often and at which intervals to read back a write whose outcome is in doubt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// How often it is tried.
+    /// The number of attempts.
     pub attempts: u32,
-    /// How long to wait before the second try. Each further wait is twice as long.
+    /// The delay before the second attempt. It doubles after each further attempt.
     pub initial_delay: Duration,
 }
 
 impl Default for RetryPolicy {
-    /// Some six seconds, on top of the platform's own timeouts.
+    /// About six seconds of delays, in addition to the timeouts of the platform calls.
     fn default() -> Self {
         Self {
             attempts: 6,
@@ -32,21 +32,22 @@
     }
 }
 
-/// Nonces lie below this, so that every JSON reader keeps them exact.
+/// The exclusive upper bound of nonces: every JSON parser represents integers below it exactly.
 const NONCE_LIMIT: u64 = 1 << 53;
 
-/// A document came into force at the platform. If that was read back, a later one may be in force by now.
+/// A document was applied at the platform. If that was read back, a later one may already be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Applied {
-    /// The revision that was made.
+    /// The revision of the document.
     pub revision: Revision,
-    /// Whether the platform's answer was lost, and what it had done was read back.
+    /// Whether the outcome was read back from the platform, because the response was lost or the document had been
+    /// applied before.
     pub read_back: bool,
 }
 
-/// Carries out a plan.
+/// Executes a plan.
 ///
-/// The write is sent again only under its own nonce and condition, so that it never takes effect twice.
+/// Retries send the same write, with the same nonce and base revision, so that it never takes effect twice.
 pub async fn apply(client: &Client, plan: &Plan, policy: RetryPolicy) -> Result<Applied, Refusal> {
     let revision = plan.document.revision;
     if plan.applied.is_some() {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Reads back what became of a write, and sends it again while neither it nor another one has made the revision.
+/// Reads back the outcome of a write, and sends it again while no write has created the revision.
 async fn resolve_in_doubt(
     client: &Client,
     plan: &Plan,
@@ -86,7 +87,7 @@
             tokio::time::sleep(delay).await;
             delay *= 2;
         }
-        log::info!("apply: reading back revision {revision}, {cause}");
+        log::info!("apply: reading back revision {revision}: {cause}");
         match client.settle(write).await {
             Ok(Settled::TookEffect(revision)) => {
                 let read_back = true;
@@ -110,7 +111,7 @@
     Err(Refusal::InDoubt { revision, cause })
 }
 
-/// Tells who won, as far as the platform tells.
+/// Returns a refusal that names the winner, or the platform's error if the winner cannot be read.
 async fn conflict_refusal(client: &Client, plan: &Plan, error: Error) -> Refusal {
     match client.revision(plan.document.revision).await {
         Ok(Some(winner)) => refusal::conflict(&plan.base, &plan.document, &winner),
--- a/crates/apply/tests/apply.rs
+++ b/crates/apply/tests/apply.rs
@@ -1,4 +1,4 @@
-//! What becomes of a document under races, lost answers and outages.
+//! The outcomes of applying a document under conflicts, lost responses and outages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     initial_delay: Duration::from_millis(1),
 };
 
-/// A document that says who made it and how many slots its upstream has.
+/// Returns a document with the given author and number of upstream slots.
 fn document(revision: u64, author: &str, slots: u16) -> Document {
     let text = format!(
         r#"
@@ -51,7 +51,7 @@
     (handle, client)
 }
 
-/// How many writes took effect, but for the first document's.
+/// Returns how many writes took effect, not counting the initial document.
 fn applied_writes(handle: &Handle) -> u64 {
     handle.counts().taken - 1
 }
@@ -111,7 +111,7 @@
     assert_eq!(applied_writes(&handle), 1);
 }
 
-/// Takes connections and answers nothing.
+/// Accepts connections and closes them without a response.
 async fn closing_listener() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has free ports");
     let address = listener.local_addr().expect("the listener is bound");
@@ -127,7 +127,7 @@
 async fn lost_write_is_retried() {
     let (handle, client) = platform().await;
     let plan = apply::plan(&client, Revision(1), document(2, "an", 2)).await;
-    let plan = plan.expect("the platform serves");
+    let plan = plan.expect("the platform responds");
     let client = Client::new(Options::new(vec![closing_listener().await, handle.address()]));
     assert_snapshot!(outcome(apply::apply(&client, &plan, RETRY_POLICY).await), @"revision 2 made, read back: true");
     assert_eq!(applied_writes(&handle), 1);
@@ -137,7 +137,7 @@
 async fn outage_changes_nothing() {
     let (handle, client) = platform().await;
     let plan = apply::plan(&client, Revision(1), document(2, "an", 2)).await;
-    let plan = plan.expect("the platform serves");
+    let plan = plan.expect("the platform responds");
     handle
         .behave(Behaviour {
             unavailable: true,
@@ -153,7 +153,7 @@
 async fn applying_again_resolves_an_in_doubt_write() {
     let (handle, client) = platform().await;
     let plan = apply::plan(&client, Revision(1), document(2, "an", 2)).await;
-    let plan = plan.expect("the platform serves");
+    let plan = plan.expect("the platform responds");
     handle
         .behave(Behaviour {
             stalled: true,
@@ -164,7 +164,7 @@
     handle.behave(Behaviour::default()).await;
     let again = apply(&client, 1, document(2, "an", 2))
         .await
-        .expect("the platform serves");
+        .expect("the platform responds");
     assert_eq!(again.revision, Revision(2));
     assert_eq!(applied_writes(&handle), 1);
 }
