--- a/crates/console/src/guard.rs
+++ b/crates/console/src/guard.rs
@@ -22,7 +22,7 @@
 
 /// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Intrusion {
+pub enum AccessError {
     /// The host is not the console's own.
     Host,
     /// The cookie is missing or wrong.
@@ -35,7 +35,7 @@
     Key,
 }
 
-impl fmt::Display for Intrusion {
+impl fmt::Display for AccessError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
             Self::Host => "This console is not known under this host name.",
@@ -68,14 +68,14 @@
     pub fn new(port: u16) -> Self {
         Self {
             port,
-            key: secret(),
-            cookie: secret(),
-            token: secret(),
+            key: random_secret(),
+            cookie: random_secret(),
+            token: random_secret(),
         }
     }
 
     /// The address that lets the operator in.
-    pub fn entrance(&self, address: SocketAddr) -> String {
+    pub fn entry_url(&self, address: SocketAddr) -> String {
         format!("http://{address}/enter?key={}", self.key)
     }
 
@@ -85,50 +85,50 @@
     }
 
     /// Gives the cookie to who knows the key.
-    pub fn enter(&self, key: &str) -> Result<String, Intrusion> {
-        if !same(key, &self.key) {
-            return Err(Intrusion::Key);
+    pub fn enter(&self, key: &str) -> Result<String, AccessError> {
+        if !digests_match(key, &self.key) {
+            return Err(AccessError::Key);
         }
         let name = self.cookie_name();
         Ok(format!("{name}={}; Path=/; HttpOnly; SameSite=Strict", self.cookie))
     }
 
     /// Checks a request's host, and its origin if it changes anything.
-    pub fn check_site(&self, method: &Method, headers: &HeaderMap) -> Result<(), Intrusion> {
-        let host = text(headers, &HOST);
-        if !self.hosts().iter().any(|own| own == host) {
-            return Err(Intrusion::Host);
+    pub fn check_host_and_origin(&self, method: &Method, headers: &HeaderMap) -> Result<(), AccessError> {
+        let host = header_text(headers, &HOST);
+        if !self.allowed_hosts().iter().any(|allowed| allowed == host) {
+            return Err(AccessError::Host);
         }
-        if method != Method::GET && text(headers, &ORIGIN) != format!("http://{host}") {
-            return Err(Intrusion::Origin);
+        if method != Method::GET && header_text(headers, &ORIGIN) != format!("http://{host}") {
+            return Err(AccessError::Origin);
         }
         Ok(())
     }
 
     /// Checks a request's cookie.
-    pub fn check_cookie(&self, headers: &HeaderMap) -> Result<(), Intrusion> {
+    pub fn check_cookie(&self, headers: &HeaderMap) -> Result<(), AccessError> {
         let name = self.cookie_name();
-        for pair in text(headers, &COOKIE).split(';') {
+        for pair in header_text(headers, &COOKIE).split(';') {
             let Some((key, value)) = pair.trim().split_once('=') else {
                 continue;
             };
-            if key == name && same(value, &self.cookie) {
+            if key == name && digests_match(value, &self.cookie) {
                 return Ok(());
             }
         }
-        Err(Intrusion::Cookie)
+        Err(AccessError::Cookie)
     }
 
     /// Checks a posted form's token.
-    pub fn check_form(&self, pairs: &[(String, String)]) -> Result<(), Intrusion> {
+    pub fn check_form(&self, pairs: &[(String, String)]) -> Result<(), AccessError> {
         let token = input::value(pairs, TOKEN_FIELD).unwrap_or_default();
-        if same(token, &self.token) {
+        if digests_match(token, &self.token) {
             return Ok(());
         }
-        Err(Intrusion::Token)
+        Err(AccessError::Token)
     }
 
-    fn hosts(&self) -> [String; 3] {
+    fn allowed_hosts(&self) -> [String; 3] {
         let port = self.port;
         [
             format!("127.0.0.1:{port}"),
@@ -143,17 +143,17 @@
     }
 }
 
-fn secret() -> String {
+fn random_secret() -> String {
     let bytes: [u8; 16] = rand::random();
     Digest(bytes).to_string()
 }
 
 /// Compares digests, so that the time taken tells nothing of the secret.
-fn same(given: &str, secret: &str) -> bool {
+fn digests_match(given: &str, secret: &str) -> bool {
     Digest::of(given.as_bytes()) == Digest::of(secret.as_bytes())
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default()
 }
--- a/crates/console/src/input.rs
+++ b/crates/console/src/input.rs
@@ -12,7 +12,7 @@
 use crate::draft::Zone;
 
 /// What a posted form holds: names and values in their order.
-pub type Pairs = Vec<(String, String)>;
+pub type FormPairs = Vec<(String, String)>;
 
 /// The value of the first pair of this name.
 pub fn value<'a>(pairs: &'a [(String, String)], name: &str) -> Option<&'a str> {
@@ -28,7 +28,7 @@
 
 impl Draft {
     /// Takes over the values of a posted form. What the form does not hold stays as it is.
-    pub fn take(&mut self, pairs: &Pairs) {
+    pub fn update(&mut self, pairs: &FormPairs) {
         for input in self.inputs() {
             if let Some(posted) = value(pairs, input.field.as_str()) {
                 posted.trim().clone_into(input.value);
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -10,7 +10,7 @@
 mod routes;
 mod server;
 mod session;
-mod text;
+mod yaml;
 
 pub use server::Error;
 pub use server::Options;
--- a/crates/console/src/page.rs
+++ b/crates/console/src/page.rs
@@ -12,16 +12,16 @@
 pub use form::VERSION_FIELD;
 pub use notice::notice;
 pub use overview::overview;
-pub use review::list;
+pub use review::difference_list;
+pub use review::recovery_options;
 pub use review::review;
-pub use review::ways_on;
 pub use service::service;
 pub use zones::zones;
 
 use config::FieldPath;
 use config::Problem;
 
-use crate::session::Check;
+use crate::session::CheckResult;
 use crate::session::Session;
 
 /// The path of the overview.
@@ -40,7 +40,7 @@
 pub const STYLE: &str = "/style.css";
 
 /// The value of the button that keeps the draft when the platform's document is loaded anew.
-pub const KEEP: &str = "keep";
+pub const KEEP_DRAFT: &str = "keep";
 
 /// The path of a service's page.
 pub fn service_path(index: usize) -> String {
@@ -53,7 +53,7 @@
     /// What the console works on.
     pub session: &'a Session,
     /// What the checks say of it.
-    pub check: Check,
+    pub check: CheckResult,
     /// The token that forms carry.
     pub token: &'a str,
 }
@@ -62,41 +62,43 @@
     /// The problems, but for what is just left open yet.
     fn problems(&self) -> impl Iterator<Item = &Problem> {
         let change = crate::draft::change_field();
-        let open = self.session.is_change_open();
+        let open = self.session.is_change_blank();
         let problems = self.check.problems.iter();
-        problems.filter(move |problem| !(open && lies_in(&problem.field, &change)))
+        problems.filter(move |problem| !(open && is_within(&problem.field, &change)))
     }
 
     /// The problems that stand at this very field.
-    fn at<'a>(&'a self, field: &'a FieldPath) -> impl Iterator<Item = &'a Problem> {
+    fn problems_at<'a>(&'a self, field: &'a FieldPath) -> impl Iterator<Item = &'a Problem> {
         self.problems().filter(move |problem| &problem.field == field)
     }
 
     /// How many problems stand at this field or below it.
-    fn below(&self, field: &FieldPath) -> usize {
-        self.problems().filter(|problem| lies_in(&problem.field, field)).count()
+    fn count_problems_within(&self, field: &FieldPath) -> usize {
+        self.problems()
+            .filter(|problem| is_within(&problem.field, field))
+            .count()
     }
 }
 
-fn lies_in(field: &FieldPath, owner: &FieldPath) -> bool {
-    let Some(rest) = field.as_str().strip_prefix(owner.as_str()) else {
+fn is_within(field: &FieldPath, parent: &FieldPath) -> bool {
+    let Some(rest) = field.as_str().strip_prefix(parent.as_str()) else {
         return false;
     };
     rest.is_empty() || rest.starts_with('.') || rest.starts_with('[')
 }
 
 /// The page on which a problem is mended, and the input's place on it.
-fn place(problem: &Problem, services: usize) -> String {
+fn problem_link(problem: &Problem, services: usize) -> String {
     let field = &problem.field;
     for index in 0..services {
-        if lies_in(field, &crate::draft::service_field(index)) {
+        if is_within(field, &crate::draft::service_field(index)) {
             return format!("{}#{field}", service_path(index));
         }
     }
-    if lies_in(field, &crate::draft::zones_field()) {
+    if is_within(field, &crate::draft::zones_field()) {
         return format!("{ZONES}#{field}");
     }
-    if lies_in(field, &crate::draft::change_field()) {
+    if is_within(field, &crate::draft::change_field()) {
         return format!("{REVIEW}#{field}");
     }
     OVERVIEW.to_owned()
--- a/crates/console/src/page/form.rs
+++ b/crates/console/src/page/form.rs
@@ -26,7 +26,7 @@
 }
 
 /// A line of text with a visible label.
-pub fn labelled(view: &View<'_>, field: &FieldPath, label: &str, hint: &str, value: &str) -> Markup {
+pub fn labelled_text(view: &View<'_>, field: &FieldPath, label: &str, hint: &str, value: &str) -> Markup {
     html! {
         div.line {
             label for=(field) { (label) }
@@ -38,11 +38,11 @@
 
 /// A line of text whose label is the heading of its column.
 pub fn text(view: &View<'_>, field: &FieldPath, label: &str, value: &str) -> Markup {
-    let faulty = view.at(field).next().is_some();
+    let invalid = view.problems_at(field).next().is_some();
     html! {
         input type="text" id=(field) name=(field) value=(value) aria-label=(label) spellcheck="false"
-            aria-invalid=[faulty.then_some("true")] aria-describedby=[faulty.then(|| note_id(field))];
-        (faults(view, field))
+            aria-invalid=[invalid.then_some("true")] aria-describedby=[invalid.then(|| problems_id(field))];
+        (field_problems(view, field))
     }
 }
 
@@ -67,27 +67,27 @@
 
 /// A choice whose label is the heading of its column. A value that is none of the choices stays, as a further one.
 pub fn choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
-    let faulty = view.at(field).next().is_some();
+    let invalid = view.problems_at(field).next().is_some();
     let known = choices.iter().any(|choice| choice.value == value);
     html! {
         select id=(field) name=(field) aria-label=(label)
-            aria-invalid=[faulty.then_some("true")] aria-describedby=[faulty.then(|| note_id(field))] {
+            aria-invalid=[invalid.then_some("true")] aria-describedby=[invalid.then(|| problems_id(field))] {
             @if !known { option value=(value) selected { (value) } }
             @for choice in choices {
                 option value=(choice.value) selected[choice.value == value] { (choice.text) }
             }
         }
-        (faults(view, field))
+        (field_problems(view, field))
     }
 }
 
 /// The problems that stand at a field.
-pub fn faults(view: &View<'_>, field: &FieldPath) -> Markup {
-    let faults: Vec<_> = view.at(field).collect();
+pub fn field_problems(view: &View<'_>, field: &FieldPath) -> Markup {
+    let problems: Vec<_> = view.problems_at(field).collect();
     html! {
-        @if !faults.is_empty() {
-            ul.faults id=(note_id(field)) {
-                @for problem in faults { li { (problem.kind) } }
+        @if !problems.is_empty() {
+            ul.faults id=(problems_id(field)) {
+                @for problem in problems { li { (problem.kind) } }
             }
         }
     }
@@ -110,6 +110,6 @@
     }
 }
 
-fn note_id(field: &FieldPath) -> String {
+fn problems_id(field: &FieldPath) -> String {
     format!("{field}.faults")
 }
--- a/crates/console/src/page/layout.rs
+++ b/crates/console/src/page/layout.rs
@@ -9,13 +9,13 @@
 use super::STYLE;
 use super::View;
 use super::ZONES;
-use super::place;
+use super::problem_link;
 use super::service_path;
 
 /// A page with its navigation and the state of the draft.
 pub fn page(view: &View<'_>, current: &str, title: &str, content: &Markup) -> Markup {
     let services = view.session.draft.services.iter().enumerate();
-    frame(
+    bare_page(
         title,
         &html! {
             header {
@@ -23,11 +23,11 @@
                     (link(OVERVIEW, "Overview", current))
                     (link(ZONES, "Zones", current))
                     @for (index, service) in services {
-                        (link(&service_path(index), label(&service.name), current))
+                        (link(&service_path(index), service_label(&service.name), current))
                     }
                     (link(REVIEW, "Review and apply", current))
                 }
-                p role="status" { (state(view)) }
+                p role="status" { (draft_status(view)) }
             }
             main {
                 h1 { (title) }
@@ -38,7 +38,7 @@
 }
 
 /// A page without navigation.
-pub fn frame(title: &str, body: &Markup) -> Markup {
+pub fn bare_page(title: &str, body: &Markup) -> Markup {
     html! {
         (DOCTYPE)
         html lang="en" {
@@ -54,7 +54,7 @@
 }
 
 /// What a service without a name is called.
-pub fn label(name: &str) -> &str {
+pub fn service_label(name: &str) -> &str {
     if name.is_empty() { "(no name)" } else { name }
 }
 
@@ -67,7 +67,7 @@
             h2 { "Problems" }
             ul.faults {
                 @for problem in problems {
-                    li { a href=(place(problem, services)) { (problem.field) } ": " (problem.kind) }
+                    li { a href=(problem_link(problem, services)) { (problem.field) } ": " (problem.kind) }
                 }
             }
         }
@@ -80,20 +80,20 @@
     }
 }
 
-fn state(view: &View<'_>) -> Markup {
-    let from = view.session.from();
+fn draft_status(view: &View<'_>) -> Markup {
+    let from = view.session.base_revision();
     let problems = view.problems().count();
     let differences = view.check.differences.as_ref().map(Vec::len);
     html! {
         @match differences {
-            None => { strong { (counted(problems, "problem")) } " in the draft made from revision " (from) "." }
+            None => { strong { (pluralise(problems, "problem")) } " in the draft made from revision " (from) "." }
             Some(0) => { "The draft is the same as revision " (from) "." }
-            Some(count) => { (counted(count, "difference")) " from revision " (from) "." }
+            Some(count) => { (pluralise(count, "difference")) " from revision " (from) "." }
         }
     }
 }
 
-fn counted(count: usize, noun: &str) -> String {
+fn pluralise(count: usize, noun: &str) -> String {
     let plural = if count == 1 { "" } else { "s" };
     format!("{count} {noun}{plural}")
 }
--- a/crates/console/src/page/notice.rs
+++ b/crates/console/src/page/notice.rs
@@ -16,5 +16,5 @@
             p { a href=(OVERVIEW) { "Overview" } }
         }
     };
-    layout::frame(title, &content)
+    layout::bare_page(title, &content)
 }
--- a/crates/console/src/page/overview.rs
+++ b/crates/console/src/page/overview.rs
@@ -25,18 +25,18 @@
             thead { tr { th { "Service" } th { "Addresses" } th { "Kinds" } th { "Upstreams" } th { "Problems" } th { "" } } }
             tbody {
                 @for (index, service) in services.iter().enumerate() {
-                    (row(view, index, service))
+                    (service_row(view, index, service))
                 }
             }
         }
-        (form::faults(view, &list))
+        (form::field_problems(view, &list))
         (form::add(&list, "Add service"))
     };
     let restart = html! {
         button name=(BUTTON_FIELD) value="drop" { "Drop the draft, and load the platform's document" }
     };
     let content = html! {
-        (in_force(view.session.base.as_ref()))
+        (base_summary(view.session.base.as_ref()))
         h2 { "Draft" }
         (form::form(view, OVERVIEW, &table))
         (layout::problems(view))
@@ -46,7 +46,7 @@
     layout::page(view, OVERVIEW, "Configuration", &content)
 }
 
-fn in_force(base: Option<&Document>) -> Markup {
+fn base_summary(base: Option<&Document>) -> Markup {
     html! {
         @match base {
             None => p { "The platform holds no document yet." }
@@ -63,16 +63,16 @@
     }
 }
 
-fn row(view: &View<'_>, index: usize, service: &Service) -> Markup {
+fn service_row(view: &View<'_>, index: usize, service: &Service) -> Markup {
     let item = draft::service_field(index);
-    let name = layout::label(&service.name);
+    let name = layout::service_label(&service.name);
     html! {
         tr {
             th scope="row" { a href=(service_path(index)) { (name) } }
             td { (service.addresses.join(", ")) }
             td { (service.kinds.len()) }
             td { (service.upstreams.len()) }
-            td { (view.below(&item)) }
+            td { (view.count_problems_within(&item)) }
             td { (form::remove(&item, name)) }
         }
     }
--- a/crates/console/src/page/review.rs
+++ b/crates/console/src/page/review.rs
@@ -7,7 +7,7 @@
 use crate::draft;
 
 use super::APPLY;
-use super::KEEP;
+use super::KEEP_DRAFT;
 use super::RESTART;
 use super::REVIEW;
 use super::View;
@@ -17,12 +17,12 @@
 
 /// The page that shows what would change.
 pub fn review(view: &View<'_>) -> Markup {
-    let from = view.session.from();
+    let from = view.session.base_revision();
     let to = from.next();
     let content = html! {
         h2 { "What changes from revision " (from) " to revision " (to) }
         @match &view.check.differences {
-            Some(differences) => (list(differences))
+            Some(differences) => (difference_list(differences))
             None => p { "The draft has problems, so it cannot be compared or applied yet." }
         }
         (layout::problems(view))
@@ -35,7 +35,7 @@
 }
 
 /// Lists differences.
-pub fn list(differences: &[Difference]) -> Markup {
+pub fn difference_list(differences: &[Difference]) -> Markup {
     html! {
         @if differences.is_empty() {
             p { "Nothing differs." }
@@ -46,10 +46,10 @@
 }
 
 /// How to go on after a refusal: the draft is kept in any case, until the operator drops it.
-pub fn ways_on(view: &View<'_>) -> Markup {
+pub fn recovery_options(view: &View<'_>) -> Markup {
     let content = html! {
         p { a href=(REVIEW) { "Back to the draft, to apply it again" } }
-        button name=(BUTTON_FIELD) value=(KEEP) { "Keep the draft, and review it against the platform's document" }
+        button name=(BUTTON_FIELD) value=(KEEP_DRAFT) { "Keep the draft, and review it against the platform's document" }
         " "
         button name=(BUTTON_FIELD) value="drop" { "Drop the draft, and start from the platform's document" }
     };
@@ -67,14 +67,14 @@
     let content = html! {
         fieldset id=(at) {
             legend { "Who changes it, and why" }
-            (form::labelled(view, &at.member("author"), "Author", "", &change.author))
-            (form::labelled(view, &at.member("approver"), "Approver", "somebody else", &change.approver))
-            (form::labelled(view, &at.member("reason"), "Reason", "", &change.reason))
+            (form::labelled_text(view, &at.member("author"), "Author", "", &change.author))
+            (form::labelled_text(view, &at.member("approver"), "Approver", "somebody else", &change.approver))
+            (form::labelled_text(view, &at.member("reason"), "Reason", "", &change.reason))
         }
         (form::save())
         @if changes {
             button.apply formaction=(APPLY) name=(BUTTON_FIELD) value="apply" {
-                "Apply as revision " (view.session.from().next())
+                "Apply as revision " (view.session.base_revision().next())
             }
         }
     };
--- a/crates/console/src/page/service.rs
+++ b/crates/console/src/page/service.rs
@@ -27,7 +27,7 @@
     },
 ];
 
-const FLAGS: [Choice<'static>; 2] = [
+const BOOLEANS: [Choice<'static>; 2] = [
     Choice {
         value: "true",
         text: "Yes",
@@ -38,7 +38,7 @@
     },
 ];
 
-const STATES: [Choice<'static>; 2] = [
+const UPSTREAM_STATES: [Choice<'static>; 2] = [
     Choice {
         value: "active",
         text: "Active",
@@ -53,11 +53,11 @@
 pub fn service(view: &View<'_>, index: usize, service: &Service) -> Markup {
     let at = draft::service_field(index);
     let path = service_path(index);
-    let title = format!("Service {}", layout::label(&service.name));
+    let title = format!("Service {}", layout::service_label(&service.name));
     let content = html! {
         (form::save())
-        (form::faults(view, &at))
-        (form::labelled(view, &at.member("name"), "Name", "", &service.name))
+        (form::field_problems(view, &at))
+        (form::labelled_text(view, &at.member("name"), "Name", "", &service.name))
         (addresses(view, &at.member("addresses"), &service.addresses))
         (sharing(view, &at.member("sharing"), &service.sharing))
         (kinds(view, &at.member("kinds"), &service.kinds))
@@ -85,7 +85,7 @@
                     }
                 }
             }
-            (form::faults(view, list))
+            (form::field_problems(view, list))
             (form::add(list, "Add address"))
         }
     }
@@ -102,10 +102,10 @@
         fieldset id=(at) {
             legend { "Sharing" }
             (form::labelled_choice(view, &affinity, "Affinity", &AFFINITIES, &sharing.affinity))
-            (form::labelled_choice(view, &local, "Prefer the local zone", &FLAGS, &sharing.prefer_local_zone))
-            (form::labelled(view, &queue, "Queue limit", "requests that wait at most", &sharing.queue_limit))
-            (form::labelled(view, &retries, "Retry budget", "percent of successes", &sharing.retry_budget_percent))
-            (form::labelled(view, &slow_start, "Slow start", "milliseconds", &sharing.slow_start_ms))
+            (form::labelled_choice(view, &local, "Prefer the local zone", &BOOLEANS, &sharing.prefer_local_zone))
+            (form::labelled_text(view, &queue, "Queue limit", "requests that wait at most", &sharing.queue_limit))
+            (form::labelled_text(view, &retries, "Retry budget", "percent of successes", &sharing.retry_budget_percent))
+            (form::labelled_text(view, &slow_start, "Slow start", "milliseconds", &sharing.slow_start_ms))
         }
     }
 }
@@ -122,13 +122,13 @@
                         tr id=(item) {
                             td { (form::text(view, &item.member("name"), "Name", &kind.name)) }
                             td { (form::text(view, &item.member("weight"), "Weight", &kind.weight)) }
-                            td { (form::choice(view, &item.member("idempotent"), "Idempotent", &FLAGS, &kind.idempotent)) }
+                            td { (form::choice(view, &item.member("idempotent"), "Idempotent", &BOOLEANS, &kind.idempotent)) }
                             td { (form::remove(&item, &kind.name)) }
                         }
                     }
                 }
             }
-            (form::faults(view, list))
+            (form::field_problems(view, list))
             (form::add(list, "Add kind"))
         }
     }
@@ -147,7 +147,7 @@
                     }
                 }
             }
-            (form::faults(view, list))
+            (form::field_problems(view, list))
             (form::add(list, "Add upstream"))
         }
     }
@@ -160,7 +160,7 @@
             td { (form::choice(view, &item.member("zone"), "Zone", zones, &upstream.zone)) }
             td { (form::text(view, &item.member("address"), "Address", &upstream.address)) }
             td { (form::text(view, &item.member("slots"), "Slots", &upstream.slots)) }
-            td { (form::choice(view, &item.member("state"), "State", &STATES, &upstream.state)) }
+            td { (form::choice(view, &item.member("state"), "State", &UPSTREAM_STATES, &upstream.state)) }
             td { (form::remove(item, &upstream.name)) }
         }
     }
--- a/crates/console/src/page/zones.rs
+++ b/crates/console/src/page/zones.rs
@@ -29,7 +29,7 @@
                 }
             }
         }
-        (form::faults(view, &list))
+        (form::field_problems(view, &list))
         (form::add(&list, "Add zone"))
     };
     let content = html! {
--- a/crates/console/src/routes.rs
+++ b/crates/console/src/routes.rs
@@ -1,7 +1,7 @@
 //! The console over HTTP: which request shows or changes what.
 
-mod answer;
-mod guarded;
+mod access;
+mod response;
 
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 use crate::page::BUTTON_FIELD;
 use crate::page::VERSION_FIELD;
 use crate::page::View;
-use crate::routes::guarded::Posted;
+use crate::routes::access::VerifiedForm;
 use crate::session;
 use crate::session::Button;
 use crate::session::Session;
@@ -61,7 +61,7 @@
     }
 }
 
-type Shared = State<Arc<Console>>;
+type ConsoleState = State<Arc<Console>>;
 
 /// The routes of a console.
 pub fn routes(console: Arc<Console>) -> Router {
@@ -73,115 +73,121 @@
         .route(page::APPLY, post(apply_draft))
         .route(page::RESTART, post(restart))
         .route(page::TEXT, get(text))
-        .layer(middleware::from_fn_with_state(Arc::clone(&console), guarded::cookie))
-        .route(page::STYLE, get(answer::style))
-        .route("/enter", get(guarded::enter))
-        .fallback(answer::missing)
-        .layer(middleware::from_fn_with_state(Arc::clone(&console), guarded::site))
+        .layer(middleware::from_fn_with_state(
+            Arc::clone(&console),
+            access::require_cookie,
+        ))
+        .route(page::STYLE, get(response::style))
+        .route("/enter", get(access::enter))
+        .fallback(response::not_found)
+        .layer(middleware::from_fn_with_state(
+            Arc::clone(&console),
+            access::require_same_site,
+        ))
         .layer(DefaultBodyLimit::max(MAX_FORM_LEN))
         .with_state(console)
 }
 
-async fn overview(State(console): Shared) -> Response {
+async fn overview(State(console): ConsoleState) -> Response {
     let session = console.session.lock().await;
-    answer::page(&page::overview(&console.view(&session)))
+    response::page(&page::overview(&console.view(&session)))
 }
 
-async fn zones(State(console): Shared) -> Response {
+async fn zones(State(console): ConsoleState) -> Response {
     let session = console.session.lock().await;
-    answer::page(&page::zones(&console.view(&session)))
+    response::page(&page::zones(&console.view(&session)))
 }
 
-async fn review(State(console): Shared) -> Response {
+async fn review(State(console): ConsoleState) -> Response {
     let session = console.session.lock().await;
-    answer::page(&page::review(&console.view(&session)))
+    response::page(&page::review(&console.view(&session)))
 }
 
-async fn service(State(console): Shared, Path(index): Path<usize>) -> Response {
+async fn service(State(console): ConsoleState, Path(index): Path<usize>) -> Response {
     let session = console.session.lock().await;
     let Some(service) = session.draft.services.get(index) else {
-        return answer::missing().await.into_response();
+        return response::not_found().await.into_response();
     };
-    answer::page(&page::service(&console.view(&session), index, service))
+    response::page(&page::service(&console.view(&session), index, service))
 }
 
-async fn text(State(console): Shared) -> Response {
+async fn text(State(console): ConsoleState) -> Response {
     let session = console.session.lock().await;
-    answer::text(session.check().text)
+    response::text(session.check().text)
 }
 
 /// A new service is shown at once.
-async fn edit_services(State(console): Shared, posted: Posted) -> Response {
+async fn edit_services(State(console): ConsoleState, form: VerifiedForm) -> Response {
     let mut session = console.session.lock().await;
     let before = session.draft.services.len();
-    if let Err(Outdated) = edit(&mut session, &posted) {
-        return answer::outdated();
+    if let Err(StaleForm) = edit(&mut session, &form) {
+        return response::stale_form();
     }
     if session.draft.services.len() > before {
-        return answer::go_to(&page::service_path(before));
+        return response::redirect(&page::service_path(before));
     }
-    answer::go_to(page::OVERVIEW)
+    response::redirect(page::OVERVIEW)
 }
 
-async fn edit_zones(State(console): Shared, posted: Posted) -> Response {
-    edit_and_show(&console, &posted, page::ZONES).await
+async fn edit_zones(State(console): ConsoleState, form: VerifiedForm) -> Response {
+    edit_and_show(&console, &form, page::ZONES).await
 }
 
-async fn edit_service(State(console): Shared, Path(index): Path<usize>, posted: Posted) -> Response {
-    edit_and_show(&console, &posted, &page::service_path(index)).await
+async fn edit_service(State(console): ConsoleState, Path(index): Path<usize>, form: VerifiedForm) -> Response {
+    edit_and_show(&console, &form, &page::service_path(index)).await
 }
 
-async fn edit_change(State(console): Shared, posted: Posted) -> Response {
-    edit_and_show(&console, &posted, page::REVIEW).await
+async fn edit_change(State(console): ConsoleState, form: VerifiedForm) -> Response {
+    edit_and_show(&console, &form, page::REVIEW).await
 }
 
-async fn edit_and_show(console: &Console, posted: &Posted, path: &str) -> Response {
+async fn edit_and_show(console: &Console, form: &VerifiedForm, path: &str) -> Response {
     let mut session = console.session.lock().await;
-    match edit(&mut session, posted) {
-        Ok(()) => answer::go_to(path),
-        Err(Outdated) => answer::outdated(),
+    match edit(&mut session, form) {
+        Ok(()) => response::redirect(path),
+        Err(StaleForm) => response::stale_form(),
     }
 }
 
 /// The form shows an older draft, whose paths may mean something else by now.
-struct Outdated;
+struct StaleForm;
 
 /// Takes over a form that shows the draft as it is.
-fn edit(session: &mut Session, posted: &Posted) -> Result<(), Outdated> {
-    let shown = input::value(&posted.0, VERSION_FIELD);
-    if shown != Some(session.version.to_string().as_str()) {
-        return Err(Outdated);
+fn edit(session: &mut Session, form: &VerifiedForm) -> Result<(), StaleForm> {
+    let form_version = input::value(&form.0, VERSION_FIELD);
+    if form_version != Some(session.version.to_string().as_str()) {
+        return Err(StaleForm);
     }
-    let button = input::value(&posted.0, BUTTON_FIELD).unwrap_or_default();
-    session.edit(&posted.0, Button::from(button));
+    let button = input::value(&form.0, BUTTON_FIELD).unwrap_or_default();
+    session.edit(&form.0, Button::from(button));
     Ok(())
 }
 
 /// Applies the draft, to its end even if the browser hangs up: a write that is cut off could take effect all the
 /// same, and its author would then be told that somebody else came first.
-async fn apply_draft(State(console): Shared, posted: Posted) -> Response {
-    let applying = tokio::spawn(async move { apply_locked(&console, &posted).await });
-    let applied = applying.await;
+async fn apply_draft(State(console): ConsoleState, form: VerifiedForm) -> Response {
+    let task = tokio::spawn(async move { apply_locked(&console, &form).await });
+    let applied = task.await;
     applied.unwrap_or_else(|_| StatusCode::INTERNAL_SERVER_ERROR.into_response())
 }
 
 /// Applies the draft. The session stays locked, so that what is applied is what was shown.
-async fn apply_locked(console: &Console, posted: &Posted) -> Response {
+async fn apply_locked(console: &Console, form: &VerifiedForm) -> Response {
     let mut session = console.session.lock().await;
-    if let Err(Outdated) = edit(&mut session, posted) {
-        return answer::outdated();
+    if let Err(StaleForm) = edit(&mut session, form) {
+        return response::stale_form();
     }
-    session.tried = true;
+    session.apply_attempted = true;
     let Some(document) = session.check().document else {
-        return answer::go_to(page::REVIEW);
+        return response::redirect(page::REVIEW);
     };
-    match carry_out(console, &session, document).await {
+    match plan_and_apply(console, &session, document).await {
         Ok(applied) => {
-            let told = answer::applied(&applied.document, &applied.differences, applied.read_back);
+            let response = response::applied(&applied.document, &applied.differences, applied.read_back);
             session.restart(Some(applied.document));
-            told
+            response
         }
-        Err(refusal) => answer::refused(&console.view(&session), &refusal),
+        Err(refusal) => response::apply_refused(&console.view(&session), &refusal),
     }
 }
 
@@ -192,8 +198,8 @@
     read_back: bool,
 }
 
-async fn carry_out(console: &Console, session: &Session, document: config::Document) -> Result<Applied, Refusal> {
-    let plan = apply::plan(&console.client, session.from(), document).await?;
+async fn plan_and_apply(console: &Console, session: &Session, document: config::Document) -> Result<Applied, Refusal> {
+    let plan = apply::plan(&console.client, session.base_revision(), document).await?;
     let applied = apply::apply(&console.client, &plan, RetryPolicy::default()).await?;
     log::info!("console: revision {} applied", applied.revision);
     Ok(Applied {
@@ -204,16 +210,16 @@
 }
 
 /// Loads the platform's document anew. The draft is dropped, unless it is to be reviewed against that document.
-async fn restart(State(console): Shared, posted: Posted) -> Response {
+async fn restart(State(console): ConsoleState, form: VerifiedForm) -> Response {
     let mut session = console.session.lock().await;
     let base = match session::load(&console.client).await {
         Ok(base) => base,
-        Err(error) => return answer::unloaded(&error),
+        Err(error) => return response::load_failed(&error),
     };
-    if input::value(&posted.0, BUTTON_FIELD) == Some(page::KEEP) {
+    if input::value(&form.0, BUTTON_FIELD) == Some(page::KEEP_DRAFT) {
         session.rebase(base);
-        return answer::go_to(page::REVIEW);
+        return response::redirect(page::REVIEW);
     }
     session.restart(base);
-    answer::go_to(page::OVERVIEW)
+    response::redirect(page::OVERVIEW)
 }
--- a/crates/console/src/routes/guarded.rs
+++ b/crates/console/src/routes/access.rs
@@ -17,12 +17,12 @@
 use axum::response::IntoResponse;
 use axum::response::Response;
 
-use crate::guard::Intrusion;
+use crate::guard::AccessError;
 use crate::input;
-use crate::input::Pairs;
+use crate::input::FormPairs;
 
 use super::Console;
-use super::answer;
+use super::response;
 
 /// What every answer tells the browser: load nothing from elsewhere, run no script, be framed by nobody, keep nothing.
 const HEADERS: [(HeaderName, &str); 4] = [
@@ -36,10 +36,10 @@
 ];
 
 /// Refuses requests from other sites.
-pub async fn site(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
-    let mut response = match console.guard.check_site(request.method(), request.headers()) {
+pub async fn require_same_site(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
+    let mut response = match console.guard.check_host_and_origin(request.method(), request.headers()) {
         Ok(()) => next.run(request).await,
-        Err(intrusion) => refuse(intrusion),
+        Err(error) => reject(error),
     };
     for (name, value) in HEADERS {
         response.headers_mut().insert(name, HeaderValue::from_static(value));
@@ -48,38 +48,38 @@
 }
 
 /// Refuses requests of who has not entered.
-pub async fn cookie(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
+pub async fn require_cookie(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
     match console.guard.check_cookie(request.headers()) {
         Ok(()) => next.run(request).await,
-        Err(intrusion) => refuse(intrusion),
+        Err(error) => reject(error),
     }
 }
 
 /// Lets in who knows the key.
-pub async fn enter(State(console): State<Arc<Console>>, Query(pairs): Query<Pairs>) -> Response {
+pub async fn enter(State(console): State<Arc<Console>>, Query(pairs): Query<FormPairs>) -> Response {
     let key = input::value(&pairs, "key").unwrap_or_default();
     match console.guard.enter(key) {
-        Ok(cookie) => answer::entered(&cookie),
-        Err(intrusion) => refuse(intrusion),
+        Ok(cookie) => response::entered(&cookie),
+        Err(error) => reject(error),
     }
 }
 
 /// A form that this console made.
 #[derive(Debug)]
-pub struct Posted(pub Pairs);
+pub struct VerifiedForm(pub FormPairs);
 
-impl FromRequest<Arc<Console>> for Posted {
+impl FromRequest<Arc<Console>> for VerifiedForm {
     type Rejection = Response;
 
     async fn from_request(request: Request, console: &Arc<Console>) -> Result<Self, Response> {
-        let form = Form::<Pairs>::from_request(request, console).await;
+        let form = Form::<FormPairs>::from_request(request, console).await;
         let Form(pairs) = form.map_err(IntoResponse::into_response)?;
-        console.guard.check_form(&pairs).map_err(refuse)?;
+        console.guard.check_form(&pairs).map_err(reject)?;
         Ok(Self(pairs))
     }
 }
 
-fn refuse(intrusion: Intrusion) -> Response {
-    log::warn!("console: refused, {intrusion}");
-    answer::forbidden(intrusion)
+fn reject(error: AccessError) -> Response {
+    log::warn!("console: refused, {error}");
+    response::forbidden(error)
 }
--- a/crates/console/src/routes/answer.rs
+++ b/crates/console/src/routes/response.rs
@@ -13,7 +13,7 @@
 use maud::Markup;
 use maud::html;
 
-use crate::guard::Intrusion;
+use crate::guard::AccessError;
 use crate::page;
 use crate::page::View;
 use crate::session::LoadError;
@@ -36,7 +36,7 @@
 }
 
 /// Sends the browser on, so that reloading a page never posts a form again.
-pub fn go_to(path: &str) -> Response {
+pub fn redirect(path: &str) -> Response {
     Redirect::to(path).into_response()
 }
 
@@ -46,12 +46,12 @@
 }
 
 /// Keeps somebody out.
-pub fn forbidden(intrusion: Intrusion) -> Response {
-    notice(StatusCode::FORBIDDEN, "Refused", &intrusion.to_string(), &html! {})
+pub fn forbidden(error: AccessError) -> Response {
+    notice(StatusCode::FORBIDDEN, "Refused", &error.to_string(), &html! {})
 }
 
 /// There is no such page.
-pub async fn missing() -> Response {
+pub async fn not_found() -> Response {
     notice(
         StatusCode::NOT_FOUND,
         "No such page",
@@ -61,14 +61,14 @@
 }
 
 /// The form shows an older draft.
-pub fn outdated() -> Response {
+pub fn stale_form() -> Response {
     let text = "The draft was changed in another window after this form was shown.\n\
                 Nothing of the form was taken. Go back to read what you typed, and reload the page to see the draft.";
     notice(StatusCode::CONFLICT, "The form is out of date", text, &html! {})
 }
 
 /// The platform's document could not be loaded.
-pub fn unloaded(error: &LoadError) -> Response {
+pub fn load_failed(error: &LoadError) -> Response {
     let text = format!("{error}\nThe draft is kept.");
     notice(
         StatusCode::BAD_GATEWAY,
@@ -81,25 +81,25 @@
 /// The draft came into force.
 pub fn applied(document: &Document, differences: &[Difference], read_back: bool) -> Response {
     let revision = document.revision;
-    let words = if read_back {
+    let outcome = if read_back {
         "came into force at the platform, as was read back after the answer was lost."
     } else {
         "is in force at the platform."
     };
     let more = html! {
         p { "Digest " code { (document.digest) } }
-        (page::list(differences))
+        (page::difference_list(differences))
     };
     notice(
         StatusCode::OK,
         "Applied",
-        &format!("Revision {revision} {words}"),
+        &format!("Revision {revision} {outcome}"),
         &more,
     )
 }
 
 /// The draft was not applied, or whether it was is not known.
-pub fn refused(view: &View<'_>, refusal: &Refusal) -> Response {
+pub fn apply_refused(view: &View<'_>, refusal: &Refusal) -> Response {
     let status = match refusal {
         Refusal::WrongRevision { .. } | Refusal::UnknownRevision { .. } | Refusal::Conflict(_) => StatusCode::CONFLICT,
         Refusal::Platform(_) | Refusal::InDoubt { .. } => StatusCode::BAD_GATEWAY,
@@ -108,7 +108,7 @@
         Refusal::InDoubt { .. } => "Not known whether it was applied",
         _ => "Not applied",
     };
-    notice(status, title, &refusal.to_string(), &page::ways_on(view))
+    notice(status, title, &refusal.to_string(), &page::recovery_options(view))
 }
 
 fn notice(status: StatusCode, title: &str, text: &str, more: &Markup) -> Response {
--- a/crates/console/src/server.rs
+++ b/crates/console/src/server.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub enum Error {
     /// The address is reached from other machines.
-    Exposed(SocketAddr),
+    NotLoopback(SocketAddr),
     /// The address cannot be listened on.
     Listen(io::Error),
     /// The document could not be loaded.
@@ -38,7 +38,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Exposed(address) => write!(f, "the console listens on loopback only, and {address} is not"),
+            Self::NotLoopback(address) => write!(f, "the console listens on loopback only, and {address} is not"),
             Self::Listen(error) => write!(f, "the console cannot listen: {error}"),
             Self::Load(error) => error.fmt(f),
         }
@@ -67,13 +67,13 @@
     /// Loads the document and listens.
     pub async fn bind(options: Options) -> Result<Self, Error> {
         if !options.address.ip().is_loopback() {
-            return Err(Error::Exposed(options.address));
+            return Err(Error::NotLoopback(options.address));
         }
         let base = session::load(&options.platform).await.map_err(Error::Load)?;
         let listener = TcpListener::bind(options.address).await.map_err(Error::Listen)?;
         let address = listener.local_addr().map_err(Error::Listen)?;
         let guard = Guard::new(address.port());
-        let url = guard.entrance(address);
+        let url = guard.entry_url(address);
         let console = Console::new(options.platform, guard, Session::new(base));
         Ok(Self {
             listener,
--- a/crates/console/src/session.rs
+++ b/crates/console/src/session.rs
@@ -10,8 +10,8 @@
 
 use crate::draft::Change;
 use crate::draft::Draft;
-use crate::input::Pairs;
-use crate::text;
+use crate::input::FormPairs;
+use crate::yaml;
 
 /// Why a session could not begin.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,11 +41,11 @@
 
 /// The document that is in force at the platform, if there is one.
 pub async fn load(client: &Client) -> Result<Option<Document>, LoadError> {
-    let held = client.document().await.map_err(LoadError::Platform)?;
-    let Some(held) = held else {
+    let stored = client.document().await.map_err(LoadError::Platform)?;
+    let Some(stored) = stored else {
         return Ok(None);
     };
-    let document = config::parse(&held.text).map_err(|problems| LoadError::Invalid(held.revision, problems))?;
+    let document = config::parse(&stored.text).map_err(|problems| LoadError::Invalid(stored.revision, problems))?;
     Ok(Some(document))
 }
 
@@ -59,12 +59,12 @@
     /// Counts the changes of the draft, so that a page that shows an older one is found out.
     pub version: u64,
     /// Whether it was tried to apply the draft, so that a missing author is a problem and not just left open yet.
-    pub tried: bool,
+    pub apply_attempted: bool,
 }
 
 /// What the checks say of a draft.
 #[derive(Debug)]
-pub struct Check {
+pub struct CheckResult {
     /// The text.
     pub text: String,
     /// The document, if there is no problem.
@@ -83,12 +83,12 @@
             base,
             draft,
             version: 0,
-            tried: false,
+            apply_attempted: false,
         }
     }
 
     /// The revision that was reviewed, zero if there was no document.
-    pub fn from(&self) -> Revision {
+    pub fn base_revision(&self) -> Revision {
         self.base.as_ref().map_or(Revision(0), |base| base.revision)
     }
 
@@ -106,8 +106,8 @@
     }
 
     /// Takes over a posted form and then carries out the button that was pressed.
-    pub fn edit(&mut self, pairs: &Pairs, button: Button<'_>) {
-        self.draft.take(pairs);
+    pub fn edit(&mut self, pairs: &FormPairs, button: Button<'_>) {
+        self.draft.update(pairs);
         match button {
             Button::Save => {}
             Button::Add(path) => self.draft.add(path),
@@ -117,23 +117,23 @@
     }
 
     /// Whether who changes it and why is still left open.
-    pub fn is_change_open(&self) -> bool {
-        !self.tried && self.draft.change == Change::default()
+    pub fn is_change_blank(&self) -> bool {
+        !self.apply_attempted && self.draft.change == Change::default()
     }
 
     /// Checks the draft as `jayquay config check` does.
-    pub fn check(&self) -> Check {
-        let revision = self.from().next();
-        let text = text::write(&self.draft, revision);
+    pub fn check(&self) -> CheckResult {
+        let revision = self.base_revision().next();
+        let text = yaml::write(&self.draft, revision);
         let differences = self.differences(revision);
         match config::parse(&text) {
-            Ok(document) => Check {
+            Ok(document) => CheckResult {
                 text,
                 document: Some(document),
                 problems: Vec::new(),
                 differences,
             },
-            Err(problems) => Check {
+            Err(problems) => CheckResult {
                 text,
                 document: None,
                 problems,
@@ -150,7 +150,7 @@
             approver: "approver".to_owned(),
             reason: "reason".to_owned(),
         };
-        let document = config::parse(&text::write(&filled, revision)).ok()?;
+        let document = config::parse(&yaml::write(&filled, revision)).ok()?;
         let base = self.base.clone().map_or(apply::Base::Absent, apply::Base::Checked);
         Some(base.differences(&document))
     }
--- a/crates/console/src/text.rs
+++ b/crates/console/src/yaml.rs
@@ -48,17 +48,20 @@
         .map(|address| Quoted(address).to_string())
         .collect();
     let sharing = &service.sharing;
-    lines.push(format!("  - name: {}", Name(&service.name)));
+    lines.push(format!("  - name: {}", ScalarText(&service.name)));
     lines.push(format!("    addresses: [{}]", addresses.join(", ")));
     lines.push("    sharing:".to_owned());
-    lines.push(format!("      affinity: {}", Name(&sharing.affinity)));
-    lines.push(format!("      prefer-local-zone: {}", Flag(&sharing.prefer_local_zone)));
-    lines.push(format!("      queue-limit: {}", Number(&sharing.queue_limit)));
+    lines.push(format!("      affinity: {}", ScalarText(&sharing.affinity)));
+    lines.push(format!(
+        "      prefer-local-zone: {}",
+        BooleanText(&sharing.prefer_local_zone)
+    ));
+    lines.push(format!("      queue-limit: {}", NumberText(&sharing.queue_limit)));
     lines.push(format!(
         "      retry-budget-percent: {}",
-        Number(&sharing.retry_budget_percent)
+        NumberText(&sharing.retry_budget_percent)
     ));
-    lines.push(format!("      slow-start-ms: {}", Number(&sharing.slow_start_ms)));
+    lines.push(format!("      slow-start-ms: {}", NumberText(&sharing.slow_start_ms)));
     list("    ", "kinds", &service.kinds, kind, lines);
     list("    ", "upstreams", &service.upstreams, upstream, lines);
     lines.push(String::new());
@@ -77,7 +80,7 @@
 
 fn zone(zone: &Zone) -> String {
     let Zone { name, region } = zone;
-    format!("{{name: {}, region: {}}}", Name(name), Name(region))
+    format!("{{name: {}, region: {}}}", ScalarText(name), ScalarText(region))
 }
 
 fn kind(kind: &Kind) -> String {
@@ -88,18 +91,18 @@
     } = kind;
     format!(
         "{{name: {}, weight: {}, idempotent: {}}}",
-        Name(name),
-        Number(weight),
-        Flag(idempotent)
+        ScalarText(name),
+        NumberText(weight),
+        BooleanText(idempotent)
     )
 }
 
 fn upstream(upstream: &Upstream) -> String {
-    let name = Name(&upstream.name);
-    let zone = Name(&upstream.zone);
+    let name = ScalarText(&upstream.name);
+    let zone = ScalarText(&upstream.zone);
     let address = Quoted(&upstream.address);
-    let slots = Number(&upstream.slots);
-    let state = Name(&upstream.state);
+    let slots = NumberText(&upstream.slots);
+    let state = ScalarText(&upstream.state);
     format!("{{name: {name}, zone: {zone}, address: {address}, slots: {slots}, state: {state}}}")
 }
 
@@ -124,16 +127,16 @@
 }
 
 /// A name, in quotes if it could be taken for something else.
-struct Name<'a>(&'a str);
+struct ScalarText<'a>(&'a str);
 
-impl fmt::Display for Name<'_> {
+impl fmt::Display for ScalarText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = self.0.starts_with(|c: char| c.is_ascii_lowercase());
-        let plain = self
+        let starts_with_letter = self.0.starts_with(|c: char| c.is_ascii_lowercase());
+        let is_plain = self
             .0
             .bytes()
             .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        if word && plain && !matches!(self.0, "true" | "false" | "null") {
+        if starts_with_letter && is_plain && !matches!(self.0, "true" | "false" | "null") {
             return f.write_str(self.0);
         }
         Quoted(self.0).fmt(f)
@@ -141,9 +144,9 @@
 }
 
 /// A whole number, or else text that the checks refuse.
-struct Number<'a>(&'a str);
+struct NumberText<'a>(&'a str);
 
-impl fmt::Display for Number<'_> {
+impl fmt::Display for NumberText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.parse::<u64>() {
             Ok(number) => number.fmt(f),
@@ -153,9 +156,9 @@
 }
 
 /// `true` or `false`, or else text that the checks refuse.
-struct Flag<'a>(&'a str);
+struct BooleanText<'a>(&'a str);
 
-impl fmt::Display for Flag<'_> {
+impl fmt::Display for BooleanText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             "true" | "false" => f.write_str(self.0),
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -27,18 +27,18 @@
 }
 
 #[tokio::test]
-async fn forms_make_the_document_and_apply_it() {
+async fn forms_edit_and_apply_the_document() {
     let (handle, browser) = start().await;
     let slots = [
         ("services[0].upstreams[0].slots", "5"),
         ("services[0].sharing.affinity", "request"),
     ];
-    browser.press(SERVICE, SERVICE, "save", &slots).await;
-    let review = browser.press("/review", "/review", "save", &CHANGE).await;
+    browser.submit(SERVICE, SERVICE, "save", &slots).await;
+    let review = browser.submit("/review", "/review", "save", &CHANGE).await;
     assert_snapshot!(review.between("<ul class=\"differences\">", "</ul>"), @"<li>service availability: affinity changed from flow to request</li><li>upstream search-1: slots changed from 2 to 5</li>");
-    let applied = browser.press("/review", "/apply", "apply", &CHANGE).await;
+    let applied = browser.submit("/review", "/apply", "apply", &CHANGE).await;
     assert_eq!(applied.status, StatusCode::OK);
-    assert_snapshot!(applied.words(), @r"
+    assert_snapshot!(applied.main_text(), @r"
     Applied
     Revision 2 is in force at the platform.
     Digest
@@ -74,7 +74,7 @@
           - {name: search-1, zone: brugge, address: "10.2.0.1:8080", slots: 5, state: active}
           - {name: search-2, zone: brugge, address: "10.2.0.2:8080", slots: 2, state: draining}
     "#);
-    assert_snapshot!(browser.get("/").await.words(), @r"
+    assert_snapshot!(browser.get("/").await.main_text(), @r"
     Configuration
     Reviewed revision
     2
@@ -105,9 +105,9 @@
 }
 
 #[tokio::test]
-async fn a_draft_that_changes_nothing_is_the_same_document() {
+async fn unchanged_draft_equals_the_document() {
     let (_handle, browser) = start().await;
-    browser.press("/review", "/review", "save", &CHANGE).await;
+    browser.submit("/review", "/review", "save", &CHANGE).await;
     let before = config::parse(DOCUMENT).expect("the text is valid");
     let after = config::parse(&text(&browser).await).expect("the draft is valid");
     assert_eq!(before.services, after.services);
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn problems_are_shown_at_the_field_where_they_stand() {
+async fn problems_are_shown_at_their_field() {
     let (handle, browser) = start().await;
     let values = [
         ("services[0].name", "1 <b>"),
@@ -126,11 +126,11 @@
         ("services[0].upstreams[1].address", "10.2.0.1:8080"),
     ];
     let page = browser
-        .press(SERVICE, SERVICE, "add services[0].upstreams", &values)
+        .submit(SERVICE, SERVICE, "add services[0].upstreams", &values)
         .await;
     let fields = values.map(|(field, _)| field);
-    let faults = fields.map(|field| format!("{field}: {}", page.faults(field)));
-    assert_snapshot!(faults.join("\n"), @r"
+    let problems = fields.map(|field| format!("{field}: {}", page.problems(field)));
+    assert_snapshot!(problems.join("\n"), @r"
     services[0].name: a name starts with a lower-case letter
     services[0].addresses[0]: this must be an IP address with a port, such as &quot;10.1.0.1:4000&quot;
     services[0].sharing.queue-limit: this must be a whole number
@@ -140,13 +140,16 @@
     ");
     assert!(page.text.contains("value=\"1 &lt;b&gt;\""));
     assert!(!page.text.contains("1 <b>"));
-    assert_eq!(page.faults("services[0].upstreams[2].name"), "a name may not be empty");
-    let refused = browser.press("/review", "/apply", "apply", &[]).await;
     assert_eq!(
-        refused.faults("change.author"),
+        page.problems("services[0].upstreams[2].name"),
+        "a name may not be empty"
+    );
+    let refused = browser.submit("/review", "/apply", "apply", &[]).await;
+    assert_eq!(
+        refused.problems("change.author"),
         "this must have from 1 to 100 characters"
     );
-    assert_snapshot!(refused.words().lines().take(4).collect::<Vec<_>>().join("\n"), @r"
+    assert_snapshot!(refused.main_text().lines().take(4).collect::<Vec<_>>().join("\n"), @r"
     Review and apply
     What changes from revision 1 to revision 2
     The draft has problems, so it cannot be compared or applied yet.
@@ -165,14 +168,14 @@
 ];
 
 #[tokio::test]
-async fn no_value_leaks_into_another_field() {
+async fn values_are_escaped_and_affect_only_their_field() {
     let (_handle, browser) = start().await;
     let texts = [
         "\"", "#", "a: b", "- a", "*a", "&a", "!a", "~", "null", "true", "|", "{}", "\\", "a\nb", "\u{85}", "---", "é",
     ];
     for (field, valid) in UPSTREAM {
         for text in texts {
-            let page = browser.press(SERVICE, SERVICE, "save", &[(field, text)]).await;
+            let page = browser.submit(SERVICE, SERVICE, "save", &[(field, text)]).await;
             let listed = page.between("<h2>Problems</h2>", "</ul>");
             let is_name = field == UPSTREAM[0].0 && ["null", "true"].contains(&text);
             assert_eq!(
@@ -182,7 +185,7 @@
             );
             assert_eq!(listed.contains(&format!(">{field}</a>")), !is_name, "{field}: {text:?}");
         }
-        browser.press(SERVICE, SERVICE, "save", &[(field, valid)]).await;
+        browser.submit(SERVICE, SERVICE, "save", &[(field, valid)]).await;
     }
 }
 
@@ -190,12 +193,12 @@
 async fn items_are_added_and_removed() {
     let (_handle, browser) = start().await;
     browser
-        .press(SERVICE, SERVICE, "remove services[0].upstreams[0]", &[])
+        .submit(SERVICE, SERVICE, "remove services[0].upstreams[0]", &[])
         .await;
-    browser.press(SERVICE, SERVICE, "add services[0].kinds", &[]).await;
-    browser.press(SERVICE, SERVICE, "add services[0].addresses", &[]).await;
-    browser.press("/zones", "/zones", "add zones", &[]).await;
-    let added = browser.press("/", "/", "add services", &[]).await;
+    browser.submit(SERVICE, SERVICE, "add services[0].kinds", &[]).await;
+    browser.submit(SERVICE, SERVICE, "add services[0].addresses", &[]).await;
+    browser.submit("/zones", "/zones", "add zones", &[]).await;
+    let added = browser.submit("/", "/", "add services", &[]).await;
     assert!(added.text.contains("services[1].name"));
     assert_snapshot!(text(&browser).await, @r#"
     revision: 2
@@ -234,12 +237,12 @@
           - {name: "", weight: 1, idempotent: false}
         upstreams: []
     "#);
-    browser.press("/", "/", "remove services[0]", &[]).await;
+    browser.submit("/", "/", "remove services[0]", &[]).await;
     assert!(!text(&browser).await.contains("availability"));
 }
 
 #[tokio::test]
-async fn other_sites_and_other_users_are_kept_out() {
+async fn other_sites_and_other_users_are_rejected() {
     let (_handle, browser) = start().await;
     let token = browser.get("/").await.hidden("token");
     let own = Some(browser.origin.as_str());
@@ -253,15 +256,15 @@
     ] {
         assert_eq!(browser.forged("/", origin, token).await.status, StatusCode::FORBIDDEN);
     }
-    let stranger = fetch(browser.bare(Method::GET, "/")).await;
-    assert_eq!(stranger.status, StatusCode::FORBIDDEN);
+    let no_cookie = fetch(browser.plain_request(Method::GET, "/")).await;
+    assert_eq!(no_cookie.status, StatusCode::FORBIDDEN);
     let cookie = browser.wrong_cookie();
-    let impostor = fetch(browser.bare(Method::GET, "/").header(COOKIE, cookie)).await;
-    assert_eq!(impostor.status, StatusCode::FORBIDDEN);
-    let guess = fetch(browser.bare(Method::GET, "/enter?key=0")).await;
-    assert_eq!(guess.status, StatusCode::FORBIDDEN);
-    let rebound = fetch(browser.bare(Method::GET, "/").header(HOST, "evil.example")).await;
-    assert_snapshot!(rebound.words(), @r"
+    let bad_cookie = fetch(browser.plain_request(Method::GET, "/").header(COOKIE, cookie)).await;
+    assert_eq!(bad_cookie.status, StatusCode::FORBIDDEN);
+    let wrong_key = fetch(browser.plain_request(Method::GET, "/enter?key=0")).await;
+    assert_eq!(wrong_key.status, StatusCode::FORBIDDEN);
+    let foreign_host = fetch(browser.plain_request(Method::GET, "/").header(HOST, "evil.example")).await;
+    assert_snapshot!(foreign_host.main_text(), @r"
     Refused
     This console is not known under this host name.
     Overview
@@ -270,7 +273,7 @@
 }
 
 #[tokio::test]
-async fn what_is_printed_of_a_server_lets_nobody_in() {
+async fn debug_output_of_a_server_hides_the_key() {
     let handle = standin::platform::start(standin::platform::Options::default()).await;
     let handle = handle.expect("the stand-in starts");
     let platform = platform::Options::new(vec![handle.address()]);
@@ -284,11 +287,11 @@
 }
 
 #[tokio::test]
-async fn a_form_that_shows_an_older_draft_is_not_taken() {
+async fn stale_form_is_rejected() {
     let (_handle, browser) = start().await;
     let shown = browser.get(SERVICE).await;
     browser
-        .press(SERVICE, SERVICE, "remove services[0].upstreams[0]", &[])
+        .submit(SERVICE, SERVICE, "remove services[0].upstreams[0]", &[])
         .await;
     let before = text(&browser).await;
     let late = browser
@@ -299,24 +302,24 @@
 }
 
 #[tokio::test]
-async fn a_browser_that_hangs_up_does_not_cut_the_write_off() {
+async fn write_completes_after_the_browser_disconnects() {
     let (handle, browser) = start().await;
     let slots = [("services[0].upstreams[0].slots", "5")];
-    browser.press(SERVICE, SERVICE, "save", &slots).await;
+    browser.submit(SERVICE, SERVICE, "save", &slots).await;
     let shown = browser.get("/review").await;
     let slow = standin::platform::Behaviour {
         slow: units::Millis(300),
         ..Default::default()
     };
     handle.behave(slow).await;
-    let begun = async {
+    let write_started = async {
         while handle.counts().writes == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
     tokio::select! {
         answer = browser.post("/apply", &shown, "apply", &CHANGE) => panic!("answered too early: {answer:?}"),
-        () = begun => {}
+        () = write_started => {}
     }
     let next = text(&browser).await;
     assert!(next.starts_with("revision: 3\n"), "{next}");
@@ -325,19 +328,19 @@
 }
 
 #[tokio::test]
-async fn the_loser_of_a_race_keeps_the_draft() {
+async fn conflict_keeps_the_draft() {
     let (handle, browser) = start().await;
     browser
-        .press(SERVICE, SERVICE, "save", &[("services[0].upstreams[0].slots", "5")])
+        .submit(SERVICE, SERVICE, "save", &[("services[0].upstreams[0].slots", "5")])
         .await;
     handle.put_document(
         DOCUMENT
             .replace("revision: 1", "revision: 2")
             .replace("weight: 1", "weight: 2"),
     );
-    let lost = browser.press("/review", "/apply", "apply", &CHANGE).await;
+    let lost = browser.submit("/review", "/apply", "apply", &CHANGE).await;
     assert_eq!(lost.status, StatusCode::CONFLICT);
-    assert_snapshot!(lost.words(), @r"
+    assert_snapshot!(lost.main_text(), @r"
     Not applied
     nothing was changed: revision 2 was made first by stand-in, approved by joost, because: First
     That revision changed:
@@ -354,6 +357,6 @@
     let kept = browser.post("/restart", &lost, "keep", &[]).await;
     let review = browser.get(&kept.location).await;
     assert_snapshot!(review.between("<ul class=\"differences\">", "</ul>"), @"<li>kind feed of service availability: weight changed from 2 to 1</li><li>upstream search-1: slots changed from 2 to 5</li>");
-    let dropped = browser.press("/review", "/restart", "drop", &[]).await;
+    let dropped = browser.submit("/review", "/restart", "drop", &[]).await;
     assert!(dropped.text.contains("The draft is the same as revision 2."));
 }
--- a/crates/console/tests/support/mod.rs
+++ b/crates/console/tests/support/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// A request without anything that a browser would add.
-    pub fn bare(&self, method: Method, path: &str) -> RequestBuilder {
+    pub fn plain_request(&self, method: Method, path: &str) -> RequestBuilder {
         self.http.request(method, format!("{}{path}", self.origin))
     }
 
@@ -85,11 +85,11 @@
     }
 
     pub async fn get(&self, path: &str) -> Page {
-        fetch(self.bare(Method::GET, path).header(COOKIE, &self.cookie)).await
+        fetch(self.plain_request(Method::GET, path).header(COOKIE, &self.cookie)).await
     }
 
     /// Fills in the form of `page`, presses a button, and follows where that leads.
-    pub async fn press(&self, page: &str, action: &str, button: &str, values: &[(&str, &str)]) -> Page {
+    pub async fn submit(&self, page: &str, action: &str, button: &str, values: &[(&str, &str)]) -> Page {
         let shown = self.get(page).await;
         let posted = self.post(action, &shown, button, values).await;
         if posted.status.is_redirection() {
@@ -104,13 +104,13 @@
         let version = shown.hidden("version");
         let mut pairs = vec![("token", token.as_str()), ("version", &version), ("button", button)];
         pairs.extend(values);
-        let request = self.bare(Method::POST, action).header(COOKIE, &self.cookie);
+        let request = self.plain_request(Method::POST, action).header(COOKIE, &self.cookie);
         fetch(request.header(ORIGIN, &self.origin).form(&pairs)).await
     }
 
     /// Posts as another site would make this browser do.
     pub async fn forged(&self, action: &str, origin: Option<&str>, token: &str) -> Page {
-        let mut request = self.bare(Method::POST, action).header(COOKIE, &self.cookie);
+        let mut request = self.plain_request(Method::POST, action).header(COOKIE, &self.cookie);
         if let Some(origin) = origin {
             request = request.header(ORIGIN, origin);
         }
@@ -138,12 +138,12 @@
     }
 
     /// The problems that stand at a field.
-    pub fn faults(&self, field: &str) -> String {
+    pub fn problems(&self, field: &str) -> String {
         strip(self.between(&format!(r#"<ul class="faults" id="{field}.faults">"#), "</ul>"))
     }
 
     /// What the page says in its main part, without markup.
-    pub fn words(&self) -> String {
+    pub fn main_text(&self) -> String {
         strip(self.between("<main>", "</main>"))
     }
 
