--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -72,7 +72,7 @@
     pub region: ZoneName,
 }
 
-/// A service: where callers reach it and who serves it.
+/// A service: the addresses callers connect to and the upstreams that serve it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
     /// Its name.
