--- a/crates/console/src/draft.rs
+++ b/crates/console/src/draft.rs
@@ -1,11 +1,11 @@
-//! A document while it is being edited: every value is text as it was typed, valid or not.
+//! The document being edited. Every value is the text that was entered, valid or not.
 //!
-//! Values have the same paths as in the document, so that a problem is shown at the input where it stands.
+//! Values have the same paths as in the document, so that each problem is shown at the input that causes it.
 
 use config::Document;
 use config::FieldPath;
 
-/// A document while it is being edited.
+/// The document being edited.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Draft {
     pub change: Change,
@@ -73,7 +73,7 @@
 }
 
 impl Default for Kind {
-    /// A kind that is not idempotent, because that does no harm where it is wrong.
+    /// Not idempotent by default: if that is wrong, it does no harm.
     fn default() -> Self {
         Self {
             name: String::new(),
@@ -96,7 +96,7 @@
 }
 
 impl From<&Document> for Draft {
-    /// A draft that changes nothing yet, so who changes it and why is still open.
+    /// Returns a draft without changes. Its change record is blank until the operator fills it in.
     fn from(document: &Document) -> Self {
         Self {
             change: Change::default(),
@@ -161,22 +161,22 @@
     }
 }
 
-/// The path of the change.
+/// Returns the path of the change record.
 pub fn change_field() -> FieldPath {
     FieldPath::default().member("change")
 }
 
-/// The path of the zones.
+/// Returns the path of the zones.
 pub fn zones_field() -> FieldPath {
     FieldPath::default().member("zones")
 }
 
-/// The path of the services.
+/// Returns the path of the services.
 pub fn services_field() -> FieldPath {
     FieldPath::default().member("services")
 }
 
-/// The path of a service.
+/// Returns the path of a service.
 pub fn service_field(index: usize) -> FieldPath {
     services_field().item(index)
 }
--- a/crates/console/src/guard.rs
+++ b/crates/console/src/guard.rs
@@ -1,8 +1,8 @@
-//! Who may use a console: the operator who started it, from a browser on the same machine.
+//! Access control: only the operator who started the console may use it, from a browser on the same machine.
 //!
-//! Loopback alone is not enough. Any page in the operator's browser can post to it (so forms carry a token, and the
-//! origin is checked), can point a name of its own at it (so the host is checked), and so can any other user of the
-//! machine (so a key is needed, which only whoever started the console is told).
+//! Listening on loopback is not sufficient. Any page in the operator's browser can post to the console (therefore forms
+//! carry a token and the origin is checked) or reach it by DNS rebinding (therefore the host is checked). Other users
+//! of the machine can connect too (therefore a key is required, which is shown only to whoever started it).
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,10 +20,10 @@
 /// The name of the form field that carries the token.
 pub const TOKEN_FIELD: &str = "token";
 
-/// Why a request was refused.
+/// The reason why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AccessError {
-    /// The host is not the console's own.
+    /// The `Host` header does not name the console.
     Host,
     /// The cookie is missing or wrong.
     Cookie,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a request must bring.
+/// The secrets that requests are checked against.
 #[derive(Clone)]
 pub struct Guard {
     port: u16,
@@ -64,7 +64,7 @@
 }
 
 impl Guard {
-    /// A guard with new secrets, for a console at this port.
+    /// Creates a guard with random secrets for a console on this port.
     pub fn new(port: u16) -> Self {
         Self {
             port,
@@ -74,17 +74,17 @@
         }
     }
 
-    /// The address that lets the operator in.
+    /// Returns the URL that signs the operator in.
     pub fn entry_url(&self, address: SocketAddr) -> String {
         format!("http://{address}/enter?key={}", self.key)
     }
 
-    /// The token that forms carry.
+    /// Returns the token that forms carry.
     pub fn token(&self) -> &str {
         &self.token
     }
 
-    /// Gives the cookie to who knows the key.
+    /// Returns the `Set-Cookie` value if the key is correct.
     pub fn enter(&self, key: &str) -> Result<String, AccessError> {
         if !digests_match(key, &self.key) {
             return Err(AccessError::Key);
@@ -93,7 +93,7 @@
         Ok(format!("{name}={}; Path=/; HttpOnly; SameSite=Strict", self.cookie))
     }
 
-    /// Checks a request's host, and its origin if it changes anything.
+    /// Checks the host of a request, and its origin unless the method is `GET`.
     pub fn check_host_and_origin(&self, method: &Method, headers: &HeaderMap) -> Result<(), AccessError> {
         let host = header_text(headers, &HOST);
         if !self.allowed_hosts().iter().any(|allowed| allowed == host) {
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Checks a request's cookie.
+    /// Checks the cookie of a request.
     pub fn check_cookie(&self, headers: &HeaderMap) -> Result<(), AccessError> {
         let name = self.cookie_name();
         for pair in header_text(headers, &COOKIE).split(';') {
@@ -119,7 +119,7 @@
         Err(AccessError::Cookie)
     }
 
-    /// Checks a posted form's token.
+    /// Checks the token of a posted form.
     pub fn check_form(&self, pairs: &[(String, String)]) -> Result<(), AccessError> {
         let token = input::value(pairs, TOKEN_FIELD).unwrap_or_default();
         if digests_match(token, &self.token) {
@@ -137,7 +137,7 @@
         ]
     }
 
-    /// Cookies do not tell ports apart, so the name does.
+    /// Returns the cookie name. It contains the port, because browsers share cookies between all ports of a host.
     fn cookie_name(&self) -> String {
         format!("jayquay-console-{}", self.port)
     }
@@ -148,7 +148,7 @@
     Digest(bytes).to_string()
 }
 
-/// Compares digests, so that the time taken tells nothing of the secret.
+/// Compares digests instead of the values, so that the timing reveals nothing about the secret.
 fn digests_match(given: &str, secret: &str) -> bool {
     Digest::of(given.as_bytes()) == Digest::of(secret.as_bytes())
 }
--- a/crates/console/src/input.rs
+++ b/crates/console/src/input.rs
@@ -1,4 +1,4 @@
-//! The inputs of a draft: which value has which path, and what a posted form does to it.
+//! The inputs of a draft: the path of each value, and how a posted form changes it.
 
 use config::FieldPath;
 
@@ -11,23 +11,23 @@
 use crate::draft::Upstream;
 use crate::draft::Zone;
 
-/// What a posted form holds: names and values in their order.
+/// The names and values of a posted form, in order.
 pub type FormPairs = Vec<(String, String)>;
 
-/// The value of the first pair of this name.
+/// Returns the value of the first pair with this name.
 pub fn value<'a>(pairs: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let pair = pairs.iter().find(|(key, _)| key == name)?;
     Some(&pair.1)
 }
 
-/// A value that can be edited, and its path.
+/// An editable value and its path.
 struct Input<'a> {
     field: FieldPath,
     value: &'a mut String,
 }
 
 impl Draft {
-    /// Takes over the values of a posted form. What the form does not hold stays as it is.
+    /// Sets the values that a posted form contains. Other values are unchanged.
     pub fn update(&mut self, pairs: &FormPairs) {
         for input in self.inputs() {
             if let Some(posted) = value(pairs, input.field.as_str()) {
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,7 +1,7 @@
-//! Forms for the configuration document, served on loopback as plain pages.
+//! HTML forms that edit the configuration document, served on loopback without scripts.
 //!
-//! What the forms make is the text of one document, checked by the same code as everywhere else, and applied in the
-//! same way as `jayquay config apply` does. The console keeps its draft in memory only, and belongs to one operator.
+//! The forms produce the text of one document, which is validated by the same code as everywhere else and applied in
+//! the same way as by `jayquay config apply`. The console keeps its draft in memory only and serves a single operator.
 
 mod draft;
 mod guard;
--- a/crates/console/src/page.rs
+++ b/crates/console/src/page.rs
@@ -1,4 +1,4 @@
-//! The pages, from a session to HTML. Everything that is not a literal of this code is escaped by the templates.
+//! Renders a session as HTML pages. The templates escape everything that is not a literal in this code.
 
 mod form;
 mod layout;
@@ -32,34 +32,34 @@
 pub const REVIEW: &str = "/review";
 /// The path that applies the draft.
 pub const APPLY: &str = "/apply";
-/// The path that starts anew from the platform's document.
+/// The path that reloads the platform's document.
 pub const RESTART: &str = "/restart";
-/// The path of the text.
+/// The path of the draft as text.
 pub const TEXT: &str = "/document.yaml";
 /// The path of the style sheet.
 pub const STYLE: &str = "/style.css";
 
-/// The value of the button that keeps the draft when the platform's document is loaded anew.
+/// The value of the button that keeps the draft when the platform's document is reloaded.
 pub const KEEP_DRAFT: &str = "keep";
 
-/// The path of a service's page.
+/// Returns the path of the page of a service.
 pub fn service_path(index: usize) -> String {
     format!("/services/{index}")
 }
 
-/// What a page is made from.
+/// The data that a page is rendered from.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// What the console works on.
+    /// The editing session.
     pub session: &'a Session,
-    /// What the checks say of it.
+    /// The result of validating the draft.
     pub check: CheckResult,
     /// The token that forms carry.
     pub token: &'a str,
 }
 
 impl View<'_> {
-    /// The problems, but for what is just left open yet.
+    /// Returns the problems, except those of a change record that has not been filled in yet.
     fn problems(&self) -> impl Iterator<Item = &Problem> {
         let change = crate::draft::change_field();
         let open = self.session.is_change_blank();
@@ -67,12 +67,12 @@
         problems.filter(move |problem| !(open && is_within(&problem.field, &change)))
     }
 
-    /// The problems that stand at this very field.
+    /// Returns the problems of exactly this field.
     fn problems_at<'a>(&'a self, field: &'a FieldPath) -> impl Iterator<Item = &'a Problem> {
         self.problems().filter(move |problem| &problem.field == field)
     }
 
-    /// How many problems stand at this field or below it.
+    /// Returns the number of problems of this field and the fields below it.
     fn count_problems_within(&self, field: &FieldPath) -> usize {
         self.problems()
             .filter(|problem| is_within(&problem.field, field))
@@ -87,7 +87,7 @@
     rest.is_empty() || rest.starts_with('.') || rest.starts_with('[')
 }
 
-/// The page on which a problem is mended, and the input's place on it.
+/// Returns the link to the page on which a problem can be fixed, with the input as the fragment.
 fn problem_link(problem: &Problem, services: usize) -> String {
     let field = &problem.field;
     for index in 0..services {
--- a/crates/console/src/page/form.rs
+++ b/crates/console/src/page/form.rs
@@ -1,4 +1,4 @@
-//! Inputs, and the problems that stand at them.
+//! Form inputs with their problems.
 
 use config::FieldPath;
 use maud::Markup;
@@ -14,7 +14,7 @@
 /// The name of the buttons.
 pub const BUTTON_FIELD: &str = "button";
 
-/// A form that posts to `path`. It carries the token and the version of the draft that it shows.
+/// Returns a form that posts to `path`, with the token and the version of the draft that it shows.
 pub fn form(view: &View<'_>, path: &str, content: &Markup) -> Markup {
     html! {
         form method="post" action=(path) novalidate autocomplete="off" {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A line of text with a visible label.
+/// Returns a text input with a visible label.
 pub fn labelled_text(view: &View<'_>, field: &FieldPath, label: &str, hint: &str, value: &str) -> Markup {
     html! {
         div.line {
@@ -36,7 +36,7 @@
     }
 }
 
-/// A line of text whose label is the heading of its column.
+/// Returns a text input that is labelled by its column heading.
 pub fn text(view: &View<'_>, field: &FieldPath, label: &str, value: &str) -> Markup {
     let invalid = view.problems_at(field).next().is_some();
     html! {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A choice with a visible label.
+/// Returns a selection with a visible label.
 pub fn labelled_choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
     html! {
         div.line {
@@ -56,16 +56,17 @@
     }
 }
 
-/// One of the values of a choice.
+/// One option of a selection.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice<'a> {
     /// The value in the document.
     pub value: &'a str,
-    /// What the operator reads.
+    /// The text shown to the operator.
     pub text: &'a str,
 }
 
-/// A choice whose label is the heading of its column. A value that is none of the choices stays, as a further one.
+/// Returns a selection that is labelled by its column heading. A value that is not among the choices is kept as an
+/// additional option.
 pub fn choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
     let invalid = view.problems_at(field).next().is_some();
     let known = choices.iter().any(|choice| choice.value == value);
@@ -81,7 +82,7 @@
     }
 }
 
-/// The problems that stand at a field.
+/// Returns the list of problems of a field.
 pub fn field_problems(view: &View<'_>, field: &FieldPath) -> Markup {
     let problems: Vec<_> = view.problems_at(field).collect();
     html! {
@@ -93,17 +94,17 @@
     }
 }
 
-/// The button that keeps what was typed. It comes first in its form, so that the enter key presses it.
+/// Returns the save button. It comes first in its form, so that the enter key activates it.
 pub fn save() -> Markup {
     html! { button.main name=(BUTTON_FIELD) value="save" { "Save draft" } }
 }
 
-/// A button that adds an item to a list.
+/// Returns a button that adds an item to a list.
 pub fn add(list: &FieldPath, text: &str) -> Markup {
     html! { button name=(BUTTON_FIELD) value={ "add " (list) } { (text) } }
 }
 
-/// A button that removes an item from a list.
+/// Returns a button that removes an item from a list.
 pub fn remove(item: &FieldPath, name: &str) -> Markup {
     html! {
         button.remove name=(BUTTON_FIELD) value={ "remove " (item) } aria-label={ "Remove " (name) } { "Remove" }
--- a/crates/console/src/page/layout.rs
+++ b/crates/console/src/page/layout.rs
@@ -1,4 +1,4 @@
-//! What all pages have in common.
+//! The layout shared by all pages.
 
 use maud::DOCTYPE;
 use maud::Markup;
@@ -12,7 +12,7 @@
 use super::problem_link;
 use super::service_path;
 
-/// A page with its navigation and the state of the draft.
+/// Returns a page with the navigation and the status of the draft.
 pub fn page(view: &View<'_>, current: &str, title: &str, content: &Markup) -> Markup {
     let services = view.session.draft.services.iter().enumerate();
     bare_page(
@@ -37,7 +37,7 @@
     )
 }
 
-/// A page without navigation.
+/// Returns a page without navigation.
 pub fn bare_page(title: &str, body: &Markup) -> Markup {
     html! {
         (DOCTYPE)
@@ -53,12 +53,12 @@
     }
 }
 
-/// What a service without a name is called.
+/// Returns the name of a service, or a placeholder if it is empty.
 pub fn service_label(name: &str) -> &str {
     if name.is_empty() { "(no name)" } else { name }
 }
 
-/// Lists the problems, with links to where they are mended.
+/// Lists the problems, with links to the inputs where they can be fixed.
 pub fn problems(view: &View<'_>) -> Markup {
     let services = view.session.draft.services.len();
     let problems: Vec<_> = view.problems().collect();
--- a/crates/console/src/page/notice.rs
+++ b/crates/console/src/page/notice.rs
@@ -1,4 +1,4 @@
-//! The page that tells what came of something.
+//! The page that shows the outcome of a request.
 
 use maud::Markup;
 use maud::html;
@@ -6,7 +6,7 @@
 use super::OVERVIEW;
 use super::layout;
 
-/// Tells something, a paragraph for each line, with `more` below it.
+/// Returns a page with one paragraph for each line of `text`, and `more` below them.
 pub fn notice(title: &str, text: &str, more: &Markup) -> Markup {
     let content = html! {
         main {
--- a/crates/console/src/page/overview.rs
+++ b/crates/console/src/page/overview.rs
@@ -1,4 +1,4 @@
-//! The first page: what is in force, and the services of the draft.
+//! The overview page: the reviewed document and the services of the draft.
 
 use config::Document;
 use maud::Markup;
@@ -16,7 +16,7 @@
 use super::layout;
 use super::service_path;
 
-/// The first page.
+/// Returns the overview page.
 pub fn overview(view: &View<'_>) -> Markup {
     let list = draft::services_field();
     let services = &view.session.draft.services;
--- a/crates/console/src/page/review.rs
+++ b/crates/console/src/page/review.rs
@@ -1,4 +1,4 @@
-//! The page that shows what would change, asks who changes it and why, and applies it.
+//! The review page: it shows the differences, asks for the change record and applies the draft.
 
 use config::Difference;
 use maud::Markup;
@@ -15,7 +15,7 @@
 use super::form::BUTTON_FIELD;
 use super::layout;
 
-/// The page that shows what would change.
+/// Returns the review page.
 pub fn review(view: &View<'_>) -> Markup {
     let from = view.session.base_revision();
     let to = from.next();
@@ -45,7 +45,7 @@
     }
 }
 
-/// How to go on after a refusal: the draft is kept in any case, until the operator drops it.
+/// Returns the options after a refusal. The draft is kept until the operator discards it.
 pub fn recovery_options(view: &View<'_>) -> Markup {
     let content = html! {
         p { a href=(REVIEW) { "Back to the draft, to apply it again" } }
--- a/crates/console/src/page/service.rs
+++ b/crates/console/src/page/service.rs
@@ -1,4 +1,4 @@
-//! The page of one service: its addresses, rules for sharing, kinds of request and upstreams.
+//! The page of one service: its addresses, traffic sharing, request kinds and upstreams.
 
 use config::FieldPath;
 use maud::Markup;
@@ -49,7 +49,7 @@
     },
 ];
 
-/// The page of one service.
+/// Returns the page of one service.
 pub fn service(view: &View<'_>, index: usize, service: &Service) -> Markup {
     let at = draft::service_field(index);
     let path = service_path(index);
@@ -73,7 +73,7 @@
 fn addresses(view: &View<'_>, list: &FieldPath, addresses: &[String]) -> Markup {
     html! {
         fieldset id=(list) {
-            legend { "Addresses that callers dial" }
+            legend { "Addresses that callers connect to" }
             table {
                 tbody {
                     @for (index, address) in addresses.iter().enumerate() {
@@ -103,7 +103,7 @@
             legend { "Sharing" }
             (form::labelled_choice(view, &affinity, "Affinity", &AFFINITIES, &sharing.affinity))
             (form::labelled_choice(view, &local, "Prefer the local zone", &BOOLEANS, &sharing.prefer_local_zone))
-            (form::labelled_text(view, &queue, "Queue limit", "requests that wait at most", &sharing.queue_limit))
+            (form::labelled_text(view, &queue, "Queue limit", "maximum waiting requests", &sharing.queue_limit))
             (form::labelled_text(view, &retries, "Retry budget", "percent of successes", &sharing.retry_budget_percent))
             (form::labelled_text(view, &slow_start, "Slow start", "milliseconds", &sharing.slow_start_ms))
         }
--- a/crates/console/src/page/zones.rs
+++ b/crates/console/src/page/zones.rs
@@ -10,7 +10,7 @@
 use super::form;
 use super::layout;
 
-/// The page of the availability zones.
+/// Returns the page of the availability zones.
 pub fn zones(view: &View<'_>) -> Markup {
     let list = draft::zones_field();
     let content = html! {
--- a/crates/console/src/routes.rs
+++ b/crates/console/src/routes.rs
@@ -1,4 +1,4 @@
-//! The console over HTTP: which request shows or changes what.
+//! The HTTP routes of the console and their handlers.
 
 mod access;
 mod response;
@@ -31,10 +31,10 @@
 use crate::session::Button;
 use crate::session::Session;
 
-/// The longest form, in bytes. A form of a service with the most upstreams stays below.
+/// The maximum size of a form in bytes. The form of a service with the maximum number of upstreams is smaller.
 const MAX_FORM_LEN: usize = 4_000_000;
 
-/// What the handlers share.
+/// The state shared by the handlers.
 #[derive(Debug)]
 pub struct Console {
     client: Client,
@@ -43,7 +43,7 @@
 }
 
 impl Console {
-    /// A console that works on `session`.
+    /// Creates the state of a console for `session`.
     pub fn new(client: Client, guard: Guard, session: Session) -> Self {
         Self {
             client,
@@ -63,7 +63,7 @@
 
 type ConsoleState = State<Arc<Console>>;
 
-/// The routes of a console.
+/// Returns the routes of a console.
 pub fn routes(console: Arc<Console>) -> Router {
     Router::new()
         .route(page::OVERVIEW, get(overview).post(edit_services))
@@ -116,7 +116,7 @@
     response::text(session.check().text)
 }
 
-/// A new service is shown at once.
+/// Edits the list of services, and redirects to the page of a service that was added.
 async fn edit_services(State(console): ConsoleState, form: VerifiedForm) -> Response {
     let mut session = console.session.lock().await;
     let before = session.draft.services.len();
@@ -149,10 +149,10 @@
     }
 }
 
-/// The form shows an older draft, whose paths may mean something else by now.
+/// The form shows an older draft. Its paths may refer to other items in the current one.
 struct StaleForm;
 
-/// Takes over a form that shows the draft as it is.
+/// Updates the draft from a form, unless the form shows an older draft.
 fn edit(session: &mut Session, form: &VerifiedForm) -> Result<(), StaleForm> {
     let form_version = input::value(&form.0, VERSION_FIELD);
     if form_version != Some(session.version.to_string().as_str()) {
@@ -163,15 +163,15 @@
     Ok(())
 }
 
-/// Applies the draft, to its end even if the browser hangs up: a write that is cut off could take effect all the
-/// same, and its author would then be told that somebody else came first.
+/// Applies the draft in a task of its own, which completes even if the browser disconnects. A cancelled write could
+/// still take effect, and its author would then be shown a conflict as if another document had come first.
 async fn apply_draft(State(console): ConsoleState, form: VerifiedForm) -> Response {
     let task = tokio::spawn(async move { apply_locked(&console, &form).await });
     let applied = task.await;
     applied.unwrap_or_else(|_| StatusCode::INTERNAL_SERVER_ERROR.into_response())
 }
 
-/// Applies the draft. The session stays locked, so that what is applied is what was shown.
+/// Applies the draft. The session stays locked, so that the applied draft is the one that was shown.
 async fn apply_locked(console: &Console, form: &VerifiedForm) -> Response {
     let mut session = console.session.lock().await;
     if let Err(StaleForm) = edit(&mut session, form) {
@@ -209,7 +209,8 @@
     })
 }
 
-/// Loads the platform's document anew. The draft is dropped, unless it is to be reviewed against that document.
+/// Reloads the platform's document. The draft is discarded, unless the operator chose to review it against that
+/// document.
 async fn restart(State(console): ConsoleState, form: VerifiedForm) -> Response {
     let mut session = console.session.lock().await;
     let base = match session::load(&console.client).await {
--- a/crates/console/src/routes/access.rs
+++ b/crates/console/src/routes/access.rs
@@ -1,4 +1,4 @@
-//! The guard at the door.
+//! Middleware and extractors that check access.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 use super::Console;
 use super::response;
 
-/// What every answer tells the browser: load nothing from elsewhere, run no script, be framed by nobody, keep nothing.
+/// Headers of every response: no resources from other origins, no scripts, no framing, no caching.
 const HEADERS: [(HeaderName, &str); 4] = [
     (
         CONTENT_SECURITY_POLICY,
@@ -35,7 +35,7 @@
     (CACHE_CONTROL, "no-store"),
 ];
 
-/// Refuses requests from other sites.
+/// Rejects requests from other sites, and adds the common headers to every response.
 pub async fn require_same_site(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
     let mut response = match console.guard.check_host_and_origin(request.method(), request.headers()) {
         Ok(()) => next.run(request).await,
@@ -47,7 +47,7 @@
     response
 }
 
-/// Refuses requests of who has not entered.
+/// Rejects requests without a valid cookie.
 pub async fn require_cookie(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
     match console.guard.check_cookie(request.headers()) {
         Ok(()) => next.run(request).await,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Lets in who knows the key.
+/// Sets the cookie if the key is correct.
 pub async fn enter(State(console): State<Arc<Console>>, Query(pairs): Query<FormPairs>) -> Response {
     let key = input::value(&pairs, "key").unwrap_or_default();
     match console.guard.enter(key) {
@@ -64,7 +64,7 @@
     }
 }
 
-/// A form that this console made.
+/// A posted form with a valid token.
 #[derive(Debug)]
 pub struct VerifiedForm(pub FormPairs);
 
@@ -80,6 +80,6 @@
 }
 
 fn reject(error: AccessError) -> Response {
-    log::warn!("console: refused, {error}");
+    log::warn!("console: request rejected: {error}");
     response::forbidden(error)
 }
--- a/crates/console/src/routes/response.rs
+++ b/crates/console/src/routes/response.rs
@@ -1,4 +1,4 @@
-//! Answers to browsers.
+//! HTTP responses.
 
 use apply::Refusal;
 use axum::http::StatusCode;
@@ -20,37 +20,37 @@
 
 const STYLE: &str = include_str!("../style.css");
 
-/// A page.
+/// Returns a page.
 pub fn page(markup: &Markup) -> Response {
     Html(markup.0.clone()).into_response()
 }
 
-/// The text of a document.
+/// Returns the text of a document.
 pub fn text(text: String) -> Response {
     ([(CONTENT_TYPE, "text/plain; charset=utf-8")], text).into_response()
 }
 
-/// The style sheet.
+/// Returns the style sheet.
 pub async fn style() -> Response {
     ([(CONTENT_TYPE, "text/css; charset=utf-8")], STYLE).into_response()
 }
 
-/// Sends the browser on, so that reloading a page never posts a form again.
+/// Redirects after a form, so that reloading the page does not post it again.
 pub fn redirect(path: &str) -> Response {
     Redirect::to(path).into_response()
 }
 
-/// Lets the browser in.
+/// Sets the access cookie and redirects to the overview.
 pub fn entered(cookie: &str) -> Response {
     ([(SET_COOKIE, cookie)], Redirect::to(page::OVERVIEW)).into_response()
 }
 
-/// Keeps somebody out.
+/// Rejects a request that failed an access check.
 pub fn forbidden(error: AccessError) -> Response {
     notice(StatusCode::FORBIDDEN, "Refused", &error.to_string(), &html! {})
 }
 
-/// There is no such page.
+/// Reports that the page does not exist.
 pub async fn not_found() -> Response {
     notice(
         StatusCode::NOT_FOUND,
@@ -60,14 +60,14 @@
     )
 }
 
-/// The form shows an older draft.
+/// Rejects a form that shows an older draft.
 pub fn stale_form() -> Response {
     let text = "The draft was changed in another window after this form was shown.\n\
                 Nothing of the form was taken. Go back to read what you typed, and reload the page to see the draft.";
     notice(StatusCode::CONFLICT, "The form is out of date", text, &html! {})
 }
 
-/// The platform's document could not be loaded.
+/// Reports that the platform's document could not be loaded.
 pub fn load_failed(error: &LoadError) -> Response {
     let text = format!("{error}\nThe draft is kept.");
     notice(
@@ -78,7 +78,7 @@
     )
 }
 
-/// The draft came into force.
+/// Reports that the draft was applied.
 pub fn applied(document: &Document, differences: &[Difference], read_back: bool) -> Response {
     let revision = document.revision;
     let outcome = if read_back {
@@ -98,7 +98,7 @@
     )
 }
 
-/// The draft was not applied, or whether it was is not known.
+/// Reports that the draft was not applied, or that the outcome is unknown.
 pub fn apply_refused(view: &View<'_>, refusal: &Refusal) -> Response {
     let status = match refusal {
         Refusal::WrongRevision { .. } | Refusal::UnknownRevision { .. } | Refusal::Conflict(_) => StatusCode::CONFLICT,
--- a/crates/console/src/server.rs
+++ b/crates/console/src/server.rs
@@ -1,4 +1,4 @@
-//! Listening on loopback.
+//! The HTTP server on loopback.
 
 use std::fmt;
 use std::io;
@@ -15,21 +15,21 @@
 use crate::session::LoadError;
 use crate::session::Session;
 
-/// How a console starts.
+/// The options of a console.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Where it listens, on loopback. Port zero asks the operating system for a port.
+    /// The loopback address to listen on. With port 0, the operating system assigns one.
     pub address: SocketAddr,
-    /// The platform.
+    /// The client for the platform.
     pub platform: Client,
 }
 
-/// Why a console could not start.
+/// The reasons why a console cannot start.
 #[derive(Debug)]
 pub enum Error {
-    /// The address is reached from other machines.
+    /// The address is not a loopback address.
     NotLoopback(SocketAddr),
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     Listen(io::Error),
     /// The document could not be loaded.
     Load(LoadError),
@@ -47,7 +47,7 @@
 
 impl std::error::Error for Error {}
 
-/// A console that listens and is ready to run.
+/// A console with a bound listener, ready to run.
 pub struct Server {
     listener: TcpListener,
     url: String,
@@ -56,7 +56,7 @@
 
 impl fmt::Debug for Server {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Whoever reads the address in a log could use the console.
+        // The URL is left out: with the key in it, anyone who reads the log could use the console.
         f.debug_struct("Server")
             .field("listener", &self.listener)
             .finish_non_exhaustive()
@@ -64,7 +64,7 @@
 }
 
 impl Server {
-    /// Loads the document and listens.
+    /// Loads the document and binds the listener.
     pub async fn bind(options: Options) -> Result<Self, Error> {
         if !options.address.ip().is_loopback() {
             return Err(Error::NotLoopback(options.address));
@@ -82,12 +82,12 @@
         })
     }
 
-    /// The address that lets the operator in. Whoever knows it can use the console.
+    /// Returns the URL with the access key. Anyone who knows it can use the console.
     pub fn url(&self) -> &str {
         &self.url
     }
 
-    /// Serves until `stop` is done.
+    /// Serves requests until `stop` completes.
     pub async fn run<F>(self, stop: F) -> io::Result<()>
     where
         F: Future<Output = ()> + Send + 'static,
--- a/crates/console/src/session.rs
+++ b/crates/console/src/session.rs
@@ -1,4 +1,4 @@
-//! What one console works on: the document that was reviewed, the draft made from it, and what is wrong with it.
+//! The editing session: the reviewed document, the draft based on it, and the problems of the draft.
 
 use std::fmt;
 
@@ -13,12 +13,12 @@
 use crate::input::FormPairs;
 use crate::yaml;
 
-/// Why a session could not begin.
+/// The reasons why the document cannot be loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LoadError {
-    /// The platform did not give its document.
+    /// Reading the document from the platform failed.
     Platform(platform::Error),
-    /// The platform's document does not pass the checks, so it cannot be shown in forms.
+    /// The platform's document is invalid, so it cannot be shown in forms.
     Invalid(Revision, Vec<Problem>),
 }
 
@@ -39,7 +39,7 @@
 
 impl std::error::Error for LoadError {}
 
-/// The document that is in force at the platform, if there is one.
+/// Loads the platform's current document, if there is one.
 pub async fn load(client: &Client) -> Result<Option<Document>, LoadError> {
     let stored = client.document().await.map_err(LoadError::Platform)?;
     let Some(stored) = stored else {
@@ -49,34 +49,34 @@
     Ok(Some(document))
 }
 
-/// What one console works on.
+/// The state of the editing session.
 #[derive(Debug, Clone)]
 pub struct Session {
-    /// The document that the draft is made from.
+    /// The document that the draft is based on.
     pub base: Option<Document>,
     /// The draft.
     pub draft: Draft,
-    /// Counts the changes of the draft, so that a page that shows an older one is found out.
+    /// A counter of the draft's changes, used to detect forms that show an older draft.
     pub version: u64,
-    /// Whether it was tried to apply the draft, so that a missing author is a problem and not just left open yet.
+    /// Whether applying the draft was attempted. From then on, a blank change record counts as a problem.
     pub apply_attempted: bool,
 }
 
-/// What the checks say of a draft.
+/// The result of validating a draft.
 #[derive(Debug)]
 pub struct CheckResult {
-    /// The text.
+    /// The draft as YAML text.
     pub text: String,
-    /// The document, if there is no problem.
+    /// The document, if the draft is valid.
     pub document: Option<Document>,
-    /// Every problem.
+    /// All problems.
     pub problems: Vec<Problem>,
-    /// What differs from the base, if nothing but the change itself is left to fill in.
+    /// The differences from the base, if the draft is valid apart from its change record.
     pub differences: Option<Vec<Difference>>,
 }
 
 impl Session {
-    /// A session whose draft changes nothing yet.
+    /// Creates a session with an unchanged draft.
     pub fn new(base: Option<Document>) -> Self {
         let draft = base.as_ref().map(Draft::from).unwrap_or_default();
         Self {
@@ -87,25 +87,25 @@
         }
     }
 
-    /// The revision that was reviewed, zero if there was no document.
+    /// Returns the reviewed revision, 0 if there was no document.
     pub fn base_revision(&self) -> Revision {
         self.base.as_ref().map_or(Revision(0), |base| base.revision)
     }
 
-    /// Starts anew from `base` and drops the draft.
+    /// Discards the draft and starts again from `base`.
     pub fn restart(&mut self, base: Option<Document>) {
         let version = self.version + 1;
         *self = Self::new(base);
         self.version = version;
     }
 
-    /// Goes on with the draft, which from now on is compared with `base`.
+    /// Keeps the draft, and compares it with `base` from now on.
     pub fn rebase(&mut self, base: Option<Document>) {
         self.base = base;
         self.version += 1;
     }
 
-    /// Takes over a posted form and then carries out the button that was pressed.
+    /// Updates the draft from a posted form, then performs the action of the pressed button.
     pub fn edit(&mut self, pairs: &FormPairs, button: Button<'_>) {
         self.draft.update(pairs);
         match button {
@@ -116,12 +116,12 @@
         self.version += 1;
     }
 
-    /// Whether who changes it and why is still left open.
+    /// Returns whether the change record is still blank and applying was not attempted.
     pub fn is_change_blank(&self) -> bool {
         !self.apply_attempted && self.draft.change == Change::default()
     }
 
-    /// Checks the draft as `jayquay config check` does.
+    /// Validates the draft in the same way as `jayquay config check`.
     pub fn check(&self) -> CheckResult {
         let revision = self.base_revision().next();
         let text = yaml::write(&self.draft, revision);
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Who changes it and why is filled in last, so the differences are told without it.
+    /// Returns the differences from the base. The operator fills in the change record last, so a placeholder is used
+    /// for it here.
     fn differences(&self, revision: Revision) -> Option<Vec<Difference>> {
         let mut filled = self.draft.clone();
         filled.change = Change {
@@ -159,7 +160,7 @@
 /// A button of a form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Button<'a> {
-    /// Keep what was typed.
+    /// Save the entered values.
     Save,
     /// Add an item to the list at this path.
     Add(&'a str),
@@ -168,7 +169,7 @@
 }
 
 impl<'a> From<&'a str> for Button<'a> {
-    /// Reads a button's value. An unknown one only saves.
+    /// Parses the value of a button. An unknown value only saves.
     fn from(value: &'a str) -> Self {
         match value.split_once(' ') {
             Some(("add", path)) => Self::Add(path),
--- a/crates/console/src/yaml.rs
+++ b/crates/console/src/yaml.rs
@@ -1,7 +1,7 @@
-//! A draft as the text of a document.
+//! Serialises a draft as the YAML text of a document.
 //!
-//! Every value is written, defaults too, so that the text is the complete truth. A value that is not valid is written
-//! so that the checks find it at its own path, and nowhere else.
+//! Every value is written, including defaults, so that the text describes the configuration completely. An invalid
+//! value is written such that validation reports it at its own path and nowhere else.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 use crate::draft::Upstream;
 use crate::draft::Zone;
 
-/// Writes a draft as the document of this revision.
+/// Serialises a draft as the document with this revision.
 pub fn write(draft: &Draft, revision: Revision) -> String {
     let change = &draft.change;
     let mut lines = vec![
@@ -115,7 +115,7 @@
         for c in self.0.chars() {
             match c {
                 '"' | '\\' => write!(f, "\\{c}")?,
-                // Line breaks and marks that YAML or a reader could take for something else.
+                // Line breaks and invisible characters that YAML or a reader could misinterpret.
                 c if c.is_control() || matches!(c, '\u{2028}' | '\u{2029}' | '\u{feff}') => {
                     write!(f, "\\U{:08x}", u32::from(c))?;
                 }
@@ -126,7 +126,7 @@
     }
 }
 
-/// A name, in quotes if it could be taken for something else.
+/// A name, quoted if YAML could read it as another type or as syntax.
 struct ScalarText<'a>(&'a str);
 
 impl fmt::Display for ScalarText<'_> {
@@ -143,7 +143,7 @@
     }
 }
 
-/// A whole number, or else text that the checks refuse.
+/// A whole number, or quoted text that validation rejects.
 struct NumberText<'a>(&'a str);
 
 impl fmt::Display for NumberText<'_> {
@@ -155,7 +155,7 @@
     }
 }
 
-/// `true` or `false`, or else text that the checks refuse.
+/// `true` or `false`, or quoted text that validation rejects.
 struct BooleanText<'a>(&'a str);
 
 impl fmt::Display for BooleanText<'_> {
--- a/crates/console/tests/console.rs
+++ b/crates/console/tests/console.rs
@@ -1,4 +1,4 @@
-//! The console over HTTP.
+//! Tests of the console over HTTP.
 
 mod support;
 
@@ -21,7 +21,7 @@
     ("change.reason", "Say \"hello\" & <wave>"),
 ];
 
-/// What the console would apply.
+/// Returns the document text that the console would apply.
 async fn text(browser: &Browser) -> String {
     browser.get("/document.yaml").await.text
 }
@@ -158,7 +158,7 @@
     assert_eq!(handle.counts().writes, 0);
 }
 
-/// What an upstream's inputs hold at first.
+/// The initial values of the inputs of an upstream.
 const UPSTREAM: [(&str, &str); 5] = [
     ("services[0].upstreams[0].name", "search-1"),
     ("services[0].upstreams[0].zone", "brugge"),
--- a/crates/console/tests/support/mod.rs
+++ b/crates/console/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A browser without a screen, and a console with a stand-in for the platform.
+//! A minimal HTTP client that acts as a browser, and a console with a stand-in for the platform.
 
 use std::future;
 
@@ -30,7 +30,7 @@
       - {name: search-2, zone: brugge, address: "10.2.0.2:8080", slots: 2, state: draining}
 "#;
 
-/// What a browser got.
+/// A response as the browser sees it.
 #[derive(Debug)]
 pub struct Page {
     pub status: StatusCode,
@@ -38,14 +38,14 @@
     pub text: String,
 }
 
-/// A browser that has entered.
+/// A browser that has the access cookie.
 pub struct Browser {
     pub origin: String,
     http: reqwest::Client,
     cookie: String,
 }
 
-/// Starts a stand-in with the document, and a console for it that a browser has entered.
+/// Starts a stand-in platform with the document, a console for it, and a browser that has the access cookie.
 pub async fn start() -> (Handle, Browser) {
     let options = stand_in::Options {
         document: Some(DOCUMENT.to_owned()),
@@ -73,12 +73,12 @@
         Self { origin, http, cookie }
     }
 
-    /// A request without anything that a browser would add.
+    /// Returns a request without the headers that a browser would add.
     pub fn plain_request(&self, method: Method, path: &str) -> RequestBuilder {
         self.http.request(method, format!("{}{path}", self.origin))
     }
 
-    /// A cookie of the right name.
+    /// Returns a cookie with the correct name and a wrong value.
     pub fn wrong_cookie(&self) -> String {
         let name = self.cookie.split('=').next().unwrap_or_default();
         format!("{name}=0")
@@ -88,7 +88,7 @@
         fetch(self.plain_request(Method::GET, path).header(COOKIE, &self.cookie)).await
     }
 
-    /// Fills in the form of `page`, presses a button, and follows where that leads.
+    /// Fills in the form of `page`, presses a button and follows the redirect, if any.
     pub async fn submit(&self, page: &str, action: &str, button: &str, values: &[(&str, &str)]) -> Page {
         let shown = self.get(page).await;
         let posted = self.post(action, &shown, button, values).await;
@@ -98,7 +98,7 @@
         posted
     }
 
-    /// Posts the form of a page that was shown.
+    /// Posts the form of a page that was fetched earlier.
     pub async fn post(&self, action: &str, shown: &Page, button: &str, values: &[(&str, &str)]) -> Page {
         let token = shown.hidden("token");
         let version = shown.hidden("version");
@@ -108,7 +108,7 @@
         fetch(request.header(ORIGIN, &self.origin).form(&pairs)).await
     }
 
-    /// Posts as another site would make this browser do.
+    /// Posts a form as a cross-site request would, with the given origin and token.
     pub async fn forged(&self, action: &str, origin: Option<&str>, token: &str) -> Page {
         let mut request = self.plain_request(Method::POST, action).header(COOKIE, &self.cookie);
         if let Some(origin) = origin {
@@ -131,23 +131,23 @@
 }
 
 impl Page {
-    /// The value of a hidden input.
+    /// Returns the value of a hidden input.
     pub fn hidden(&self, name: &str) -> String {
         self.between(&format!(r#"type="hidden" name="{name}" value=""#), "\"")
             .to_owned()
     }
 
-    /// The problems that stand at a field.
+    /// Returns the problems shown at a field.
     pub fn problems(&self, field: &str) -> String {
         strip(self.between(&format!(r#"<ul class="faults" id="{field}.faults">"#), "</ul>"))
     }
 
-    /// What the page says in its main part, without markup.
+    /// Returns the text of the `main` element without markup.
     pub fn main_text(&self) -> String {
         strip(self.between("<main>", "</main>"))
     }
 
-    /// The text between two marks, empty if they are not there.
+    /// Returns the text between two delimiters, empty if they are missing.
     pub fn between(&self, from: &str, to: &str) -> &str {
         let Some((_, rest)) = self.text.split_once(from) else {
             return "";
@@ -156,7 +156,7 @@
     }
 }
 
-/// The text outside of tags, a line for each.
+/// Returns the text outside of tags, one line per text node.
 fn strip(html: &str) -> String {
     let parts = html
         .split('<')
