--- a/crates/console/src/guard.rs
+++ b/crates/console/src/guard.rs
@@ -1,8 +1,8 @@
-//! Who may use a console: the operator who started it, from a browser on the same machine.
+//! Access control: only the operator who started the console may use it, from a browser on the same machine.
 //!
-//! Loopback alone is not enough. Any page in the operator's browser can post to it (so forms carry a token, and the
-//! origin is checked), can point a name of its own at it (so the host is checked), and so can any other user of the
-//! machine (so a key is needed, which only whoever started the console is told).
+//! Listening on loopback is not sufficient. Any page in the operator's browser can post to the console (therefore forms
+//! carry a token and the origin is checked) or reach it by DNS rebinding (therefore the host is checked). Other users
+//! of the machine can connect too (therefore a key is required, which is shown only to whoever started it).
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,10 +20,10 @@
 /// The name of the form field that carries the token.
 pub const TOKEN_FIELD: &str = "token";
 
-/// Why a request was refused.
+/// The reason why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Intrusion {
-    /// The host is not the console's own.
+pub enum AccessError {
+    /// The `Host` header does not name the console.
     Host,
     /// The cookie is missing or wrong.
     Cookie,
@@ -35,7 +35,7 @@
     Key,
 }
 
-impl fmt::Display for Intrusion {
+impl fmt::Display for AccessError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
             Self::Host => "This console is not known under this host name.",
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a request must bring.
+/// The secrets that requests are checked against.
 #[derive(Clone)]
 pub struct Guard {
     port: u16,
@@ -64,71 +64,71 @@
 }
 
 impl Guard {
-    /// A guard with new secrets, for a console at this port.
+    /// Creates a guard with random secrets for a console on this port.
     pub fn new(port: u16) -> Self {
         Self {
             port,
-            key: secret(),
-            cookie: secret(),
-            token: secret(),
+            key: random_secret(),
+            cookie: random_secret(),
+            token: random_secret(),
         }
     }
 
-    /// The address that lets the operator in.
-    pub fn entrance(&self, address: SocketAddr) -> String {
+    /// Returns the URL that signs the operator in.
+    pub fn entry_url(&self, address: SocketAddr) -> String {
         format!("http://{address}/enter?key={}", self.key)
     }
 
-    /// The token that forms carry.
+    /// Returns the token that forms carry.
     pub fn token(&self) -> &str {
         &self.token
     }
 
-    /// Gives the cookie to who knows the key.
-    pub fn enter(&self, key: &str) -> Result<String, Intrusion> {
-        if !same(key, &self.key) {
-            return Err(Intrusion::Key);
+    /// Returns the `Set-Cookie` value if the key is correct.
+    pub fn enter(&self, key: &str) -> Result<String, AccessError> {
+        if !digests_match(key, &self.key) {
+            return Err(AccessError::Key);
         }
         let name = self.cookie_name();
         Ok(format!("{name}={}; Path=/; HttpOnly; SameSite=Strict", self.cookie))
     }
 
-    /// Checks a request's host, and its origin if it changes anything.
-    pub fn check_site(&self, method: &Method, headers: &HeaderMap) -> Result<(), Intrusion> {
-        let host = text(headers, &HOST);
-        if !self.hosts().iter().any(|own| own == host) {
-            return Err(Intrusion::Host);
+    /// Checks the host of a request, and its origin unless the method is `GET`.
+    pub fn check_host_and_origin(&self, method: &Method, headers: &HeaderMap) -> Result<(), AccessError> {
+        let host = header_text(headers, &HOST);
+        if !self.allowed_hosts().iter().any(|allowed| allowed == host) {
+            return Err(AccessError::Host);
         }
-        if method != Method::GET && text(headers, &ORIGIN) != format!("http://{host}") {
-            return Err(Intrusion::Origin);
+        if method != Method::GET && header_text(headers, &ORIGIN) != format!("http://{host}") {
+            return Err(AccessError::Origin);
         }
         Ok(())
     }
 
-    /// Checks a request's cookie.
-    pub fn check_cookie(&self, headers: &HeaderMap) -> Result<(), Intrusion> {
+    /// Checks the cookie of a request.
+    pub fn check_cookie(&self, headers: &HeaderMap) -> Result<(), AccessError> {
         let name = self.cookie_name();
-        for pair in text(headers, &COOKIE).split(';') {
+        for pair in header_text(headers, &COOKIE).split(';') {
             let Some((key, value)) = pair.trim().split_once('=') else {
                 continue;
             };
-            if key == name && same(value, &self.cookie) {
+            if key == name && digests_match(value, &self.cookie) {
                 return Ok(());
             }
         }
-        Err(Intrusion::Cookie)
+        Err(AccessError::Cookie)
     }
 
-    /// Checks a posted form's token.
-    pub fn check_form(&self, pairs: &[(String, String)]) -> Result<(), Intrusion> {
+    /// Checks the token of a posted form.
+    pub fn check_form(&self, pairs: &[(String, String)]) -> Result<(), AccessError> {
         let token = input::value(pairs, TOKEN_FIELD).unwrap_or_default();
-        if same(token, &self.token) {
+        if digests_match(token, &self.token) {
             return Ok(());
         }
-        Err(Intrusion::Token)
+        Err(AccessError::Token)
     }
 
-    fn hosts(&self) -> [String; 3] {
+    fn allowed_hosts(&self) -> [String; 3] {
         let port = self.port;
         [
             format!("127.0.0.1:{port}"),
@@ -137,23 +137,23 @@
         ]
     }
 
-    /// Cookies do not tell ports apart, so the name does.
+    /// Returns the cookie name. It contains the port, because browsers share cookies between all ports of a host.
     fn cookie_name(&self) -> String {
         format!("jayquay-console-{}", self.port)
     }
 }
 
-fn secret() -> String {
+fn random_secret() -> String {
     let bytes: [u8; 16] = rand::random();
     Digest(bytes).to_string()
 }
 
-/// Compares digests, so that the time taken tells nothing of the secret.
-fn same(given: &str, secret: &str) -> bool {
+/// Compares digests instead of the values, so that the timing reveals nothing about the secret.
+fn digests_match(given: &str, secret: &str) -> bool {
     Digest::of(given.as_bytes()) == Digest::of(secret.as_bytes())
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default()
 }
--- a/crates/console/src/routes/guarded.rs
+++ b/crates/console/src/routes/access.rs
@@ -1,4 +1,4 @@
-//! The guard at the door.
+//! Middleware and extractors that check access.
 
 use std::sync::Arc;
 
@@ -17,14 +17,14 @@
 use axum::response::IntoResponse;
 use axum::response::Response;
 
-use crate::guard::Intrusion;
+use crate::guard::AccessError;
 use crate::input;
-use crate::input::Pairs;
+use crate::input::FormPairs;
 
 use super::Console;
-use super::answer;
+use super::response;
 
-/// What every answer tells the browser: load nothing from elsewhere, run no script, be framed by nobody, keep nothing.
+/// Headers of every response: no resources from other origins, no scripts, no framing, no caching.
 const HEADERS: [(HeaderName, &str); 4] = [
     (
         CONTENT_SECURITY_POLICY,
@@ -35,11 +35,11 @@
     (CACHE_CONTROL, "no-store"),
 ];
 
-/// Refuses requests from other sites.
-pub async fn site(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
-    let mut response = match console.guard.check_site(request.method(), request.headers()) {
+/// Rejects requests from other sites, and adds the common headers to every response.
+pub async fn require_same_site(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
+    let mut response = match console.guard.check_host_and_origin(request.method(), request.headers()) {
         Ok(()) => next.run(request).await,
-        Err(intrusion) => refuse(intrusion),
+        Err(error) => reject(error),
     };
     for (name, value) in HEADERS {
         response.headers_mut().insert(name, HeaderValue::from_static(value));
@@ -47,39 +47,39 @@
     response
 }
 
-/// Refuses requests of who has not entered.
-pub async fn cookie(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
+/// Rejects requests without a valid cookie.
+pub async fn require_cookie(State(console): State<Arc<Console>>, request: Request, next: Next) -> Response {
     match console.guard.check_cookie(request.headers()) {
         Ok(()) => next.run(request).await,
-        Err(intrusion) => refuse(intrusion),
+        Err(error) => reject(error),
     }
 }
 
-/// Lets in who knows the key.
-pub async fn enter(State(console): State<Arc<Console>>, Query(pairs): Query<Pairs>) -> Response {
+/// Sets the cookie if the key is correct.
+pub async fn enter(State(console): State<Arc<Console>>, Query(pairs): Query<FormPairs>) -> Response {
     let key = input::value(&pairs, "key").unwrap_or_default();
     match console.guard.enter(key) {
-        Ok(cookie) => answer::entered(&cookie),
-        Err(intrusion) => refuse(intrusion),
+        Ok(cookie) => response::entered(&cookie),
+        Err(error) => reject(error),
     }
 }
 
-/// A form that this console made.
+/// A posted form with a valid token.
 #[derive(Debug)]
-pub struct Posted(pub Pairs);
+pub struct VerifiedForm(pub FormPairs);
 
-impl FromRequest<Arc<Console>> for Posted {
+impl FromRequest<Arc<Console>> for VerifiedForm {
     type Rejection = Response;
 
     async fn from_request(request: Request, console: &Arc<Console>) -> Result<Self, Response> {
-        let form = Form::<Pairs>::from_request(request, console).await;
+        let form = Form::<FormPairs>::from_request(request, console).await;
         let Form(pairs) = form.map_err(IntoResponse::into_response)?;
-        console.guard.check_form(&pairs).map_err(refuse)?;
+        console.guard.check_form(&pairs).map_err(reject)?;
         Ok(Self(pairs))
     }
 }
 
-fn refuse(intrusion: Intrusion) -> Response {
-    log::warn!("console: refused, {intrusion}");
-    answer::forbidden(intrusion)
+fn reject(error: AccessError) -> Response {
+    log::warn!("console: request rejected: {error}");
+    response::forbidden(error)
 }
--- a/crates/console/src/text.rs
+++ b/crates/console/src/yaml.rs
@@ -1,7 +1,7 @@
-//! A draft as the text of a document.
+//! Serialises a draft as the YAML text of a document.
 //!
-//! Every value is written, defaults too, so that the text is the complete truth. A value that is not valid is written
-//! so that the checks find it at its own path, and nowhere else.
+//! Every value is written, including defaults, so that the text describes the configuration completely. An invalid
+//! value is written such that validation reports it at its own path and nowhere else.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 use crate::draft::Upstream;
 use crate::draft::Zone;
 
-/// Writes a draft as the document of this revision.
+/// Serialises a draft as the document with this revision.
 pub fn write(draft: &Draft, revision: Revision) -> String {
     let change = &draft.change;
     let mut lines = vec![
@@ -48,17 +48,20 @@
         .map(|address| Quoted(address).to_string())
         .collect();
     let sharing = &service.sharing;
-    lines.push(format!("  - name: {}", Name(&service.name)));
+    lines.push(format!("  - name: {}", ScalarText(&service.name)));
     lines.push(format!("    addresses: [{}]", addresses.join(", ")));
     lines.push("    sharing:".to_owned());
-    lines.push(format!("      affinity: {}", Name(&sharing.affinity)));
-    lines.push(format!("      prefer-local-zone: {}", Flag(&sharing.prefer_local_zone)));
-    lines.push(format!("      queue-limit: {}", Number(&sharing.queue_limit)));
+    lines.push(format!("      affinity: {}", ScalarText(&sharing.affinity)));
+    lines.push(format!(
+        "      prefer-local-zone: {}",
+        BooleanText(&sharing.prefer_local_zone)
+    ));
+    lines.push(format!("      queue-limit: {}", NumberText(&sharing.queue_limit)));
     lines.push(format!(
         "      retry-budget-percent: {}",
-        Number(&sharing.retry_budget_percent)
+        NumberText(&sharing.retry_budget_percent)
     ));
-    lines.push(format!("      slow-start-ms: {}", Number(&sharing.slow_start_ms)));
+    lines.push(format!("      slow-start-ms: {}", NumberText(&sharing.slow_start_ms)));
     list("    ", "kinds", &service.kinds, kind, lines);
     list("    ", "upstreams", &service.upstreams, upstream, lines);
     lines.push(String::new());
@@ -77,7 +80,7 @@
 
 fn zone(zone: &Zone) -> String {
     let Zone { name, region } = zone;
-    format!("{{name: {}, region: {}}}", Name(name), Name(region))
+    format!("{{name: {}, region: {}}}", ScalarText(name), ScalarText(region))
 }
 
 fn kind(kind: &Kind) -> String {
@@ -88,18 +91,18 @@
     } = kind;
     format!(
         "{{name: {}, weight: {}, idempotent: {}}}",
-        Name(name),
-        Number(weight),
-        Flag(idempotent)
+        ScalarText(name),
+        NumberText(weight),
+        BooleanText(idempotent)
     )
 }
 
 fn upstream(upstream: &Upstream) -> String {
-    let name = Name(&upstream.name);
-    let zone = Name(&upstream.zone);
+    let name = ScalarText(&upstream.name);
+    let zone = ScalarText(&upstream.zone);
     let address = Quoted(&upstream.address);
-    let slots = Number(&upstream.slots);
-    let state = Name(&upstream.state);
+    let slots = NumberText(&upstream.slots);
+    let state = ScalarText(&upstream.state);
     format!("{{name: {name}, zone: {zone}, address: {address}, slots: {slots}, state: {state}}}")
 }
 
@@ -112,7 +115,7 @@
         for c in self.0.chars() {
             match c {
                 '"' | '\\' => write!(f, "\\{c}")?,
-                // Line breaks and marks that YAML or a reader could take for something else.
+                // Line breaks and invisible characters that YAML or a reader could misinterpret.
                 c if c.is_control() || matches!(c, '\u{2028}' | '\u{2029}' | '\u{feff}') => {
                     write!(f, "\\U{:08x}", u32::from(c))?;
                 }
@@ -123,27 +126,27 @@
     }
 }
 
-/// A name, in quotes if it could be taken for something else.
-struct Name<'a>(&'a str);
+/// A name, quoted if YAML could read it as another type or as syntax.
+struct ScalarText<'a>(&'a str);
 
-impl fmt::Display for Name<'_> {
+impl fmt::Display for ScalarText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = self.0.starts_with(|c: char| c.is_ascii_lowercase());
-        let plain = self
+        let starts_with_letter = self.0.starts_with(|c: char| c.is_ascii_lowercase());
+        let is_plain = self
             .0
             .bytes()
             .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        if word && plain && !matches!(self.0, "true" | "false" | "null") {
+        if starts_with_letter && is_plain && !matches!(self.0, "true" | "false" | "null") {
             return f.write_str(self.0);
         }
         Quoted(self.0).fmt(f)
     }
 }
 
-/// A whole number, or else text that the checks refuse.
-struct Number<'a>(&'a str);
+/// A whole number, or quoted text that validation rejects.
+struct NumberText<'a>(&'a str);
 
-impl fmt::Display for Number<'_> {
+impl fmt::Display for NumberText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.parse::<u64>() {
             Ok(number) => number.fmt(f),
@@ -152,10 +155,10 @@
     }
 }
 
-/// `true` or `false`, or else text that the checks refuse.
-struct Flag<'a>(&'a str);
+/// `true` or `false`, or quoted text that validation rejects.
+struct BooleanText<'a>(&'a str);
 
-impl fmt::Display for Flag<'_> {
+impl fmt::Display for BooleanText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             "true" | "false" => f.write_str(self.0),
