--- a/crates/jayquayd/src/admin.rs
+++ b/crates/jayquayd/src/admin.rs
@@ -31,7 +31,7 @@
 use crate::addresses::Addresses;
 use crate::clock::Clock;
 use crate::intake::Intake;
-use crate::sessions::Meetings;
+use crate::sessions::HandshakeHistory;
 use crate::throttle::Throttle;
 use crate::timeline::Seq;
 
@@ -54,7 +54,7 @@
     /// Renders the metrics, if a recorder is installed.
     pub metrics: Option<PrometheusHandle>,
     /// Whether other instances accept this one.
-    pub meetings: Arc<Meetings>,
+    pub handshake_history: Arc<HandshakeHistory>,
 }
 
 /// Why an instance should get no packets, or that it should.
@@ -77,11 +77,11 @@
 
 impl Readiness {
     /// What a status and the handshakes with other instances say of readiness.
-    pub fn of(status: &Status, is_stranger: bool) -> Self {
+    pub fn of(status: &Status, is_rejected: bool) -> Self {
         match status.stage {
             Stage::Draining | Stage::Stopped => Self::Draining,
             Stage::Starting if status.revision.is_none() => Self::NoDocument,
-            Stage::Starting | Stage::Serving if is_stranger => Self::Stranger,
+            Stage::Starting | Stage::Serving if is_rejected => Self::Stranger,
             Stage::Starting => Self::Starting,
             Stage::Serving if !status.platform => Self::CutOff,
             Stage::Serving => Self::Ready,
@@ -187,7 +187,7 @@
     let Some(status) = ask(&context).await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
-    let state = Readiness::of(&status, context.meetings.is_stranger());
+    let state = Readiness::of(&status, context.handshake_history.is_rejected());
     let ready = state.is_ready();
     let code = if ready {
         StatusCode::OK
@@ -203,7 +203,7 @@
     };
     let uptime = context.clock.uptime();
     let report = Report {
-        state: Readiness::of(&status, context.meetings.is_stranger()),
+        state: Readiness::of(&status, context.handshake_history.is_rejected()),
         addresses: context.addresses,
         now: context.clock.now(),
         uptime_ms: u64::try_from(uptime.as_millis()).unwrap_or(u64::MAX),
--- a/crates/jayquayd/src/daemon.rs
+++ b/crates/jayquayd/src/daemon.rs
@@ -151,10 +151,10 @@
     let mut tasks = JoinSet::new();
     let context = session_context(settings, own, &intake);
     let engine = assemble(settings, &context, clock, sockets.callers, queues, &mut tasks)?;
-    let meetings = Arc::clone(&context.meetings);
+    let handshake_history = Arc::clone(&context.handshake_history);
     tasks.spawn(sessions::listen(sockets.instances, context));
     let context = admin::Context {
-        meetings,
+        handshake_history,
         intake: intake.clone(),
         clock,
         addresses,
@@ -266,7 +266,7 @@
         own,
         keys: Keys::new(&settings.secrets.current, &settings.secrets.previous),
         intake: intake.clone(),
-        meetings: Arc::default(),
+        handshake_history: Arc::default(),
     }
 }
 
--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -12,7 +12,6 @@
 use units::InstanceName;
 
 use crate::callers::Replier;
-use crate::change::Change;
 use crate::clock::Clock;
 use crate::feed::Wish;
 use crate::gauges;
@@ -21,6 +20,7 @@
 use crate::intake::Input;
 use crate::intake::Queues;
 use crate::metric;
+use crate::session_event::SessionEvent;
 use crate::sessions::Sessions;
 use crate::timeline::Hybrid;
 use crate::timeline::Ring;
@@ -167,7 +167,7 @@
             Input::Event(Event::Stop) => self.stop(),
             Input::Event(event) => self.step(event),
             Input::Frame(arrival) => self.frame(arrival),
-            Input::Session(change) => self.session(change),
+            Input::Session(event) => self.handle_session_event(event),
             Input::Status(ask) => {
                 // Whoever asked may have gone away; then nobody wants the answer.
                 let _unwanted = ask.send(self.node.status(self.clock.now()));
@@ -185,8 +185,8 @@
         self.step(Event::Frame(arrival.peer, arrival.frame));
     }
 
-    fn session(&mut self, change: Change) {
-        if let Some(name) = self.parts.sessions.change(change) {
+    fn handle_session_event(&mut self, event: SessionEvent) {
+        if let Some(name) = self.parts.sessions.handle_event(event) {
             self.step(Event::SessionLost(name));
         }
     }
@@ -251,13 +251,13 @@
 
     /// Lets the sessions send what is queued, for a while.
     async fn flush(&mut self) {
-        let mut open = self.parts.sessions.release();
+        let mut open = self.parts.sessions.release_all();
         let ends = async {
             while !open.is_empty() {
                 let Some(input) = self.queues.control.recv().await else {
                     return;
                 };
-                if let Input::Session(Change::Ended { id, .. }) = input {
+                if let Input::Session(SessionEvent::Ended { id, .. }) = input {
                     open.remove(&id);
                 }
             }
--- a/crates/jayquayd/src/intake.rs
+++ b/crates/jayquayd/src/intake.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use wire::Frame;
 
-use crate::change::Change;
+use crate::session_event::SessionEvent;
 use crate::timeline::Page;
 use crate::timeline::Seq;
 use crate::timeline::Stamp;
@@ -43,7 +43,7 @@
     /// A frame from another instance.
     Frame(Arrival),
     /// A session began or ended.
-    Session(Change),
+    Session(SessionEvent),
     /// Asks for the node's status.
     Status(oneshot::Sender<node::Status>),
     /// Asks for records of the time line after this number.
--- a/crates/jayquayd/src/lib.rs
+++ b/crates/jayquayd/src/lib.rs
@@ -4,7 +4,6 @@
 pub mod admin;
 pub mod bucket;
 pub mod callers;
-pub mod change;
 pub mod clock;
 pub mod daemon;
 pub mod engine;
@@ -12,6 +11,7 @@
 pub mod forward;
 pub mod intake;
 pub mod metric;
+pub mod session_event;
 pub mod sessions;
 pub mod summary;
 pub mod timeline;
--- a/crates/jayquayd/src/change.rs
+++ b/crates/jayquayd/src/session_event.rs
@@ -10,9 +10,9 @@
 
 /// Names a session within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct LinkId(u64);
+pub struct SessionId(u64);
 
-impl LinkId {
+impl SessionId {
     /// A name that no other session has.
     pub(crate) fn next() -> Self {
         Self(rand::random())
@@ -21,11 +21,11 @@
 
 /// A session began or ended.
 #[derive(Debug)]
-pub enum Change {
+pub enum SessionEvent {
     /// Another instance connected and proved itself.
-    Arrived {
+    Accepted {
         /// Names the session.
-        id: LinkId,
+        id: SessionId,
         /// The other instance.
         peer: Peer,
         /// What is put here is sent.
@@ -36,14 +36,14 @@
     /// The instance that was connected to proved itself.
     Authenticated {
         /// Names the session.
-        id: LinkId,
+        id: SessionId,
         /// The other instance.
         peer: Peer,
     },
     /// A session ended or could not be made.
     Ended {
         /// Names the session.
-        id: LinkId,
+        id: SessionId,
         /// The other instance.
         name: InstanceName,
         /// Whether frames may have been lost with it.
--- a/crates/jayquayd/src/sessions.rs
+++ b/crates/jayquayd/src/sessions.rs
@@ -8,11 +8,11 @@
 
 mod connection;
 mod context;
-mod link;
+mod handshake_history;
 mod listener;
-mod meetings;
-mod outward;
-mod pair;
+mod outgoing;
+mod peer_sessions;
+mod session;
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -29,19 +29,19 @@
 use wire::Frame;
 
 use self::handshake::Side;
-use self::outward::Outward;
-use self::pair::Link;
-use self::pair::Pair;
-use crate::change::Change;
-use crate::change::LinkId;
+use self::outgoing::OutgoingSession;
+use self::peer_sessions::PeerSessions;
+use self::peer_sessions::Session;
 use crate::metric;
+use crate::session_event::SessionEvent;
+use crate::session_event::SessionId;
 use crate::throttle::Throttle;
 use crate::timeline::Stamp;
 
 pub use self::context::Context;
+pub use self::handshake_history::HandshakeHistory;
 pub use self::listener::MAX_HANDSHAKES;
 pub use self::listener::listen;
-pub use self::meetings::Meetings;
 
 /// The longest pause between two attempts to connect to one instance.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
@@ -50,12 +50,12 @@
 /// The exponent at which a pause stops growing.
 const MAX_DOUBLINGS: u32 = 6;
 /// How many instances are remembered as unreachable.
-const MAX_FAILURES: usize = 1_024;
+const MAX_TRACKED_FAILURES: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
-struct Failure {
+struct ConnectFailure {
     doublings: u32,
-    until: Instant,
+    retry_at: Instant,
 }
 
 /// The table of sessions.
@@ -63,12 +63,12 @@
 pub struct Sessions {
     context: Context,
     capacity: usize,
-    pairs: HashMap<InstanceName, Pair>,
-    failures: HashMap<InstanceName, Failure>,
+    peers: HashMap<InstanceName, PeerSessions>,
+    failures: HashMap<InstanceName, ConnectFailure>,
     tasks: JoinSet<()>,
-    throttle: Throttle,
+    drop_log: Throttle,
     /// Limits what is said of handshakes that others ended.
-    ended: Arc<Throttle>,
+    rejection_log: Arc<Throttle>,
 }
 
 impl Sessions {
@@ -77,11 +77,11 @@
         Self {
             context,
             capacity,
-            pairs: HashMap::new(),
+            peers: HashMap::new(),
             failures: HashMap::new(),
             tasks: JoinSet::new(),
-            throttle: Throttle::default(),
-            ended: Arc::default(),
+            drop_log: Throttle::default(),
+            rejection_log: Arc::default(),
         }
     }
 
@@ -90,81 +90,88 @@
     #[must_use]
     pub fn send(&mut self, to: &InstanceName, address: SocketAddr, stamp: Stamp, frame: Frame) -> bool {
         while self.tasks.try_join_next().is_some() {}
-        if let Some(link) = self.active(to) {
-            let is_up = link.incarnation.is_some();
-            let queued = link.queue.try_send((stamp, frame)).is_ok();
+        if let Some(session) = self.active(to) {
+            let is_established = session.incarnation.is_some();
+            let queued = session.queue.try_send((stamp, frame)).is_ok();
             // A session that is still being made fails by itself, with all that waits for it.
-            if !queued && is_up {
-                self.give_up(to);
+            if !queued && is_established {
+                self.drop_session(to);
             }
             return queued;
         }
-        if self.pairs.len() >= self.capacity {
+        if self.peers.len() >= self.capacity {
             metric::sessions_failed("limit").increment(1);
             return false;
         }
-        let link = self.connect(to, address);
-        let queued = link.queue.try_send((stamp, frame)).is_ok();
-        self.pairs.entry(to.clone()).or_default().active = Some(link);
+        let session = self.connect(to, address);
+        let queued = session.queue.try_send((stamp, frame)).is_ok();
+        self.peers.entry(to.clone()).or_default().active = Some(session);
         queued
     }
 
     /// Takes note of a change. Returns the instance whose frames may have been lost, if one is concerned.
-    pub fn change(&mut self, change: Change) -> Option<InstanceName> {
-        let lost = match change {
-            Change::Arrived { id, peer, queue, admit } => {
-                let link = Link {
+    pub fn handle_event(&mut self, event: SessionEvent) -> Option<InstanceName> {
+        let lost = match event {
+            SessionEvent::Accepted { id, peer, queue, admit } => {
+                let session = Session {
                     id,
                     incarnation: Some(peer.incarnation),
                     side: Side::Acceptor,
                     queue,
                 };
-                self.arrived(link, peer, admit)
+                self.on_accepted(session, peer, admit)
             }
-            Change::Authenticated { id, peer } => self.authenticated(id, peer),
-            Change::Ended { id, name, lost } => self.ended(id, name, lost),
+            SessionEvent::Authenticated { id, peer } => self.on_authenticated(id, peer),
+            SessionEvent::Ended { id, name, lost } => self.on_ended(id, name, lost),
         };
-        metric::sessions_up().set(self.up() as f64);
+        metric::sessions_up().set(self.established() as f64);
         lost
     }
 
     /// How many instances there are sessions with.
-    pub fn up(&self) -> usize {
-        let is_up = |pair: &&Pair| pair.active.as_ref().is_some_and(|link| link.incarnation.is_some());
-        self.pairs.values().filter(is_up).count()
+    pub fn established(&self) -> usize {
+        let is_established = |peer_sessions: &&PeerSessions| {
+            peer_sessions
+                .active
+                .as_ref()
+                .is_some_and(|session| session.incarnation.is_some())
+        };
+        self.peers.values().filter(is_established).count()
     }
 
     /// Gives all sessions up once they have sent what is queued, and names them.
-    pub fn release(&mut self) -> HashSet<LinkId> {
-        let pairs = std::mem::take(&mut self.pairs);
-        let links = pairs.into_values().flat_map(|pair| [pair.active, pair.spare]);
-        links.flatten().map(|link| link.id).collect()
+    pub fn release_all(&mut self) -> HashSet<SessionId> {
+        let peers = std::mem::take(&mut self.peers);
+        let sessions = peers
+            .into_values()
+            .flat_map(|peer_sessions| [peer_sessions.active, peer_sessions.secondary]);
+        sessions.flatten().map(|session| session.id).collect()
     }
 
-    fn active(&self, name: &InstanceName) -> Option<&Link> {
-        self.pairs.get(name)?.active.as_ref()
+    fn active(&self, name: &InstanceName) -> Option<&Session> {
+        self.peers.get(name)?.active.as_ref()
     }
 
-    fn give_up(&mut self, name: &InstanceName) {
-        self.pairs.remove(name);
+    fn drop_session(&mut self, name: &InstanceName) {
+        self.peers.remove(name);
         metric::sessions_ended("full").increment(1);
-        if let Some(held_back) = self.throttle.pass() {
+        if let Some(held_back) = self.drop_log.pass() {
             log::warn!("sessions: {name} takes no more frames, session dropped{held_back}");
         }
     }
 
-    fn connect(&mut self, to: &InstanceName, address: SocketAddr) -> Link {
-        let (queue, receiver) = mpsc::channel(link::QUEUE_LEN);
-        let id = LinkId::next();
-        let outgoing = Outward {
+    fn connect(&mut self, to: &InstanceName, address: SocketAddr) -> Session {
+        let (queue, receiver) = mpsc::channel(session::QUEUE_LEN);
+        let id = SessionId::next();
+        let outgoing = OutgoingSession {
             id,
-            to: to.clone(),
+            peer_name: to.clone(),
             address,
-            not_before: self.failures.get(to).map(|failure| failure.until),
-            ended: Arc::clone(&self.ended),
+            not_before: self.failures.get(to).map(|failure| failure.retry_at),
+            rejection_log: Arc::clone(&self.rejection_log),
         };
         self.tasks.spawn(outgoing.run(self.context.clone(), receiver));
-        Link {
+        Session {
             id,
             incarnation: None,
             side: Side::Initiator,
@@ -172,15 +179,15 @@
         }
     }
 
-    fn arrived(&mut self, link: Link, peer: Peer, admit: oneshot::Sender<()>) -> Option<InstanceName> {
-        let is_new = !self.pairs.contains_key(&peer.name);
-        if is_new && self.pairs.len() >= self.capacity {
+    fn on_accepted(&mut self, session: Session, peer: Peer, admit: oneshot::Sender<()>) -> Option<InstanceName> {
+        let is_new = !self.peers.contains_key(&peer.name);
+        if is_new && self.peers.len() >= self.capacity {
             metric::sessions_failed("limit").increment(1);
             return None;
         }
         self.failures.remove(&peer.name);
-        let pair = self.pairs.entry(peer.name.clone()).or_default();
-        let newest = pair.newest();
+        let peer_sessions = self.peers.entry(peer.name.clone()).or_default();
+        let newest = peer_sessions.newest();
         if newest > Some(peer.incarnation) {
             metric::sessions_failed("old_life").increment(1);
             return None;
@@ -189,49 +196,49 @@
         let _ended = admit.send(());
         metric::sessions_begun("incoming").increment(1);
         log::debug!("sessions: {} ({}) connected", peer.name, peer.incarnation);
-        let is_newer_life = newest.is_some_and(|newest| newest < peer.incarnation);
-        pair.add(link, is_newer_life).then_some(peer.name)
+        let is_newer_incarnation = newest.is_some_and(|newest| newest < peer.incarnation);
+        peer_sessions.add(session, is_newer_incarnation).then_some(peer.name)
     }
 
-    fn authenticated(&mut self, id: LinkId, peer: Peer) -> Option<InstanceName> {
+    fn on_authenticated(&mut self, id: SessionId, peer: Peer) -> Option<InstanceName> {
         self.failures.remove(&peer.name);
-        let pair = self.pairs.get_mut(&peer.name)?;
-        if pair.newest() > Some(peer.incarnation) {
-            pair.remove(id);
+        let peer_sessions = self.peers.get_mut(&peer.name)?;
+        if peer_sessions.newest() > Some(peer.incarnation) {
+            peer_sessions.remove(id);
             metric::sessions_failed("old_life").increment(1);
             return Some(peer.name);
         }
-        if let Some(link) = pair.link_mut(id) {
-            link.incarnation = Some(peer.incarnation);
+        if let Some(session) = peer_sessions.session_mut(id) {
+            session.incarnation = Some(peer.incarnation);
             metric::sessions_begun("outgoing").increment(1);
             log::debug!("sessions: connected to {} ({})", peer.name, peer.incarnation);
         }
         None
     }
 
-    fn ended(&mut self, id: LinkId, name: InstanceName, lost: bool) -> Option<InstanceName> {
-        let pair = self.pairs.get_mut(&name)?;
-        let removed = pair.remove(id)?;
-        if pair.active.is_none() {
-            self.pairs.remove(&name);
+    fn on_ended(&mut self, id: SessionId, name: InstanceName, lost: bool) -> Option<InstanceName> {
+        let peer_sessions = self.peers.get_mut(&name)?;
+        let removed = peer_sessions.remove(id)?;
+        if peer_sessions.active.is_none() {
+            self.peers.remove(&name);
         }
         if removed.incarnation.is_none() {
-            self.remember_failure(&name);
+            self.record_failure(&name);
         }
         lost.then_some(name)
     }
 
-    fn remember_failure(&mut self, name: &InstanceName) {
+    fn record_failure(&mut self, name: &InstanceName) {
         let now = Instant::now();
-        if self.failures.len() >= MAX_FAILURES {
-            self.failures.retain(|_, failure| failure.until > now);
+        if self.failures.len() >= MAX_TRACKED_FAILURES {
+            self.failures.retain(|_, failure| failure.retry_at > now);
         }
         let doublings = self.failures.get(name).map_or(0, |failure| failure.doublings + 1);
-        let pause = MIN_BACKOFF * 2_u32.pow(doublings.min(MAX_DOUBLINGS));
+        let delay = MIN_BACKOFF * 2_u32.pow(doublings.min(MAX_DOUBLINGS));
         let jitter = rand::random_range(0.5..1.0);
-        let failure = Failure {
+        let failure = ConnectFailure {
             doublings,
-            until: now + pause.min(MAX_BACKOFF).mul_f64(jitter),
+            retry_at: now + delay.min(MAX_BACKOFF).mul_f64(jitter),
         };
         self.failures.insert(name.clone(), failure);
     }
--- a/crates/jayquayd/src/sessions/connection.rs
+++ b/crates/jayquayd/src/sessions/connection.rs
@@ -16,7 +16,7 @@
 use super::handshake::MAX_MESSAGE_LEN;
 
 /// How long a connection and its handshake may take.
-pub(super) const HANDSHAKE_TIME: Duration = Duration::from_secs(2);
+pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// What a frame's message holds besides the frame, at most.
 const ENVELOPE_LEN: usize = 64;
 
@@ -28,42 +28,42 @@
 
 /// Connects to the instance at `address`.
 pub(super) async fn connect(address: SocketAddr, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
-    within_handshake_time(connect_slowly(address, own, keys)).await
+    with_handshake_timeout(connect_without_timeout(address, own, keys)).await
 }
 
 /// Takes a connection from whoever made it.
 pub(super) async fn accept(tcp: TcpStream, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
-    within_handshake_time(accept_slowly(tcp, own, keys)).await
+    with_handshake_timeout(accept_without_timeout(tcp, own, keys)).await
 }
 
-async fn within_handshake_time(
+async fn with_handshake_timeout(
     handshake: impl Future<Output = Result<Connection, Error>>,
 ) -> Result<Connection, Error> {
-    let result = tokio::time::timeout(HANDSHAKE_TIME, handshake).await;
+    let result = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
     result.unwrap_or(Err(Error::Timeout))
 }
 
-async fn connect_slowly(address: SocketAddr, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
+async fn connect_without_timeout(address: SocketAddr, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
     let tcp = TcpStream::connect(address).await.map_err(|_| Error::Connect)?;
     tcp.set_nodelay(true).map_err(|_| Error::Closed)?;
     let url = format!("ws://{address}/");
-    let config = Some(limited_to(MAX_FRAME_LEN + ENVELOPE_LEN));
+    let config = Some(config_with_max_len(MAX_FRAME_LEN + ENVELOPE_LEN));
     let handshake = tokio_tungstenite::client_async_with_config(url, tcp, config).await;
     let (mut ws, _response) = handshake.map_err(|_| Error::Closed)?;
     let other = handshake::initiate(&mut ws, own, keys).await?;
     Ok(Connection { other, ws })
 }
 
-async fn accept_slowly(tcp: TcpStream, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
+async fn accept_without_timeout(tcp: TcpStream, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
     tcp.set_nodelay(true).map_err(|_| Error::Closed)?;
     // A stranger may make this side hold no more than a handshake needs.
-    let narrow = Some(limited_to(MAX_MESSAGE_LEN));
-    let handshake = tokio_tungstenite::accept_async_with_config(tcp, narrow).await;
+    let handshake_config = Some(config_with_max_len(MAX_MESSAGE_LEN));
+    let handshake = tokio_tungstenite::accept_async_with_config(tcp, handshake_config).await;
     let mut ws = handshake.map_err(|_| Error::Closed)?;
     let other = handshake::accept(&mut ws, own, keys).await?;
     // The other side sends nothing between its proof and ours, so that no byte is lost with the narrow buffers.
-    let wide = Some(limited_to(MAX_FRAME_LEN + ENVELOPE_LEN));
-    let ws = WebSocketStream::from_raw_socket(ws.into_inner(), Role::Server, wide).await;
+    let session_config = Some(config_with_max_len(MAX_FRAME_LEN + ENVELOPE_LEN));
+    let ws = WebSocketStream::from_raw_socket(ws.into_inner(), Role::Server, session_config).await;
     Ok(Connection { other, ws })
 }
 
@@ -71,7 +71,7 @@
 /// library's own choice of 128 KiB for each direction would take 150 MB for that.
 const BUFFER_LEN: usize = 8 * 1_024;
 
-fn limited_to(len: usize) -> WebSocketConfig {
+fn config_with_max_len(len: usize) -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(BUFFER_LEN)
         .write_buffer_size(BUFFER_LEN)
--- a/crates/jayquayd/src/sessions/context.rs
+++ b/crates/jayquayd/src/sessions/context.rs
@@ -4,7 +4,7 @@
 
 use super::handshake::Identity;
 use super::handshake::Keys;
-use super::meetings::Meetings;
+use super::handshake_history::HandshakeHistory;
 use crate::intake::Intake;
 
 /// Who this instance is, and how it proves that.
@@ -17,5 +17,5 @@
     /// Where frames and changes go.
     pub intake: Intake,
     /// Whether others accept this instance.
-    pub meetings: Arc<Meetings>,
+    pub handshake_history: Arc<HandshakeHistory>,
 }
--- a/crates/jayquayd/src/sessions/handshake.rs
+++ b/crates/jayquayd/src/sessions/handshake.rs
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Error {
     /// The other side holds none of this instance's secrets.
-    Stranger,
+    NoCommonSecret,
     /// The other side speaks another version.
     Version,
     /// The other side is another instance than the one that was meant, or claims this instance's own name.
@@ -136,7 +136,7 @@
     /// The cause as a metric label and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Stranger => "stranger",
+            Self::NoCommonSecret => "stranger",
             Self::Version => "version",
             Self::WrongName => "wrong_name",
             Self::Malformed => "malformed",
@@ -223,7 +223,7 @@
                 return Ok(());
             }
         }
-        Err(Error::Stranger)
+        Err(Error::NoCommonSecret)
     }
 
     fn mac(&self, key: &[u8; 32], side: Side) -> Hash {
--- a/crates/jayquayd/src/sessions/listener.rs
+++ b/crates/jayquayd/src/sessions/listener.rs
@@ -16,12 +16,12 @@
 use super::connection::Connection;
 use super::context::Context;
 use super::handshake::Side;
-use super::link;
+use super::session;
 use crate::accept;
-use crate::change::Change;
-use crate::change::LinkId;
 use crate::intake::Input;
 use crate::metric;
+use crate::session_event::SessionEvent;
+use crate::session_event::SessionId;
 use crate::throttle::Throttle;
 
 /// How many connections may be in their handshake at a time.
@@ -29,63 +29,63 @@
 
 /// How many of them may come from one host, so that one that connects and says nothing leaves room for the others. An
 /// instance needs one or two.
-const MAX_FROM_ONE: usize = 16;
+const MAX_HANDSHAKES_PER_HOST: usize = 16;
 
 /// Room for handshakes, in all and from each host.
 #[derive(Debug, Default)]
-struct Room {
-    held: Mutex<HashMap<IpAddr, usize>>,
+struct HandshakeSlots {
+    in_use: Mutex<HashMap<IpAddr, usize>>,
 }
 
 /// A place that a handshake holds until this is dropped.
-struct Place {
-    room: Arc<Room>,
+struct HandshakeSlot {
+    slots: Arc<HandshakeSlots>,
     host: IpAddr,
 }
 
-impl Room {
-    fn held(&self) -> MutexGuard<'_, HashMap<IpAddr, usize>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+impl HandshakeSlots {
+    fn in_use(&self) -> MutexGuard<'_, HashMap<IpAddr, usize>> {
+        self.in_use.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A place for a handshake with a host. `None` if there is no room.
-    fn take(self: &Arc<Self>, host: IpAddr) -> Option<Place> {
-        let mut held = self.held();
-        let in_all: usize = held.values().sum();
-        let from_host = held.get(&host).copied().unwrap_or(0);
-        if in_all >= MAX_HANDSHAKES || from_host >= MAX_FROM_ONE {
+    fn acquire(self: &Arc<Self>, host: IpAddr) -> Option<HandshakeSlot> {
+        let mut in_use = self.in_use();
+        let total: usize = in_use.values().sum();
+        let from_host = in_use.get(&host).copied().unwrap_or(0);
+        if total >= MAX_HANDSHAKES || from_host >= MAX_HANDSHAKES_PER_HOST {
             return None;
         }
-        held.insert(host, from_host + 1);
-        Some(Place {
-            room: Arc::clone(self),
+        in_use.insert(host, from_host + 1);
+        Some(HandshakeSlot {
+            slots: Arc::clone(self),
             host,
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for HandshakeSlot {
     fn drop(&mut self) {
-        let mut held = self.room.held();
-        let Some(count) = held.get_mut(&self.host) else {
+        let mut in_use = self.slots.in_use();
+        let Some(count) = in_use.get_mut(&self.host) else {
             return;
         };
         *count -= 1;
         if *count == 0 {
-            held.remove(&self.host);
+            in_use.remove(&self.host);
         }
     }
 }
 
 /// Takes connections for ever.
 pub async fn listen(listener: TcpListener, context: Context) {
-    let room = Arc::new(Room::default());
+    let slots = Arc::new(HandshakeSlots::default());
     let throttle = Arc::new(Throttle::default());
     let mut tasks = JoinSet::new();
     loop {
         while tasks.try_join_next().is_some() {}
         let (tcp, from) = accept::next(&listener, "sessions").await;
-        let Some(place) = room.take(from.ip()) else {
+        let Some(slot) = slots.acquire(from.ip()) else {
             metric::sessions_failed("busy").increment(1);
             continue;
         };
@@ -93,11 +93,11 @@
         let throttle = Arc::clone(&throttle);
         tasks.spawn(async move {
             let result = connection::accept(tcp, &context.own, &context.keys).await;
-            drop(place);
+            drop(slot);
             match result {
                 Ok(connection) => {
-                    context.meetings.note_met();
-                    converse(connection, &context).await;
+                    context.handshake_history.record_success();
+                    run_session(connection, &context).await;
                 }
                 Err(error) => {
                     metric::sessions_failed(error.as_str()).increment(1);
@@ -110,24 +110,24 @@
     }
 }
 
-async fn converse(connection: Connection, context: &Context) {
+async fn run_session(connection: Connection, context: &Context) {
     let peer = connection.other.peer();
-    let id = LinkId::next();
-    let (sender, mut queue) = mpsc::channel(link::QUEUE_LEN);
+    let id = SessionId::next();
+    let (sender, mut queue) = mpsc::channel(session::QUEUE_LEN);
     let (admit, admitted) = oneshot::channel();
-    let arrived = Change::Arrived {
+    let accepted = SessionEvent::Accepted {
         id,
         peer: peer.clone(),
         queue: sender,
         admit,
     };
-    if context.intake.put(Input::Session(arrived)).await.is_err() || admitted.await.is_err() {
+    if context.intake.put(Input::Session(accepted)).await.is_err() || admitted.await.is_err() {
         return;
     }
-    let end = link::run(connection.ws, Side::Acceptor, &peer, &mut queue, &context.intake).await;
-    let ended = Change::Ended {
+    let end = session::run(connection.ws, Side::Acceptor, &peer, &mut queue, &context.intake).await;
+    let ended = SessionEvent::Ended {
         id,
-        lost: link::note_end(&peer, end, &mut queue),
+        lost: session::record_end(&peer, end, &mut queue),
         name: peer.name,
     };
     let _closed = context.intake.put(Input::Session(ended)).await;
--- a/crates/jayquayd/src/sessions/outward.rs
+++ b/crates/jayquayd/src/sessions/outgoing.rs
@@ -12,25 +12,25 @@
 use super::context::Context;
 use super::handshake;
 use super::handshake::Side;
-use super::link;
-use super::link::Outgoing;
-use crate::change::Change;
-use crate::change::LinkId;
+use super::session;
+use super::session::QueuedFrame;
 use crate::intake::Input;
 use crate::metric;
+use crate::session_event::SessionEvent;
+use crate::session_event::SessionId;
 use crate::throttle::Throttle;
 
 /// A session that this side makes.
-pub(super) struct Outward {
-    pub(super) id: LinkId,
-    pub(super) to: InstanceName,
+pub(super) struct OutgoingSession {
+    pub(super) id: SessionId,
+    pub(super) peer_name: InstanceName,
     pub(super) address: SocketAddr,
     pub(super) not_before: Option<Instant>,
-    pub(super) ended: Arc<Throttle>,
+    pub(super) rejection_log: Arc<Throttle>,
 }
 
-impl Outward {
-    pub(super) async fn run(self, context: Context, mut queue: mpsc::Receiver<Outgoing>) {
+impl OutgoingSession {
+    pub(super) async fn run(self, context: Context, mut queue: mpsc::Receiver<QueuedFrame>) {
         if let Some(not_before) = self.not_before {
             tokio::time::sleep_until(not_before).await;
         }
@@ -38,55 +38,60 @@
         let result = result.and_then(|connection| self.check_name(connection));
         let lost = match result {
             Ok(connection) => {
-                context.meetings.note_met();
-                self.converse(connection, &context, &mut queue).await
+                context.handshake_history.record_success();
+                self.run_session(connection, &context, &mut queue).await
             }
             Err(error) => {
                 metric::sessions_failed(error.as_str()).increment(1);
                 if error == handshake::Error::Closed {
-                    context.meetings.note_ended();
+                    context.handshake_history.record_rejection();
                 }
-                self.note(error);
+                self.log_failure(error);
                 true
             }
         };
-        let change = Change::Ended {
+        let event = SessionEvent::Ended {
             id: self.id,
-            name: self.to,
+            name: self.peer_name,
             lost,
         };
-        let _closed = context.intake.put(Input::Session(change)).await;
+        let _closed = context.intake.put(Input::Session(event)).await;
     }
 
     /// Who refuses a stranger ends the handshake without a word, so that this side can only ask about its secrets.
-    fn note(&self, error: handshake::Error) {
-        let Self { to, address, .. } = self;
-        log::debug!("sessions: no session with {to} at {address}: {error}");
+    fn log_failure(&self, error: handshake::Error) {
+        let Self { peer_name, address, .. } = self;
+        log::debug!("sessions: no session with {peer_name} at {address}: {error}");
         if error != handshake::Error::Closed {
             return;
         }
-        if let Some(held_back) = self.ended.pass() {
-            log::warn!("sessions: {to} at {address} ended the handshake; are the secrets the same?{held_back}");
+        if let Some(held_back) = self.rejection_log.pass() {
+            log::warn!("sessions: {peer_name} at {address} ended the handshake; are the secrets the same?{held_back}");
         }
     }
 
     fn check_name(&self, connection: Connection) -> Result<Connection, handshake::Error> {
-        if connection.other.name != self.to {
+        if connection.other.name != self.peer_name {
             return Err(handshake::Error::WrongName);
         }
         Ok(connection)
     }
 
-    async fn converse(&self, connection: Connection, context: &Context, queue: &mut mpsc::Receiver<Outgoing>) -> bool {
+    async fn run_session(
+        &self,
+        connection: Connection,
+        context: &Context,
+        queue: &mut mpsc::Receiver<QueuedFrame>,
+    ) -> bool {
         let peer = connection.other.peer();
-        let change = Change::Authenticated {
+        let event = SessionEvent::Authenticated {
             id: self.id,
             peer: peer.clone(),
         };
-        if context.intake.put(Input::Session(change)).await.is_err() {
+        if context.intake.put(Input::Session(event)).await.is_err() {
             return true;
         }
-        let end = link::run(connection.ws, Side::Initiator, &peer, queue, &context.intake).await;
-        link::note_end(&peer, end, queue)
+        let end = session::run(connection.ws, Side::Initiator, &peer, queue, &context.intake).await;
+        session::record_end(&peer, end, queue)
     }
 }
--- a/crates/jayquayd/src/sessions/link.rs
+++ b/crates/jayquayd/src/sessions/session.rs
@@ -36,23 +36,23 @@
 /// How long after unanswered frames a ping is sent.
 const PING_AFTER: Duration = Duration::from_secs(2);
 /// How long after unanswered frames a session is given up.
-const DEAD_AFTER: Duration = Duration::from_secs(6);
+const PEER_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long one flush may take.
-const FLUSH_TIME: Duration = Duration::from_secs(5);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a session may be idle before the side that made it closes it.
 ///
 /// Each member probes the others in turn, two a second, so of 600 it comes back to one after five minutes. A session that
 /// ends before then costs a handshake for each probe.
-const IDLE_TIME: Duration = Duration::from_mins(15);
+const IDLE_TIMEOUT: Duration = Duration::from_mins(15);
 /// How often silence is checked.
-const CHECK_TIME: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long the other side may take to confirm a close.
-const CLOSE_TIME: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The length of a stamp, in bytes.
 const STAMP_LEN: usize = 8;
 
 /// A frame on its way out.
-pub(super) type Outgoing = (Stamp, Frame);
+pub(super) type QueuedFrame = (Stamp, Frame);
 
 /// Why a session ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,7 +60,7 @@
     /// Nothing was said for long, and this side closed it.
     Idle,
     /// The other side closed it for lack of use.
-    Left,
+    ClosedByPeer,
     /// The connection ended.
     Closed,
     /// The other side no longer answers.
@@ -74,7 +74,7 @@
 impl End {
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            Self::Idle | Self::Left => "idle",
+            Self::Idle | Self::ClosedByPeer => "idle",
             Self::Closed => "closed",
             Self::Silent => "silent",
             Self::Stalled => "stalled",
@@ -83,8 +83,8 @@
     }
 
     /// Whether the end says nothing about the other side's health.
-    pub(super) fn is_quiet(self) -> bool {
-        matches!(self, Self::Idle | Self::Left)
+    pub(super) fn is_graceful(self) -> bool {
+        matches!(self, Self::Idle | Self::ClosedByPeer)
     }
 }
 
@@ -92,17 +92,17 @@
 struct Activity {
     start: Instant,
     /// When the first frame was sent that nothing has been heard since; zero if there is none.
-    unanswered: AtomicU64,
+    unanswered_since: AtomicU64,
     /// When a frame was last sent or received.
-    used: AtomicU64,
+    last_frame_at: AtomicU64,
 }
 
 impl Activity {
     fn new() -> Self {
         Self {
             start: Instant::now(),
-            unanswered: AtomicU64::new(0),
-            used: AtomicU64::new(0),
+            unanswered_since: AtomicU64::new(0),
+            last_frame_at: AtomicU64::new(0),
         }
     }
 
@@ -112,36 +112,42 @@
             .max(1)
     }
 
-    fn heard(&self) {
-        self.unanswered.store(0, Ordering::Relaxed);
+    fn note_heard(&self) {
+        self.unanswered_since.store(0, Ordering::Relaxed);
     }
 
-    fn sent(&self) {
+    fn note_sent(&self) {
         let now = self.now();
-        self.used.store(now, Ordering::Relaxed);
-        if self.unanswered.load(Ordering::Relaxed) == 0 {
-            self.unanswered.store(now, Ordering::Relaxed);
+        self.last_frame_at.store(now, Ordering::Relaxed);
+        if self.unanswered_since.load(Ordering::Relaxed) == 0 {
+            self.unanswered_since.store(now, Ordering::Relaxed);
         }
     }
 
-    fn received(&self) {
-        self.used.store(self.now(), Ordering::Relaxed);
+    fn note_received(&self) {
+        self.last_frame_at.store(self.now(), Ordering::Relaxed);
     }
 
-    fn silence(&self) -> Duration {
-        match self.unanswered.load(Ordering::Relaxed) {
+    fn silent_for(&self) -> Duration {
+        match self.unanswered_since.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
             since => Duration::from_millis(self.now().saturating_sub(since)),
         }
     }
 
-    fn idle(&self) -> Duration {
-        Duration::from_millis(self.now().saturating_sub(self.used.load(Ordering::Relaxed)))
+    fn idle_for(&self) -> Duration {
+        Duration::from_millis(self.now().saturating_sub(self.last_frame_at.load(Ordering::Relaxed)))
     }
 }
 
 /// Runs a session until it ends. Frames that come are put into the intake; those in `queue` are sent.
-pub(super) async fn run<W>(ws: W, side: Side, peer: &Peer, queue: &mut mpsc::Receiver<Outgoing>, intake: &Intake) -> End
+pub(super) async fn run<W>(
+    ws: W,
+    side: Side,
+    peer: &Peer,
+    queue: &mut mpsc::Receiver<QueuedFrame>,
+    intake: &Intake,
+) -> End
 where
     W: Stream<Item = tungstenite::Result<Message>> + Sink<Message, Error = tungstenite::Error>,
 {
@@ -158,7 +164,7 @@
     };
     if end == End::Idle {
         // What the other side sent before it learnt of the close is still taken.
-        let _late = tokio::time::timeout(CLOSE_TIME, reading).await;
+        let _late = tokio::time::timeout(CLOSE_TIMEOUT, reading).await;
     }
     end
 }
@@ -171,14 +177,14 @@
         let Some(Ok(message)) = stream.next().await else {
             return End::Closed;
         };
-        activity.heard();
+        activity.note_heard();
         let bytes = match message {
             Message::Binary(bytes) => bytes,
-            Message::Close(Some(frame)) if frame.code == CloseCode::Normal => return End::Left,
+            Message::Close(Some(frame)) if frame.code == CloseCode::Normal => return End::ClosedByPeer,
             Message::Close(_) => return End::Closed,
             _ => continue,
         };
-        activity.received();
+        activity.note_received();
         metric::frames_received().increment(1);
         metric::frame_bytes_received().increment(bytes.len() as u64);
         // Room is taken before the frame is read, so that what waits is bounded in bytes as well.
@@ -201,13 +207,13 @@
     }
 }
 
-async fn write<W>(sink: &mut W, side: Side, queue: &mut mpsc::Receiver<Outgoing>, activity: &Activity) -> End
+async fn write<W>(sink: &mut W, side: Side, queue: &mut mpsc::Receiver<QueuedFrame>, activity: &Activity) -> End
 where
     W: Sink<Message, Error = tungstenite::Error> + Unpin,
 {
     let mut batch = Vec::with_capacity(BATCH_LEN);
-    let mut check = tokio::time::interval(CHECK_TIME);
-    let mut pinged = false;
+    let mut check = tokio::time::interval(CHECK_INTERVAL);
+    let mut has_pinged = false;
     loop {
         let count = tokio::select! {
             count = queue.recv_many(&mut batch, BATCH_LEN) => Some(count),
@@ -216,15 +222,15 @@
         let sent = match count {
             Some(0) => return End::Replaced,
             Some(_) => {
-                activity.sent();
+                activity.note_sent();
                 send_all(sink, &mut batch).await
             }
-            None if activity.silence() > DEAD_AFTER => return End::Silent,
-            None if activity.silence() > PING_AFTER && !pinged => {
-                pinged = true;
+            None if activity.silent_for() > PEER_TIMEOUT => return End::Silent,
+            None if activity.silent_for() > PING_AFTER && !has_pinged => {
+                has_pinged = true;
                 flush_one(sink, Message::Ping(Bytes::new())).await
             }
-            None if side == Side::Initiator && activity.idle() > IDLE_TIME => {
+            None if side == Side::Initiator && activity.idle_for() > IDLE_TIMEOUT => {
                 let close = CloseFrame {
                     code: CloseCode::Normal,
                     reason: "idle".into(),
@@ -233,7 +239,7 @@
                 return End::Idle;
             }
             None => {
-                pinged &= activity.silence() > PING_AFTER;
+                has_pinged &= activity.silent_for() > PING_AFTER;
                 Ok(())
             }
         };
@@ -243,7 +249,7 @@
     }
 }
 
-async fn send_all<W>(sink: &mut W, batch: &mut Vec<Outgoing>) -> Result<(), End>
+async fn send_all<W>(sink: &mut W, batch: &mut Vec<QueuedFrame>) -> Result<(), End>
 where
     W: Sink<Message, Error = tungstenite::Error> + Unpin,
 {
@@ -262,18 +268,18 @@
         }
         sink.flush().await
     };
-    within_flush_time(sending).await
+    with_flush_timeout(sending).await
 }
 
 async fn flush_one<W>(sink: &mut W, message: Message) -> Result<(), End>
 where
     W: Sink<Message, Error = tungstenite::Error> + Unpin,
 {
-    within_flush_time(sink.send(message)).await
+    with_flush_timeout(sink.send(message)).await
 }
 
-async fn within_flush_time(sending: impl Future<Output = tungstenite::Result<()>>) -> Result<(), End> {
-    match tokio::time::timeout(FLUSH_TIME, sending).await {
+async fn with_flush_timeout(sending: impl Future<Output = tungstenite::Result<()>>) -> Result<(), End> {
+    match tokio::time::timeout(FLUSH_TIMEOUT, sending).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) => Err(End::Closed),
         Err(_) => Err(End::Stalled),
@@ -293,10 +299,10 @@
 }
 
 /// Counts the end of a session, and tells whether frames may have been lost with it.
-pub(super) fn note_end(peer: &Peer, end: End, queue: &mut mpsc::Receiver<Outgoing>) -> bool {
+pub(super) fn record_end(peer: &Peer, end: End, queue: &mut mpsc::Receiver<QueuedFrame>) -> bool {
     metric::sessions_ended(end.as_str()).increment(1);
     log::debug!("sessions: session with {} ended: {}", peer.name, end.as_str());
     queue.close();
     let is_empty = queue.try_recv().is_err();
-    !(end.is_quiet() && is_empty)
+    !(end.is_graceful() && is_empty)
 }
--- a/crates/jayquayd/tests/admin.rs
+++ b/crates/jayquayd/tests/admin.rs
@@ -33,7 +33,7 @@
             admin: address,
         },
         metrics: None,
-        meetings: Arc::default(),
+        handshake_history: Arc::default(),
     };
     tokio::spawn(admin::serve(listener, context));
     (address, queues)
--- a/crates/jayquayd/tests/handshake.rs
+++ b/crates/jayquayd/tests/handshake.rs
@@ -94,7 +94,7 @@
     let own = identity("one");
     let keys = keys("a");
     let (result, ()) = tokio::join!(handshake::initiate(&mut client, &own, &keys), impostor);
-    assert_eq!(result, Err(Error::Stranger));
+    assert_eq!(result, Err(Error::NoCommonSecret));
 }
 
 #[tokio::test]
@@ -120,7 +120,7 @@
         send(&mut client, &recorded).await;
     };
     let ((), result) = tokio::join!(replay, handshake::accept(&mut server, &own, &keys));
-    assert_eq!(result, Err(Error::Stranger));
+    assert_eq!(result, Err(Error::NoCommonSecret));
 }
 
 #[tokio::test]
--- a/crates/jayquayd/tests/sessions.rs
+++ b/crates/jayquayd/tests/sessions.rs
@@ -62,7 +62,7 @@
             own,
             keys: Keys::new(&secret.repeat(32).parse().unwrap(), &[]),
             intake,
-            meetings: Arc::default(),
+            handshake_history: Arc::default(),
         };
         let mut listening = JoinSet::new();
         listening.spawn(sessions::listen(listener, context.clone()));
@@ -95,8 +95,8 @@
                         peer.name, peer.incarnation, arrival.stamp.0
                     );
                 }
-                Input::Session(change) => {
-                    if let Some(name) = self.sessions.change(change) {
+                Input::Session(event) => {
+                    if let Some(name) = self.sessions.handle_event(event) {
                         return format!("lost {name}");
                     }
                 }
@@ -124,7 +124,7 @@
     assert_eq!(two.next().await, "one (1) sent 11 at 11");
     assert!(two.send(&one, 20));
     assert_eq!(one.next().await, "two (2) sent 20 at 20");
-    assert_eq!((one.sessions.up(), two.sessions.up()), (1, 1));
+    assert_eq!((one.sessions.established(), two.sessions.established()), (1, 1));
 }
 
 #[tokio::test]
@@ -181,7 +181,7 @@
     // The one that connects is hung up on, and told so.
     assert!(three.send(&one, 30));
     assert_eq!(three.next_unheard_by(&mut one).await, "lost one");
-    assert_eq!(one.sessions.up(), 1);
+    assert_eq!(one.sessions.established(), 1);
 }
 
 #[tokio::test]
@@ -215,17 +215,17 @@
     let keys = Keys::new(&"a".repeat(32).parse().unwrap(), &[]);
     handshake::initiate(&mut ws, &own, &keys).await.unwrap();
     let arrived = one.queues.control.recv().await;
-    let Some(Input::Session(change)) = arrived else {
+    let Some(Input::Session(event)) = arrived else {
         panic!("unexpected: {arrived:?}");
     };
-    assert_eq!(one.sessions.change(change), None);
-    assert_eq!(one.sessions.up(), 1);
+    assert_eq!(one.sessions.handle_event(event), None);
+    assert_eq!(one.sessions.established(), 1);
     let frame = Frame::Want(Some(Revision(10)));
     assert!(one.sessions.send(&own.name, own.address, Stamp(10), frame));
     // From here on the other side neither reads nor answers, and keeps its connection open.
     tokio::time::pause();
     assert_eq!(one.next().await, "lost two");
-    assert_eq!(one.sessions.up(), 0);
+    assert_eq!(one.sessions.established(), 0);
     drop(ws);
 }
 
@@ -243,7 +243,7 @@
         .expect("it ends in time");
     assert!(!matches!(end, Some(Ok(Message::Binary(_)))), "{end:?}");
     assert!(one.queues.control.is_empty());
-    assert_eq!(one.sessions.up(), 0);
+    assert_eq!(one.sessions.established(), 0);
     one.listening.abort_all();
 }
 
