--- a/crates/jayquayd/src/accept.rs
+++ b/crates/jayquayd/src/accept.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 
 /// How long to wait after the system refused to take a connection, as when file descriptors are used up.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The next connection. `part` begins the log lines.
 pub(crate) async fn next(listener: &TcpListener, part: &str) -> (TcpStream, SocketAddr) {
@@ -16,7 +16,7 @@
             Ok(accepted) => return accepted,
             Err(error) => {
                 log::warn!("{part}: no connection could be taken: {error}");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/jayquayd/src/admin.rs
+++ b/crates/jayquayd/src/admin.rs
@@ -30,15 +30,15 @@
 use crate::accept;
 use crate::addresses::Addresses;
 use crate::clock::Clock;
-use crate::intake::Intake;
+use crate::input::InputSender;
 use crate::sessions::HandshakeHistory;
-use crate::throttle::Throttle;
+use crate::throttle::LogThrottle;
 use crate::timeline::Seq;
 
 /// How long the engine may take to answer before the process counts as not alive.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
+const ENGINE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a connection may last, from its beginning to the last byte of its answer.
-const CONNECTION_TIME: Duration = Duration::from_secs(15);
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(15);
 /// How many connections there may be at a time, so that those who ask leave file descriptors for sessions and calls.
 const MAX_CONNECTIONS: usize = 64;
 
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub struct Context {
     /// Reaches the engine.
-    pub intake: Intake,
+    pub input_sender: InputSender,
     /// Tells how long the process runs.
     pub clock: Clock,
     /// Where the process listens.
@@ -108,7 +108,7 @@
 
 /// The answer of `/ready`.
 #[derive(Debug, Serialize)]
-struct Ready {
+struct ReadyResponse {
     ready: bool,
     state: Readiness,
 }
@@ -131,7 +131,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Since {
+struct TimelineQuery {
     #[serde(default)]
     since: Seq,
 }
@@ -139,15 +139,15 @@
 /// Answers requests for ever. A connection carries one request, and ends within 15 seconds.
 pub async fn serve(listener: TcpListener, context: Context) {
     let router = router(context);
-    let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    let throttle = Throttle::default();
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let throttle = LogThrottle::default();
     let mut tasks = JoinSet::new();
     loop {
         while tasks.try_join_next().is_some() {}
         let (tcp, from) = accept::next(&listener, "admin").await;
-        let Ok(permit) = Arc::clone(&room).try_acquire_owned() else {
-            if let Some(held_back) = throttle.pass() {
-                log::warn!("admin: too many connections, refused {from}{held_back}");
+        let Ok(permit) = Arc::clone(&slots).try_acquire_owned() else {
+            if let Some(suppressed) = throttle.allow() {
+                log::warn!("admin: too many connections, refused {from}{suppressed}");
             }
             continue;
         };
@@ -156,7 +156,7 @@
             let mut server = http1::Builder::new();
             let connection = server.keep_alive(false).serve_connection(TokioIo::new(tcp), service);
             // Whoever asked may hang up, or be too slow for the time that a connection has.
-            let _ended = tokio::time::timeout(CONNECTION_TIME, connection).await;
+            let _ended = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
             drop(permit);
         });
     }
@@ -172,19 +172,21 @@
         .with_state(context)
 }
 
-async fn ask(context: &Context) -> Option<Status> {
-    tokio::time::timeout(ANSWER_TIME, context.intake.status()).await.ok()?
+async fn query_status(context: &Context) -> Option<Status> {
+    tokio::time::timeout(ENGINE_TIMEOUT, context.input_sender.status())
+        .await
+        .ok()?
 }
 
 async fn live(State(context): State<Context>) -> StatusCode {
-    match ask(&context).await {
+    match query_status(&context).await {
         Some(_) => StatusCode::OK,
         None => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
 async fn ready(State(context): State<Context>) -> Response {
-    let Some(status) = ask(&context).await else {
+    let Some(status) = query_status(&context).await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
     let state = Readiness::of(&status, context.handshake_history.is_rejected());
@@ -194,11 +196,11 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    (code, Json(Ready { ready, state })).into_response()
+    (code, Json(ReadyResponse { ready, state })).into_response()
 }
 
 async fn status(State(context): State<Context>) -> Response {
-    let Some(status) = ask(&context).await else {
+    let Some(status) = query_status(&context).await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
     let uptime = context.clock.uptime();
@@ -214,9 +216,9 @@
 }
 
 /// One JSON object a line, oldest first. A caller goes on from the last number it got.
-async fn timeline(State(context): State<Context>, Query(query): Query<Since>) -> Response {
-    let asked = tokio::time::timeout(ANSWER_TIME, context.intake.timeline(query.since)).await;
-    let Ok(Some(page)) = asked else {
+async fn timeline(State(context): State<Context>, Query(query): Query<TimelineQuery>) -> Response {
+    let queried = tokio::time::timeout(ENGINE_TIMEOUT, context.input_sender.timeline(query.since)).await;
+    let Ok(Some(page)) = queried else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
     let mut lines = String::new();
--- a/crates/jayquayd/src/bucket.rs
+++ b/crates/jayquayd/src/bucket.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bucket {
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl Bucket {
@@ -26,15 +26,15 @@
     pub fn new(rate: Rate, now: Time) -> Self {
         Self {
             tokens: rate.burst.into(),
-            filled: now,
+            refilled_at: now,
         }
     }
 
     /// Takes a token if there is one, and tells whether there was.
-    pub fn take(&mut self, rate: Rate, now: Time) -> bool {
-        let gained = now.since(self.filled).as_secs_f64() * f64::from(rate.per_second);
-        self.tokens = (self.tokens + gained).min(rate.burst.into());
-        self.filled = now;
+    pub fn try_take(&mut self, rate: Rate, now: Time) -> bool {
+        let refill = now.since(self.refilled_at).as_secs_f64() * f64::from(rate.per_second);
+        self.tokens = (self.tokens + refill).min(rate.burst.into());
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             return false;
         }
@@ -48,43 +48,43 @@
 /// Sources are held in two generations. When the younger one is half of the capacity, the older one is let go, so
 /// that each step takes constant time. A source that is let go starts again with a full bucket.
 #[derive(Debug)]
-pub struct Table {
+pub struct SourceBuckets {
     rate: Rate,
     capacity: usize,
-    young: HashMap<SocketAddr, Bucket>,
-    old: HashMap<SocketAddr, Bucket>,
+    young_generation: HashMap<SocketAddr, Bucket>,
+    old_generation: HashMap<SocketAddr, Bucket>,
 }
 
-impl Table {
+impl SourceBuckets {
     /// An empty table.
     pub fn new(rate: Rate, capacity: usize) -> Self {
         Self {
             rate,
             capacity,
-            young: HashMap::new(),
-            old: HashMap::new(),
+            young_generation: HashMap::new(),
+            old_generation: HashMap::new(),
         }
     }
 
     /// Takes a token of `source` if it has one, and tells whether it had.
-    pub fn take(&mut self, source: SocketAddr, now: Time) -> bool {
+    pub fn try_take(&mut self, source: SocketAddr, now: Time) -> bool {
         let rate = self.rate;
-        if let Some(bucket) = self.young.get_mut(&source) {
-            return bucket.take(rate, now);
+        if let Some(bucket) = self.young_generation.get_mut(&source) {
+            return bucket.try_take(rate, now);
         }
-        if self.young.len() >= self.capacity / 2 {
-            self.old = std::mem::take(&mut self.young);
+        if self.young_generation.len() >= self.capacity / 2 {
+            self.old_generation = std::mem::take(&mut self.young_generation);
         }
-        let bucket = self.old.remove(&source);
+        let bucket = self.old_generation.remove(&source);
         let mut bucket = bucket.unwrap_or_else(|| Bucket::new(rate, now));
-        let taken = bucket.take(rate, now);
-        self.young.insert(source, bucket);
-        taken
+        let is_taken = bucket.try_take(rate, now);
+        self.young_generation.insert(source, bucket);
+        is_taken
     }
 
     /// How many sources are held.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.young_generation.len() + self.old_generation.len()
     }
 
     /// Whether no source is held.
--- a/crates/jayquayd/src/callers.rs
+++ b/crates/jayquayd/src/callers.rs
@@ -12,12 +12,12 @@
 
 use crate::bucket::Bucket;
 use crate::bucket::Rate;
-use crate::bucket::Table;
+use crate::bucket::SourceBuckets;
 use crate::clock::Clock;
-use crate::intake::Datagram;
-use crate::intake::Intake;
+use crate::input::Datagram;
+use crate::input::InputSender;
 use crate::metric;
-use crate::throttle::Throttle;
+use crate::throttle::LogThrottle;
 
 /// How often datagrams are taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,18 +27,18 @@
     /// In all.
     pub total: Rate,
     /// How many sources are told apart.
-    pub sources: usize,
+    pub max_sources: usize,
 }
 
 /// Sends replies to callers.
 #[derive(Debug, Clone)]
-pub struct Replier {
+pub struct ReplySender {
     socket: Arc<UdpSocket>,
 }
 
-impl Replier {
+impl ReplySender {
     /// Sends a reply. It is dropped when the socket's buffer is full: callers retransmit.
-    pub fn reply(&self, to: SocketAddr, reply: &Reply) {
+    pub fn send(&self, to: SocketAddr, reply: &Reply) {
         let bytes = wire::encode_reply(reply);
         match self.socket.try_send_to(&bytes, to) {
             Ok(_) => metric::replies_sent().increment(1),
@@ -49,48 +49,48 @@
 
 /// Takes datagrams of callers.
 #[derive(Debug)]
-pub struct Receiver {
+pub struct DatagramReceiver {
     socket: Arc<UdpSocket>,
     clock: Clock,
     limits: Limits,
-    sources: Table,
-    total: Bucket,
-    throttle: Throttle,
+    source_buckets: SourceBuckets,
+    total_bucket: Bucket,
+    throttle: LogThrottle,
 }
 
 /// Splits a socket into its two directions.
-pub fn split(socket: UdpSocket, clock: Clock, limits: Limits) -> (Receiver, Replier) {
+pub fn split(socket: UdpSocket, clock: Clock, limits: Limits) -> (DatagramReceiver, ReplySender) {
     let socket = Arc::new(socket);
-    let replier = Replier {
+    let reply_sender = ReplySender {
         socket: Arc::clone(&socket),
     };
-    let receiver = Receiver {
+    let receiver = DatagramReceiver {
         socket,
         clock,
         limits,
-        sources: Table::new(limits.per_source, limits.sources),
-        total: Bucket::new(limits.total, clock.now()),
-        throttle: Throttle::default(),
+        source_buckets: SourceBuckets::new(limits.per_source, limits.max_sources),
+        total_bucket: Bucket::new(limits.total, clock.now()),
+        throttle: LogThrottle::default(),
     };
-    (receiver, replier)
+    (receiver, reply_sender)
 }
 
-impl Receiver {
+impl DatagramReceiver {
     /// Takes datagrams for ever.
-    pub async fn run(mut self, intake: Intake) {
+    pub async fn run(mut self, input_sender: InputSender) {
         // One byte more than allowed tells a datagram that is too long from one that just fits.
         let mut buffer = [0; MAX_PACKET_LEN + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((len, from)) => self.take(&buffer[..len], from, &intake),
+                Ok((len, from)) => self.handle_datagram(&buffer[..len], from, &input_sender),
                 Err(error) => self.log_error(&error),
             }
         }
     }
 
-    fn take(&mut self, bytes: &[u8], from: SocketAddr, intake: &Intake) {
+    fn handle_datagram(&mut self, bytes: &[u8], from: SocketAddr, input_sender: &InputSender) {
         metric::datagrams_received().increment(1);
-        if let Some(cause) = self.refusal(bytes, from) {
+        if let Some(cause) = self.limit_exceeded(bytes, from) {
             self.drop_datagram(cause, from);
             return;
         }
@@ -98,50 +98,53 @@
             from,
             bytes: bytes.to_vec(),
         };
-        if !intake.datagram(datagram) {
-            self.drop_datagram(Cause::Busy, from);
+        if !input_sender.try_send_datagram(datagram) {
+            self.drop_datagram(DropCause::Busy, from);
         }
     }
 
-    fn refusal(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Cause> {
+    fn limit_exceeded(&mut self, bytes: &[u8], from: SocketAddr) -> Option<DropCause> {
         if bytes.len() > MAX_PACKET_LEN {
-            return Some(Cause::TooLong);
+            return Some(DropCause::TooLong);
         }
         let now = self.clock.now();
-        if !self.sources.take(from, now) {
-            return Some(Cause::SourceRate);
+        if !self.source_buckets.try_take(from, now) {
+            return Some(DropCause::SourceRate);
         }
-        if !self.total.take(self.limits.total, now) {
-            return Some(Cause::TotalRate);
+        if !self.total_bucket.try_take(self.limits.total, now) {
+            return Some(DropCause::TotalRate);
         }
         None
     }
 
-    fn drop_datagram(&self, cause: Cause, from: SocketAddr) {
+    fn drop_datagram(&self, cause: DropCause, from: SocketAddr) {
         metric::datagrams_dropped(cause.as_str()).increment(1);
-        if let Some(held_back) = self.throttle.pass() {
-            log::warn!("callers: dropped a datagram from {from}: {}{held_back}", cause.as_str());
+        if let Some(suppressed) = self.throttle.allow() {
+            log::warn!(
+                "callers: dropped a datagram from {from}: {}{suppressed}",
+                cause.as_str()
+            );
         }
     }
 
     fn log_error(&self, error: &io::Error) {
         // An ICMP refusal of an earlier reply shows up here; it says nothing of the socket.
-        if let Some(held_back) = self.throttle.pass() {
-            log::debug!("callers: receive failed: {error}{held_back}");
+        if let Some(suppressed) = self.throttle.allow() {
+            log::debug!("callers: receive failed: {error}{suppressed}");
         }
     }
 }
 
 /// Why a datagram was dropped unread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
+enum DropCause {
     TooLong,
     SourceRate,
     TotalRate,
     Busy,
 }
 
-impl Cause {
+impl DropCause {
     fn as_str(self) -> &'static str {
         match self {
             Self::TooLong => "too_long",
--- a/crates/jayquayd/src/clock.rs
+++ b/crates/jayquayd/src/clock.rs
@@ -17,23 +17,23 @@
 /// Tells the time: the wall clock at the start, counted on by the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    wall: Time,
+    wall_at_start: Time,
     start: Instant,
 }
 
 impl Clock {
     /// Reads the wall clock.
     pub fn start() -> Self {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let wall_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self {
-            wall: Time::default() + wall,
+            wall_at_start: Time::default() + wall_at_start,
             start: Instant::now(),
         }
     }
 
     /// The time now. It never runs backwards.
     pub fn now(&self) -> Time {
-        self.wall + self.start.elapsed()
+        self.wall_at_start + self.start.elapsed()
     }
 
     /// How long ago the process started.
@@ -45,7 +45,7 @@
     ///
     /// It is higher than that of an earlier life as long as the wall clock was not set back between the two starts.
     pub fn incarnation(&self) -> Incarnation {
-        let millis = self.wall.0 / 1_000;
+        let millis = self.wall_at_start.0 / 1_000;
         let random = rand::random::<u64>() >> (u64::BITS - RANDOM_BITS);
         Incarnation((millis << RANDOM_BITS) | random)
     }
--- a/crates/jayquayd/src/daemon.rs
+++ b/crates/jayquayd/src/daemon.rs
@@ -24,25 +24,25 @@
 use crate::bucket::Rate;
 use crate::callers;
 use crate::clock::Clock;
+use crate::engine::Components;
 use crate::engine::End;
 use crate::engine::Engine;
-use crate::engine::Parts;
-use crate::feed::Feed;
-use crate::feed::Wish;
-use crate::intake::Intake;
-use crate::intake::Queues;
+use crate::feed::DesiredState;
+use crate::feed::PlatformSync;
+use crate::input::InputQueues;
+use crate::input::InputSender;
 use crate::sessions;
 use crate::sessions::Sessions;
 use crate::sessions::handshake::Identity;
 use crate::sessions::handshake::Keys;
 use crate::summary;
-use crate::timeline::Ring;
+use crate::timeline::TimelineBuffer;
 use crate::upstreams::Upstreams;
 
 /// How many entries of the time line are kept.
-const TIMELINE_LEN: usize = 20_000;
+const TIMELINE_CAPACITY: usize = 20_000;
 /// How many sources of datagrams are told apart.
-const SOURCES: usize = 65_536;
+const MAX_SOURCES: usize = 65_536;
 
 /// Why a process could not start.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
 pub struct Handle {
     addresses: Addresses,
     incarnation: Incarnation,
-    intake: Intake,
+    input_sender: InputSender,
     running: JoinSet<End>,
 }
 
@@ -87,12 +87,12 @@
     /// Begins a planned stop.
     pub async fn stop(&self) {
         // An engine that is gone needs no stop.
-        let _closed = self.intake.event(Event::Stop).await;
+        let _closed = self.input_sender.send_event(Event::Stop).await;
     }
 
     /// What the node tells of itself, unless it has ended.
     pub async fn status(&self) -> Option<node::Status> {
-        self.intake.status().await
+        self.input_sender.status().await
     }
 
     /// Waits until it has ended.
@@ -147,15 +147,15 @@
         zone: settings.zone.clone(),
         address: settings.advertise.instances.unwrap_or(addresses.instances),
     };
-    let (intake, queues) = Intake::new();
+    let (input_sender, queues) = InputSender::new();
     let mut tasks = JoinSet::new();
-    let context = session_context(settings, own, &intake);
-    let engine = assemble(settings, &context, clock, sockets.callers, queues, &mut tasks)?;
+    let context = session_context(settings, own, &input_sender);
+    let engine = build_engine(settings, &context, clock, sockets.callers, queues, &mut tasks)?;
     let handshake_history = Arc::clone(&context.handshake_history);
     tasks.spawn(sessions::listen(sockets.instances, context));
     let context = admin::Context {
         handshake_history,
-        intake: intake.clone(),
+        input_sender: input_sender.clone(),
         clock,
         addresses,
         metrics,
@@ -166,7 +166,7 @@
     Ok(Handle {
         addresses,
         incarnation,
-        intake,
+        input_sender,
         running,
     })
 }
@@ -178,55 +178,56 @@
     end
 }
 
-fn assemble(
+fn build_engine(
     settings: &Settings,
     context: &sessions::Context,
     clock: Clock,
     socket: UdpSocket,
-    queues: Queues,
+    queues: InputQueues,
     tasks: &mut JoinSet<()>,
 ) -> Result<Engine, StartError> {
-    let sessions::Context { own, intake, .. } = context;
-    let (receiver, replier) = callers::split(socket, clock, caller_limits(settings));
-    tasks.spawn(receiver.run(intake.clone()));
-    let (wish, wished) = watch::channel(Wish::default());
-    feed(settings, own, clock, intake, &wished, tasks);
-    let upstreams = Upstreams::new(own.name.clone(), own.incarnation, intake.clone()).map_err(StartError::Client)?;
-    let parts = Parts {
-        replier,
+    let sessions::Context { own, input_sender, .. } = context;
+    let (receiver, reply_sender) = callers::split(socket, clock, caller_limits(settings));
+    tasks.spawn(receiver.run(input_sender.clone()));
+    let (desired, desired_receiver) = watch::channel(DesiredState::default());
+    spawn_platform_tasks(settings, own, clock, input_sender, &desired_receiver, tasks);
+    let upstreams =
+        Upstreams::new(own.name.clone(), own.incarnation, input_sender.clone()).map_err(StartError::Client)?;
+    let components = Components {
+        reply_sender,
         sessions: Sessions::new(context.clone(), settings.limits.sessions as usize),
         upstreams,
-        wish,
-        ring: Ring::new(own.name.clone(), own.incarnation, TIMELINE_LEN),
+        desired,
+        timeline: TimelineBuffer::new(own.name.clone(), own.incarnation, TIMELINE_CAPACITY),
     };
-    let node = Node::new(setup(settings, own), clock.now());
-    Ok(Engine::new(node, clock, queues, parts, settings.stop_within))
+    let node = Node::new(node_config(settings, own), clock.now());
+    Ok(Engine::new(node, clock, queues, components, settings.stop_within))
 }
 
-fn feed(
+fn spawn_platform_tasks(
     settings: &Settings,
     own: &Identity,
     clock: Clock,
-    intake: &Intake,
-    wish: &watch::Receiver<Wish>,
+    input_sender: &InputSender,
+    desired: &watch::Receiver<DesiredState>,
     tasks: &mut JoinSet<()>,
 ) {
     let client = Client::new(platform::Options::new(settings.platform.clone()));
-    tasks.spawn(summary::keep(client.clone(), clock, intake.clone()));
-    let feed = Feed::new(client, intake.clone(), wish.clone());
+    tasks.spawn(summary::run(client.clone(), clock, input_sender.clone()));
+    let sync = PlatformSync::new(client, input_sender.clone(), desired.clone());
     let entry = Listed::Entry {
         name: own.name.clone(),
         incarnation: own.incarnation,
         zone: own.zone.clone(),
         address: own.address,
-        admin: admin_address(settings),
+        admin: reachable_admin_address(settings),
         leaving: false,
     };
     // Each of these ends only when the engine is gone.
-    let document = feed.clone().read_document();
-    let list = feed.clone().read_list(own.zone.clone());
-    let peers = feed.clone().name_peers(seeds(settings));
-    let entry = feed.keep_entry(entry);
+    let document = sync.clone().sync_document();
+    let list = sync.clone().sync_list(own.zone.clone());
+    let peers = sync.clone().announce_peers(configured_peers(settings));
+    let entry = sync.maintain_entry(entry);
     tasks.spawn(async {
         let _closed = document.await;
     });
@@ -242,14 +243,14 @@
 }
 
 /// Where operators on other hosts reach this instance, if they do.
-fn admin_address(settings: &Settings) -> Option<SocketAddr> {
+fn reachable_admin_address(settings: &Settings) -> Option<SocketAddr> {
     let listen = settings.listen.admin;
-    let is_reached = !listen.ip().is_loopback() && !listen.ip().is_unspecified() && listen.port() != 0;
-    settings.advertise.admin.or(is_reached.then_some(listen))
+    let is_reachable = !listen.ip().is_loopback() && !listen.ip().is_unspecified() && listen.port() != 0;
+    settings.advertise.admin.or(is_reachable.then_some(listen))
 }
 
 /// The instances in the settings. Their lives are unknown, so that any life that is heard of is newer.
-fn seeds(settings: &Settings) -> Vec<Listed> {
+fn configured_peers(settings: &Settings) -> Vec<Listed> {
     let entries = settings.peers.iter().map(|seed| Listed::Entry {
         name: seed.name.clone(),
         incarnation: Incarnation::default(),
@@ -261,11 +262,11 @@
     entries.collect()
 }
 
-fn session_context(settings: &Settings, own: Identity, intake: &Intake) -> sessions::Context {
+fn session_context(settings: &Settings, own: Identity, input_sender: &InputSender) -> sessions::Context {
     sessions::Context {
         own,
         keys: Keys::new(&settings.secrets.current, &settings.secrets.previous),
-        intake: intake.clone(),
+        input_sender: input_sender.clone(),
         handshake_history: Arc::default(),
     }
 }
@@ -279,11 +280,11 @@
     callers::Limits {
         per_source: rate(settings.limits.packets_per_second),
         total: rate(settings.limits.total_packets_per_second),
-        sources: SOURCES,
+        max_sources: MAX_SOURCES,
     }
 }
 
-fn setup(settings: &Settings, own: &Identity) -> NodeConfig {
+fn node_config(settings: &Settings, own: &Identity) -> NodeConfig {
     let secrets = &settings.secrets;
     NodeConfig {
         name: own.name.clone(),
--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -11,19 +11,19 @@
 use tokio::time::MissedTickBehavior;
 use units::InstanceName;
 
-use crate::callers::Replier;
+use crate::callers::ReplySender;
 use crate::clock::Clock;
-use crate::feed::Wish;
+use crate::feed::DesiredState;
 use crate::gauges;
-use crate::intake::Arrival;
-use crate::intake::Datagram;
-use crate::intake::Input;
-use crate::intake::Queues;
+use crate::input::Datagram;
+use crate::input::Input;
+use crate::input::InputQueues;
+use crate::input::ReceivedFrame;
 use crate::metric;
 use crate::session_event::SessionEvent;
 use crate::sessions::Sessions;
-use crate::timeline::Hybrid;
-use crate::timeline::Ring;
+use crate::timeline::HybridClock;
+use crate::timeline::TimelineBuffer;
 use crate::upstreams::Upstreams;
 
 /// How many inputs are taken at once from each queue.
@@ -31,9 +31,9 @@
 /// How much longer than its bound a planned stop may take before the process gives up on the node.
 const STOP_GRACE: Duration = Duration::from_secs(2);
 /// How long sessions may take to send what is queued when everything else is done.
-const FLUSH_TIME: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 /// A time that does not come.
-const FAR: Duration = Duration::from_hours(24 * 365);
+const NO_DEADLINE: Duration = Duration::from_hours(24 * 365);
 
 /// How the engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,17 +48,17 @@
 
 /// What carries out the node's actions.
 #[derive(Debug)]
-pub struct Parts {
+pub struct Components {
     /// Sends replies.
-    pub replier: Replier,
+    pub reply_sender: ReplySender,
     /// Sends frames.
     pub sessions: Sessions,
     /// Calls upstreams.
     pub upstreams: Upstreams,
     /// Steers the platform's part.
-    pub wish: watch::Sender<Wish>,
+    pub desired: watch::Sender<DesiredState>,
     /// Keeps the time line.
-    pub ring: Ring,
+    pub timeline: TimelineBuffer,
 }
 
 /// The task's state.
@@ -66,35 +66,35 @@
 pub struct Engine {
     node: Node,
     clock: Clock,
-    hybrid: Hybrid,
-    queues: Queues,
-    parts: Parts,
+    hybrid_clock: HybridClock,
+    queues: InputQueues,
+    components: Components,
     stop_within: Duration,
     stop_by: Option<tokio::time::Instant>,
     /// Instances whose frames were lost, to be told to the node at the next step.
-    lost: Vec<InstanceName>,
+    lost_peers: Vec<InstanceName>,
     actions: Vec<Action>,
     end: Option<End>,
     in_doubt: u32,
-    unusable: gauges::Watch,
+    unusable_packets: gauges::UnusablePacketLog,
 }
 
 impl Engine {
     /// An engine around `node`.
-    pub fn new(node: Node, clock: Clock, queues: Queues, parts: Parts, stop_within: Duration) -> Self {
+    pub fn new(node: Node, clock: Clock, queues: InputQueues, components: Components, stop_within: Duration) -> Self {
         Self {
             node,
             clock,
-            hybrid: Hybrid::default(),
+            hybrid_clock: HybridClock::default(),
             queues,
-            parts,
+            components,
             stop_within,
             stop_by: None,
-            lost: Vec::new(),
+            lost_peers: Vec::new(),
             actions: Vec::new(),
             end: None,
             in_doubt: 0,
-            unusable: gauges::Watch::default(),
+            unusable_packets: gauges::UnusablePacketLog::default(),
         }
     }
 
@@ -104,10 +104,12 @@
         let mut datagrams = Vec::with_capacity(BATCH_LEN);
         let mut ticker = tokio::time::interval(node::MAX_TICK_INTERVAL);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut report = tokio::time::interval(gauges::EVERY);
-        report.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut gauge_ticker = tokio::time::interval(gauges::UPDATE_INTERVAL);
+        gauge_ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let stop_by = self.stop_by.unwrap_or_else(|| tokio::time::Instant::now() + FAR);
+            let stop_by = self
+                .stop_by
+                .unwrap_or_else(|| tokio::time::Instant::now() + NO_DEADLINE);
             // Which ready branch is taken first is random, so that no queue starves another one or the ticks.
             tokio::select! {
                 count = self.queues.control.recv_many(&mut inputs, BATCH_LEN) => {
@@ -117,13 +119,13 @@
                 }
                 Some(datagram) = self.queues.datagrams.recv() => {
                     datagrams.push(datagram);
-                    self.take_more(&mut datagrams);
+                    self.fill_batch(&mut datagrams);
                 }
-                _ = ticker.tick() => self.step(Event::Tick),
-                _ = report.tick() => self.report(),
+                _ = ticker.tick() => self.handle_event(Event::Tick),
+                _ = gauge_ticker.tick() => self.update_gauges(),
                 () = tokio::time::sleep_until(stop_by) => return End::Overdue(self.node.status(self.clock.now()).requests),
             }
-            self.batch(&mut inputs, &mut datagrams);
+            self.handle_batch(&mut inputs, &mut datagrams);
             if let Some(end) = self.end {
                 self.flush().await;
                 return end;
@@ -131,14 +133,14 @@
         }
     }
 
-    fn report(&mut self) {
+    fn update_gauges(&mut self) {
         let now = self.clock.now();
         let status = self.node.status(now);
-        gauges::set(&status, now);
-        self.unusable.look(&status);
+        gauges::update(&status, now);
+        self.unusable_packets.log_increase(&status);
     }
 
-    fn take_more(&mut self, datagrams: &mut Vec<Datagram>) {
+    fn fill_batch(&mut self, datagrams: &mut Vec<Datagram>) {
         while datagrams.len() < BATCH_LEN {
             let Ok(datagram) = self.queues.datagrams.try_recv() else {
                 return;
@@ -147,89 +149,92 @@
         }
     }
 
-    fn batch(&mut self, inputs: &mut Vec<Input>, datagrams: &mut Vec<Datagram>) {
+    fn handle_batch(&mut self, inputs: &mut Vec<Input>, datagrams: &mut Vec<Datagram>) {
         let began = Instant::now();
-        for name in std::mem::take(&mut self.lost) {
-            self.step(Event::SessionLost(name));
+        for name in std::mem::take(&mut self.lost_peers) {
+            self.handle_event(Event::SessionLost(name));
         }
         for input in inputs.drain(..) {
-            self.input(input);
+            self.handle_input(input);
         }
         for datagram in datagrams.drain(..) {
-            self.step(Event::Datagram(datagram.from, datagram.bytes));
+            self.handle_event(Event::Datagram(datagram.from, datagram.bytes));
         }
         metric::batch_seconds().record(began.elapsed());
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Event(Event::CallEnded(id, _)) if !self.parts.upstreams.ended(id) => {}
-            Input::Event(Event::Stop) => self.stop(),
-            Input::Event(event) => self.step(event),
-            Input::Frame(arrival) => self.frame(arrival),
+            Input::Event(Event::CallEnded(id, _)) if !self.components.upstreams.ended(id) => {}
+            Input::Event(Event::Stop) => self.begin_stop(),
+            Input::Event(event) => self.handle_event(event),
+            Input::Frame(received) => self.handle_frame(received),
             Input::Session(event) => self.handle_session_event(event),
-            Input::Status(ask) => {
+            Input::Status(reply) => {
                 // Whoever asked may have gone away; then nobody wants the answer.
-                let _unwanted = ask.send(self.node.status(self.clock.now()));
+                let _unwanted = reply.send(self.node.status(self.clock.now()));
             }
-            Input::Timeline(since, ask) => {
-                let _unwanted = ask.send(self.parts.ring.page(since));
+            Input::Timeline(since, reply) => {
+                let _unwanted = reply.send(self.components.timeline.page(since));
             }
         }
     }
 
-    fn frame(&mut self, arrival: Arrival) {
-        if !self.hybrid.follow(self.clock.now(), arrival.stamp) {
+    fn handle_frame(&mut self, received: ReceivedFrame) {
+        if !self.hybrid_clock.observe(self.clock.now(), received.stamp) {
             metric::stamps_ahead().increment(1);
         }
-        self.step(Event::Frame(arrival.peer, arrival.frame));
+        self.handle_event(Event::Frame(received.peer, received.frame));
     }
 
     fn handle_session_event(&mut self, event: SessionEvent) {
-        if let Some(name) = self.parts.sessions.handle_event(event) {
-            self.step(Event::SessionLost(name));
+        if let Some(name) = self.components.sessions.handle_event(event) {
+            self.handle_event(Event::SessionLost(name));
         }
     }
 
-    fn stop(&mut self) {
+    fn begin_stop(&mut self) {
         if self.stop_by.is_some() {
             return;
         }
         log::info!("daemon: planned stop begins");
         self.stop_by = Some(tokio::time::Instant::now() + self.stop_within + STOP_GRACE);
-        self.parts.wish.send_modify(|wish| wish.leaving = true);
-        self.step(Event::Stop);
+        self.components.desired.send_modify(|desired| desired.leaving = true);
+        self.handle_event(Event::Stop);
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         metric::events().increment(1);
         let mut actions = std::mem::take(&mut self.actions);
         self.node.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Reply(to, reply) => self.parts.replier.reply(to, &reply),
+            Action::Reply(to, reply) => self.components.reply_sender.send(to, &reply),
             Action::Send { to, address, frame } => {
-                let stamp = self.hybrid.tick(self.clock.now());
-                if !self.parts.sessions.send(&to, address, stamp, frame) && !self.lost.contains(&to) {
-                    self.lost.push(to);
+                let stamp = self.hybrid_clock.tick(self.clock.now());
+                if !self.components.sessions.send(&to, address, stamp, frame) && !self.lost_peers.contains(&to) {
+                    self.lost_peers.push(to);
                 }
             }
-            Action::Call(call) => self.parts.upstreams.call(call),
-            Action::Cancel(id) => self.parts.upstreams.cancel(id),
-            Action::Poll(name, address) => self.parts.upstreams.poll(name, address),
-            Action::Watch(watching) => self.parts.wish.send_modify(|wish| wish.watching = watching),
-            Action::Record(record) => self.record(record),
+            Action::Call(call) => self.components.upstreams.call(call),
+            Action::Cancel(id) => self.components.upstreams.cancel(id),
+            Action::Poll(name, address) => self.components.upstreams.poll(name, address),
+            Action::Watch(watching) => self
+                .components
+                .desired
+                .send_modify(|desired| desired.watching = watching),
+            Action::Record(record) => self.record_event(record),
             Action::Stopped => self.end = Some(End::Stopped(self.in_doubt)),
         }
     }
 
-    fn record(&mut self, record: Record) {
+    fn record_event(&mut self, record: Record) {
         match &record {
             Record::Opened(..) => metric::opened().increment(1),
             Record::Answered(..) => metric::answered().increment(1),
@@ -245,13 +250,13 @@
             Record::UpstreamLeaving(..) | Record::Ejected(..) | Record::Restored(..) => log::info!("daemon: {record}"),
             Record::Accepted(..) | Record::Refused(..) | Record::Called(..) | Record::Ended(..) | Record::Stopping => {}
         }
-        let stamp = self.hybrid.tick(self.clock.now());
-        self.parts.ring.push(stamp, record);
+        let stamp = self.hybrid_clock.tick(self.clock.now());
+        self.components.timeline.push(stamp, record);
     }
 
     /// Lets the sessions send what is queued, for a while.
     async fn flush(&mut self) {
-        let mut open = self.parts.sessions.release_all();
+        let mut open = self.components.sessions.release_all();
         let ends = async {
             while !open.is_empty() {
                 let Some(input) = self.queues.control.recv().await else {
@@ -262,7 +267,7 @@
                 }
             }
         };
-        if tokio::time::timeout(FLUSH_TIME, ends).await.is_err() {
+        if tokio::time::timeout(FLUSH_TIMEOUT, ends).await.is_err() {
             log::warn!("daemon: {} sessions did not send all that was queued", open.len());
         }
     }
--- a/crates/jayquayd/src/gauges.rs
+++ b/crates/jayquayd/src/gauges.rs
@@ -10,43 +10,43 @@
 
 use crate::metric;
 use crate::metric::MEMBER_STATES;
-use crate::throttle::Throttle;
+use crate::throttle::LogThrottle;
 
 /// How often the node is asked.
-pub(crate) const EVERY: Duration = Duration::from_secs(1);
+pub(crate) const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The states of an upstream as a home sees it.
 const UPSTREAM_STATES: [&str; 6] = ["active", "warming", "ejected", "probing", "draining", "removed"];
 
 /// Says in the log, at a limited rate, that packets came which no instance can use.
 #[derive(Debug, Default)]
-pub(crate) struct Watch {
+pub(crate) struct UnusablePacketLog {
     /// How many there were when the log last said so.
-    said: u64,
-    throttle: Throttle,
+    last_logged: u64,
+    throttle: LogThrottle,
 }
 
-impl Watch {
+impl UnusablePacketLog {
     /// Compares with the last look.
-    pub(crate) fn look(&mut self, status: &Status) {
-        let tokens = refused(status, Reason::Token);
-        let services = refused(status, Reason::WrongService);
-        let unusable = status.malformed + tokens + services;
-        if unusable <= self.said {
+    pub(crate) fn log_increase(&mut self, status: &Status) {
+        let bad_tokens = refused_count(status, Reason::Token);
+        let wrong_services = refused_count(status, Reason::WrongService);
+        let unusable = status.malformed + bad_tokens + wrong_services;
+        if unusable <= self.last_logged {
             return;
         }
-        let Some(held_back) = self.throttle.pass() else {
+        let Some(suppressed) = self.throttle.allow() else {
             return;
         };
-        self.said = unusable;
+        self.last_logged = unusable;
         let malformed = status.malformed;
         log::warn!(
-            "callers: unusable packets so far: {malformed} malformed, {tokens} with a bad token, {services} of another service{held_back}"
+            "callers: unusable packets so far: {malformed} malformed, {bad_tokens} with a bad token, {wrong_services} of another service{suppressed}"
         );
     }
 }
 
-fn refused(status: &Status, reason: Reason) -> u64 {
+fn refused_count(status: &Status, reason: Reason) -> u64 {
     let counts = status
         .refused
         .iter()
@@ -55,7 +55,7 @@
 }
 
 /// Sets the metrics that the node's status tells.
-pub(crate) fn set(status: &Status, now: Time) {
+pub(crate) fn update(status: &Status, now: Time) {
     metric::flows().set(status.flows as f64);
     metric::requests().set(status.requests as f64);
     metric::answer_bytes().set(status.answer_bytes as f64);
@@ -63,7 +63,7 @@
     metric::malformed().absolute(status.malformed);
     metric::forwarded().absolute(status.forwarded);
     for reason in Reason::ALL {
-        metric::refusals(reason.as_str()).absolute(refused(status, reason));
+        metric::refusals(reason.as_str()).absolute(refused_count(status, reason));
     }
     metric::documents_rejected().absolute(status.documents_rejected);
     metric::time().set(now.0 as f64 / 1e6);
--- a/crates/jayquayd/src/intake.rs
+++ b/crates/jayquayd/src/input.rs
@@ -20,11 +20,11 @@
 use crate::timeline::Stamp;
 
 /// How many inputs other than datagrams may wait.
-const CONTROL_LEN: usize = 4_096;
+const CONTROL_QUEUE_LEN: usize = 4_096;
 /// How many bytes of frames from other instances may wait, over all sessions.
-const FRAME_ROOM: usize = 32 * 1_024 * 1_024;
+const MAX_FRAME_BYTES: usize = 32 * 1_024 * 1_024;
 /// How many datagrams may wait.
-const DATAGRAMS_LEN: usize = 1_024;
+const DATAGRAM_QUEUE_LEN: usize = 1_024;
 
 /// A datagram from a caller.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// An event for the node.
     Event(Event),
     /// A frame from another instance.
-    Frame(Arrival),
+    Frame(ReceivedFrame),
     /// A session began or ended.
     Session(SessionEvent),
     /// Asks for the node's status.
@@ -52,7 +52,7 @@
 
 /// A frame from another instance.
 #[derive(Debug)]
-pub struct Arrival {
+pub struct ReceivedFrame {
     /// The sender.
     pub peer: Peer,
     /// The sender's stamp.
@@ -60,7 +60,7 @@
     /// The frame.
     pub frame: Frame,
     /// The room that it takes until the engine has handled it.
-    pub room: OwnedSemaphorePermit,
+    pub permit: OwnedSemaphorePermit,
 }
 
 /// The engine is gone.
@@ -69,71 +69,71 @@
 
 /// Where the parts put what they have for the engine.
 #[derive(Debug, Clone)]
-pub struct Intake {
+pub struct InputSender {
     control: mpsc::Sender<Input>,
     datagrams: mpsc::Sender<Datagram>,
-    frame_room: Arc<Semaphore>,
+    frame_bytes: Arc<Semaphore>,
 }
 
 /// The engine's ends of the queues.
 #[derive(Debug)]
-pub struct Queues {
+pub struct InputQueues {
     /// Everything but datagrams.
     pub control: mpsc::Receiver<Input>,
     /// What callers sent.
     pub datagrams: mpsc::Receiver<Datagram>,
 }
 
-impl Intake {
+impl InputSender {
     /// Makes the queues.
-    pub fn new() -> (Self, Queues) {
-        let (control, control_end) = mpsc::channel(CONTROL_LEN);
-        let (datagrams, datagrams_end) = mpsc::channel(DATAGRAMS_LEN);
-        let queues = Queues {
-            control: control_end,
-            datagrams: datagrams_end,
+    pub fn new() -> (Self, InputQueues) {
+        let (control, control_receiver) = mpsc::channel(CONTROL_QUEUE_LEN);
+        let (datagrams, datagram_receiver) = mpsc::channel(DATAGRAM_QUEUE_LEN);
+        let queues = InputQueues {
+            control: control_receiver,
+            datagrams: datagram_receiver,
         };
-        let intake = Self {
+        let input_sender = Self {
             control,
             datagrams,
-            frame_room: Arc::new(Semaphore::new(FRAME_ROOM)),
+            frame_bytes: Arc::new(Semaphore::new(MAX_FRAME_BYTES)),
         };
-        (intake, queues)
+        (input_sender, queues)
     }
 
     /// Waits for room, then puts an input.
-    pub async fn put(&self, input: Input) -> Result<(), Closed> {
+    pub async fn send(&self, input: Input) -> Result<(), Closed> {
         self.control.send(input).await.map_err(|_| Closed)
     }
 
     /// Waits for room, then puts an event for the node.
-    pub async fn event(&self, event: Event) -> Result<(), Closed> {
-        self.put(Input::Event(event)).await
+    pub async fn send_event(&self, event: Event) -> Result<(), Closed> {
+        self.send(Input::Event(event)).await
     }
 
     /// Waits until frames of so many bytes together may wait.
-    pub async fn room(&self, len: usize) -> Result<OwnedSemaphorePermit, Closed> {
-        let len = u32::try_from(len.min(FRAME_ROOM)).map_err(|_| Closed)?;
-        let room = Arc::clone(&self.frame_room).acquire_many_owned(len).await;
-        room.map_err(|_| Closed)
+    pub async fn reserve_bytes(&self, len: usize) -> Result<OwnedSemaphorePermit, Closed> {
+        let len = u32::try_from(len.min(MAX_FRAME_BYTES)).map_err(|_| Closed)?;
+        let permit = Arc::clone(&self.frame_bytes).acquire_many_owned(len).await;
+        permit.map_err(|_| Closed)
     }
 
     /// Puts a datagram if there is room, and tells whether there was.
-    pub fn datagram(&self, datagram: Datagram) -> bool {
+    pub fn try_send_datagram(&self, datagram: Datagram) -> bool {
         self.datagrams.try_send(datagram).is_ok()
     }
 
     /// Asks the node for its status. There is none once the engine is gone.
     pub async fn status(&self) -> Option<node::Status> {
-        let (ask, answer) = oneshot::channel();
-        self.put(Input::Status(ask)).await.ok()?;
-        answer.await.ok()
+        let (reply_sender, reply) = oneshot::channel();
+        self.send(Input::Status(reply_sender)).await.ok()?;
+        reply.await.ok()
     }
 
     /// Asks for a page of the time line. There is none once the engine is gone.
     pub async fn timeline(&self, since: Seq) -> Option<Page> {
-        let (ask, answer) = oneshot::channel();
-        self.put(Input::Timeline(since, ask)).await.ok()?;
-        answer.await.ok()
+        let (reply_sender, reply) = oneshot::channel();
+        self.send(Input::Timeline(since, reply_sender)).await.ok()?;
+        reply.await.ok()
     }
 }
--- a/crates/jayquayd/src/lib.rs
+++ b/crates/jayquayd/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod engine;
 pub mod feed;
 pub mod forward;
-pub mod intake;
+pub mod input;
 pub mod metric;
 pub mod session_event;
 pub mod sessions;
--- a/crates/jayquayd/src/main.rs
+++ b/crates/jayquayd/src/main.rs
@@ -35,16 +35,16 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 /// Something failed while the process ran.
-const FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 /// The command line or the settings are wrong.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 /// The buckets of histograms, in seconds.
-const SECONDS: &[f64] = &[
+const HISTOGRAM_BUCKETS: &[f64] = &[
     0.0001, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 /// How often the recorder tidies its histograms.
-const UPKEEP_TIME: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an entry instance.
 #[derive(Debug, Clone, Bpaf)]
@@ -110,7 +110,7 @@
 fn main() -> ExitCode {
     let options = match options().run_inner(Args::current_args()) {
         Ok(options) => options,
-        Err(failure) => return explain(failure),
+        Err(failure) => return report_parse_failure(failure),
     };
     if options.flows {
         let queue = Queue::start(io::stdout());
@@ -123,8 +123,8 @@
     let settings = match read_settings(&options.settings) {
         Ok(settings) => settings,
         Err(text) => {
-            complain(&text);
-            return ExitCode::from(USAGE);
+            print_error(&text);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if options.check {
@@ -133,30 +133,30 @@
     match run(&settings) {
         Ok(code) => code,
         Err(error) => {
-            complain(&error.to_string());
-            ExitCode::from(FAILED)
+            print_error(&error.to_string());
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
 /// Prints the help that the arguments ask for, or says what is wrong with them.
-fn explain(failure: ParseFailure) -> ExitCode {
+fn report_parse_failure(failure: ParseFailure) -> ExitCode {
     let text = match failure {
         ParseFailure::Stdout(help, full) => help.monochrome(full),
         ParseFailure::Completion(completion) => completion,
         ParseFailure::Stderr(message) => {
-            complain(&message.monochrome(true));
-            return ExitCode::from(USAGE);
+            print_error(&message.monochrome(true));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     // A reader that has gone, as `head` does, is no failure.
-    let _unread = writeln!(io::stdout(), "{text}");
+    let _ignored = writeln!(io::stdout(), "{text}");
     ExitCode::SUCCESS
 }
 
 /// Writes a line to stderr. Where nobody reads it, the exit code still tells.
-fn complain(text: &str) {
-    let _unread = writeln!(io::stderr(), "{text}");
+fn print_error(text: &str) {
+    let _ignored = writeln!(io::stderr(), "{text}");
 }
 
 /// Each line begins with the name of its part, so that the module's path is left out.
@@ -184,15 +184,15 @@
     let text = match fs::read_to_string(&options.settings) {
         Ok(text) => text,
         Err(error) => {
-            complain(&format!("{}: {error}", options.settings.display()));
-            return ExitCode::from(USAGE);
+            print_error(&format!("{}: {error}", options.settings.display()));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let settings = match forward::settings::parse(&text) {
         Ok(settings) => settings,
         Err(error) => {
-            complain(&format!("{}: {error}", options.settings.display()));
-            return ExitCode::from(USAGE);
+            print_error(&format!("{}: {error}", options.settings.display()));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if options.check {
@@ -201,8 +201,8 @@
     match forward_until_stopped(&settings, &options.settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            complain(&error.to_string());
-            ExitCode::from(FAILED)
+            print_error(&error.to_string());
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -228,20 +228,22 @@
         _ = terminate.recv() => stop(&mut handle).await,
         _ = interrupt.recv() => stop(&mut handle).await,
     };
-    Ok(report(end))
+    Ok(exit_code(end))
 }
 
 fn install_recorder() -> Result<PrometheusHandle, RunError> {
-    let handle = PrometheusBuilder::new().set_buckets(SECONDS)?.install_recorder()?;
+    let handle = PrometheusBuilder::new()
+        .set_buckets(HISTOGRAM_BUCKETS)?
+        .install_recorder()?;
     metric::describe();
     forward::metric::describe();
     adapter::metric::describe();
-    let kept = handle.clone();
+    let upkeep_handle = handle.clone();
     tokio::spawn(async move {
-        let mut upkeep = tokio::time::interval(UPKEEP_TIME);
+        let mut upkeep = tokio::time::interval(UPKEEP_INTERVAL);
         loop {
             upkeep.tick().await;
-            kept.run_upkeep();
+            upkeep_handle.run_upkeep();
         }
     });
     Ok(handle)
@@ -259,7 +261,7 @@
     handle.ended().await
 }
 
-fn report(end: End) -> ExitCode {
+fn exit_code(end: End) -> ExitCode {
     match end {
         End::Stopped(0) => {
             log::info!("daemon: stopped");
@@ -267,15 +269,15 @@
         }
         End::Stopped(left) => {
             log::error!("daemon: stopped, {left} requests left in doubt");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
         End::Overdue(left) => {
             log::error!("daemon: the planned stop did not end within its bound, {left} requests left in progress");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
         End::Abandoned => {
             log::error!("daemon: the engine ended by itself");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/jayquayd/src/sessions.rs
+++ b/crates/jayquayd/src/sessions.rs
@@ -35,7 +35,7 @@
 use crate::metric;
 use crate::session_event::SessionEvent;
 use crate::session_event::SessionId;
-use crate::throttle::Throttle;
+use crate::throttle::LogThrottle;
 use crate::timeline::Stamp;
 
 pub use self::context::Context;
@@ -66,9 +66,9 @@
     peers: HashMap<InstanceName, PeerSessions>,
     failures: HashMap<InstanceName, ConnectFailure>,
     tasks: JoinSet<()>,
-    drop_log: Throttle,
+    drop_log: LogThrottle,
     /// Limits what is said of handshakes that others ended.
-    rejection_log: Arc<Throttle>,
+    rejection_log: Arc<LogThrottle>,
 }
 
 impl Sessions {
@@ -80,7 +80,7 @@
             peers: HashMap::new(),
             failures: HashMap::new(),
             tasks: JoinSet::new(),
-            drop_log: Throttle::default(),
+            drop_log: LogThrottle::default(),
             rejection_log: Arc::default(),
         }
     }
@@ -155,8 +155,8 @@
     fn drop_session(&mut self, name: &InstanceName) {
         self.peers.remove(name);
         metric::sessions_ended("full").increment(1);
-        if let Some(held_back) = self.drop_log.pass() {
-            log::warn!("sessions: {name} takes no more frames, session dropped{held_back}");
+        if let Some(suppressed) = self.drop_log.allow() {
+            log::warn!("sessions: {name} takes no more frames, session dropped{suppressed}");
         }
     }
 
--- a/crates/jayquayd/src/sessions/context.rs
+++ b/crates/jayquayd/src/sessions/context.rs
@@ -5,7 +5,7 @@
 use super::handshake::Identity;
 use super::handshake::Keys;
 use super::handshake_history::HandshakeHistory;
-use crate::intake::Intake;
+use crate::input::InputSender;
 
 /// Who this instance is, and how it proves that.
 #[derive(Debug, Clone)]
@@ -15,7 +15,7 @@
     /// How it proves that.
     pub keys: Keys,
     /// Where frames and changes go.
-    pub intake: Intake,
+    pub input_sender: InputSender,
     /// Whether others accept this instance.
     pub handshake_history: Arc<HandshakeHistory>,
 }
--- a/crates/jayquayd/src/sessions/listener.rs
+++ b/crates/jayquayd/src/sessions/listener.rs
@@ -18,11 +18,11 @@
 use super::handshake::Side;
 use super::session;
 use crate::accept;
-use crate::intake::Input;
+use crate::input::Input;
 use crate::metric;
 use crate::session_event::SessionEvent;
 use crate::session_event::SessionId;
-use crate::throttle::Throttle;
+use crate::throttle::LogThrottle;
 
 /// How many connections may be in their handshake at a time.
 pub const MAX_HANDSHAKES: usize = 64;
@@ -80,7 +80,7 @@
 /// Takes connections for ever.
 pub async fn listen(listener: TcpListener, context: Context) {
     let slots = Arc::new(HandshakeSlots::default());
-    let throttle = Arc::new(Throttle::default());
+    let throttle = Arc::new(LogThrottle::default());
     let mut tasks = JoinSet::new();
     loop {
         while tasks.try_join_next().is_some() {}
@@ -101,8 +101,8 @@
                 }
                 Err(error) => {
                     metric::sessions_failed(error.as_str()).increment(1);
-                    if let Some(held_back) = throttle.pass() {
-                        log::warn!("sessions: refused {from}: {error}{held_back}");
+                    if let Some(suppressed) = throttle.allow() {
+                        log::warn!("sessions: refused {from}: {error}{suppressed}");
                     }
                 }
             }
@@ -121,14 +121,14 @@
         queue: sender,
         admit,
     };
-    if context.intake.put(Input::Session(accepted)).await.is_err() || admitted.await.is_err() {
+    if context.input_sender.send(Input::Session(accepted)).await.is_err() || admitted.await.is_err() {
         return;
     }
-    let end = session::run(connection.ws, Side::Acceptor, &peer, &mut queue, &context.intake).await;
+    let end = session::run(connection.ws, Side::Acceptor, &peer, &mut queue, &context.input_sender).await;
     let ended = SessionEvent::Ended {
         id,
         lost: session::record_end(&peer, end, &mut queue),
         name: peer.name,
     };
-    let _closed = context.intake.put(Input::Session(ended)).await;
+    let _closed = context.input_sender.send(Input::Session(ended)).await;
 }
--- a/crates/jayquayd/src/sessions/outgoing.rs
+++ b/crates/jayquayd/src/sessions/outgoing.rs
@@ -14,11 +14,11 @@
 use super::handshake::Side;
 use super::session;
 use super::session::QueuedFrame;
-use crate::intake::Input;
+use crate::input::Input;
 use crate::metric;
 use crate::session_event::SessionEvent;
 use crate::session_event::SessionId;
-use crate::throttle::Throttle;
+use crate::throttle::LogThrottle;
 
 /// A session that this side makes.
 pub(super) struct OutgoingSession {
@@ -26,7 +26,7 @@
     pub(super) peer_name: InstanceName,
     pub(super) address: SocketAddr,
     pub(super) not_before: Option<Instant>,
-    pub(super) rejection_log: Arc<Throttle>,
+    pub(super) rejection_log: Arc<LogThrottle>,
 }
 
 impl OutgoingSession {
@@ -55,7 +55,7 @@
             name: self.peer_name,
             lost,
         };
-        let _closed = context.intake.put(Input::Session(event)).await;
+        let _closed = context.input_sender.send(Input::Session(event)).await;
     }
 
     /// Who refuses a stranger ends the handshake without a word, so that this side can only ask about its secrets.
@@ -65,8 +65,8 @@
         if error != handshake::Error::Closed {
             return;
         }
-        if let Some(held_back) = self.rejection_log.pass() {
-            log::warn!("sessions: {peer_name} at {address} ended the handshake; are the secrets the same?{held_back}");
+        if let Some(suppressed) = self.rejection_log.allow() {
+            log::warn!("sessions: {peer_name} at {address} ended the handshake; are the secrets the same?{suppressed}");
         }
     }
 
@@ -88,10 +88,10 @@
             id: self.id,
             peer: peer.clone(),
         };
-        if context.intake.put(Input::Session(event)).await.is_err() {
+        if context.input_sender.send(Input::Session(event)).await.is_err() {
             return true;
         }
-        let end = session::run(connection.ws, Side::Initiator, &peer, queue, &context.intake).await;
+        let end = session::run(connection.ws, Side::Initiator, &peer, queue, &context.input_sender).await;
         session::record_end(&peer, end, queue)
     }
 }
--- a/crates/jayquayd/src/sessions/session.rs
+++ b/crates/jayquayd/src/sessions/session.rs
@@ -23,9 +23,9 @@
 use wire::MAX_FRAME_LEN;
 
 use super::handshake::Side;
-use crate::intake::Arrival;
-use crate::intake::Input;
-use crate::intake::Intake;
+use crate::input::Input;
+use crate::input::InputSender;
+use crate::input::ReceivedFrame;
 use crate::metric;
 use crate::timeline::Stamp;
 
@@ -146,14 +146,14 @@
     side: Side,
     peer: &Peer,
     queue: &mut mpsc::Receiver<QueuedFrame>,
-    intake: &Intake,
+    input_sender: &InputSender,
 ) -> End
 where
     W: Stream<Item = tungstenite::Result<Message>> + Sink<Message, Error = tungstenite::Error>,
 {
     let (mut sink, mut stream) = ws.split();
     let activity = Activity::new();
-    let reading = read(&mut stream, peer, intake, &activity);
+    let reading = read(&mut stream, peer, input_sender, &activity);
     let writing = write(&mut sink, side, queue, &activity);
     tokio::pin!(reading);
     // What has already arrived counts before a timer that ran out meanwhile, as after a pause of the process.
@@ -169,7 +169,7 @@
     end
 }
 
-async fn read<R>(stream: &mut R, peer: &Peer, intake: &Intake, activity: &Activity) -> End
+async fn read<R>(stream: &mut R, peer: &Peer, input_sender: &InputSender, activity: &Activity) -> End
 where
     R: Stream<Item = tungstenite::Result<Message>> + Unpin,
 {
@@ -188,20 +188,20 @@
         metric::frames_received().increment(1);
         metric::frame_bytes_received().increment(bytes.len() as u64);
         // Room is taken before the frame is read, so that what waits is bounded in bytes as well.
-        let Ok(room) = intake.room(bytes.len()).await else {
+        let Ok(permit) = input_sender.reserve_bytes(bytes.len()).await else {
             return End::Replaced;
         };
         let Some((stamp, frame)) = decode(&bytes) else {
             metric::frames_unread().increment(1);
             continue;
         };
-        let arrival = Arrival {
+        let received = ReceivedFrame {
             peer: peer.clone(),
             stamp,
             frame,
-            room,
+            permit,
         };
-        if intake.put(Input::Frame(arrival)).await.is_err() {
+        if input_sender.send(Input::Frame(received)).await.is_err() {
             return End::Replaced;
         }
     }
--- a/crates/jayquayd/src/summary.rs
+++ b/crates/jayquayd/src/summary.rs
@@ -11,6 +11,6 @@
 pub use self::content::Member;
 pub use self::content::Summary;
 pub use self::content::Upstream;
-pub use self::keeper::Keeper;
+pub use self::keeper::SummaryWriter;
 pub use self::keeper::WRITE_EVERY;
-pub use self::keeper::keep;
+pub use self::keeper::run;
--- a/crates/jayquayd/src/timeline.rs
+++ b/crates/jayquayd/src/timeline.rs
@@ -15,9 +15,9 @@
 pub const PAGE_LEN: usize = 1_000;
 
 /// How many low bits of a stamp count events within one microsecond.
-const COUNT_BITS: u32 = 12;
+const COUNTER_BITS: u32 = 12;
 /// A stamp further ahead than this is not followed: the sender's clock is wrong.
-const MAX_AHEAD: Duration = Duration::from_mins(1);
+const MAX_CLOCK_SKEW: Duration = Duration::from_mins(1);
 
 /// The number of an entry within its incarnation, from 1. A missing number shows a gap.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,22 +38,22 @@
 
 impl Stamp {
     fn at(time: Time) -> Self {
-        Self(time.0 << COUNT_BITS)
+        Self(time.0 << COUNTER_BITS)
     }
 
     /// The time that the stamp holds.
     pub fn time(self) -> Time {
-        Time(self.0 >> COUNT_BITS)
+        Time(self.0 >> COUNTER_BITS)
     }
 }
 
 /// A hybrid logical clock.
 #[derive(Debug, Default)]
-pub struct Hybrid {
+pub struct HybridClock {
     last: Stamp,
 }
 
-impl Hybrid {
+impl HybridClock {
     /// The stamp of what happens now.
     pub fn tick(&mut self, now: Time) -> Stamp {
         let next = Stamp(self.last.0 + 1);
@@ -62,8 +62,8 @@
     }
 
     /// Follows a stamp that came from another process, and tells whether it could be followed.
-    pub fn follow(&mut self, now: Time, seen: Stamp) -> bool {
-        if now.until(seen.time()) > MAX_AHEAD {
+    pub fn observe(&mut self, now: Time, seen: Stamp) -> bool {
+        if now.until(seen.time()) > MAX_CLOCK_SKEW {
             return false;
         }
         self.last = self.last.max(seen);
@@ -92,7 +92,7 @@
 
 /// The last entries of this process.
 #[derive(Debug)]
-pub struct Ring {
+pub struct TimelineBuffer {
     instance: InstanceName,
     incarnation: Incarnation,
     capacity: usize,
@@ -100,7 +100,7 @@
     entries: VecDeque<Entry>,
 }
 
-impl Ring {
+impl TimelineBuffer {
     /// An empty ring that keeps at most `capacity` entries.
     pub fn new(instance: InstanceName, incarnation: Incarnation, capacity: usize) -> Self {
         Self {
--- a/crates/jayquayd/src/upstreams.rs
+++ b/crates/jayquayd/src/upstreams.rs
@@ -37,7 +37,7 @@
 use units::Millis;
 use units::UpstreamName;
 
-use crate::intake::Intake;
+use crate::input::InputSender;
 use crate::metric;
 use crate::poll;
 
@@ -62,70 +62,70 @@
 /// Calls upstreams, and keeps track of the calls in progress.
 #[derive(Debug)]
 pub struct Upstreams {
-    caller: Caller,
-    polls: Client,
-    running: HashMap<CallId, AbortHandle>,
+    call_client: CallClient,
+    poll_client: Client,
+    in_flight: HashMap<CallId, AbortHandle>,
     tasks: JoinSet<()>,
-    intake: Intake,
+    input_sender: InputSender,
 }
 
 impl Upstreams {
     /// Calls in the name of this life of an instance.
-    pub fn new(name: InstanceName, incarnation: Incarnation, intake: Intake) -> reqwest::Result<Self> {
+    pub fn new(name: InstanceName, incarnation: Incarnation, input_sender: InputSender) -> reqwest::Result<Self> {
         Ok(Self {
-            caller: Caller::new(name, incarnation),
-            polls: poll::client()?,
-            running: HashMap::new(),
+            call_client: CallClient::new(name, incarnation),
+            poll_client: poll::client()?,
+            in_flight: HashMap::new(),
             tasks: JoinSet::new(),
-            intake,
+            input_sender,
         })
     }
 
     /// Begins a call. Its result comes as [`Event::CallEnded`].
     pub fn call(&mut self, call: Call) {
-        self.reap();
+        self.reap_finished();
         let id = call.id;
-        let caller = self.caller.clone();
-        let intake = self.intake.clone();
+        let call_client = self.call_client.clone();
+        let input_sender = self.input_sender.clone();
         let task = self.tasks.spawn(async move {
-            let result = caller.call(&call).await;
+            let result = call_client.call(&call).await;
             // The engine is gone when this fails, and the result with it.
-            let _closed = intake.event(Event::CallEnded(id, result)).await;
+            let _closed = input_sender.send_event(Event::CallEnded(id, result)).await;
         });
-        self.running.insert(id, task);
-        metric::calls_running().set(self.running.len() as f64);
+        self.in_flight.insert(id, task);
+        metric::calls_running().set(self.in_flight.len() as f64);
     }
 
     /// Ends a call at once by closing its connection.
     pub fn cancel(&mut self, id: CallId) {
-        let Some(task) = self.running.remove(&id) else {
+        let Some(task) = self.in_flight.remove(&id) else {
             return;
         };
         task.abort();
         metric::calls(CANCELLED).increment(1);
-        metric::calls_running().set(self.running.len() as f64);
+        metric::calls_running().set(self.in_flight.len() as f64);
     }
 
     /// Forgets a call whose result has come, and tells whether it was still wanted.
     pub fn ended(&mut self, id: CallId) -> bool {
-        let wanted = self.running.remove(&id).is_some();
-        metric::calls_running().set(self.running.len() as f64);
-        wanted
+        let is_expected = self.in_flight.remove(&id).is_some();
+        metric::calls_running().set(self.in_flight.len() as f64);
+        is_expected
     }
 
     /// Asks for an upstream's health and load. The answer comes as [`Event::PollEnded`].
     pub fn poll(&mut self, name: UpstreamName, address: SocketAddr) {
-        self.reap();
-        let client = self.polls.clone();
-        let intake = self.intake.clone();
+        self.reap_finished();
+        let client = self.poll_client.clone();
+        let input_sender = self.input_sender.clone();
         self.tasks.spawn(async move {
             let report = poll::report(&client, address).await;
             metric::polls(if report.is_ok() { "ok" } else { "failed" }).increment(1);
-            let _closed = intake.event(Event::PollEnded(name, report)).await;
+            let _closed = input_sender.send_event(Event::PollEnded(name, report)).await;
         });
     }
 
-    fn reap(&mut self) {
+    fn reap_finished(&mut self) {
         while self.tasks.try_join_next().is_some() {}
     }
 }
@@ -135,12 +135,12 @@
 
 /// Makes single calls.
 #[derive(Debug, Clone)]
-pub struct Caller {
+pub struct CallClient {
     name: InstanceName,
     incarnation: Incarnation,
 }
 
-impl Caller {
+impl CallClient {
     /// Calls in the name of this life of an instance.
     pub fn new(name: InstanceName, incarnation: Incarnation) -> Self {
         Self { name, incarnation }
@@ -148,10 +148,10 @@
 
     /// Makes a call. Dropping the future closes the connection.
     pub async fn call(&self, call: &Call) -> CallResult {
-        let began = Instant::now();
-        let result = self.call_within(call, began + call.timeout).await;
+        let started = Instant::now();
+        let result = self.call_within(call, started + call.timeout).await;
         metric::calls(label(&result)).increment(1);
-        metric::call_seconds().record(began.elapsed());
+        metric::call_seconds().record(started.elapsed());
         result
     }
 
@@ -166,28 +166,28 @@
     }
 
     async fn exchange(&self, call: &Call, stream: TcpStream) -> CallResult {
-        let names = Names::new(call, &self.name, self.incarnation);
-        let Ok(request) = request(call, &names) else {
+        let call_headers = CallHeaders::new(call, &self.name, self.incarnation);
+        let Ok(request) = request(call, &call_headers) else {
             return CallResult::Failed;
         };
         let (mut sender, connection) = match http1::handshake(TokioIo::new(stream)).await {
             Ok(halves) => halves,
-            Err(error) => return failed(&error),
+            Err(error) => return connection_error(&error),
         };
         let answer = async {
             match sender.send_request(request).await {
-                Ok(response) => judge(response, &names).await,
-                Err(error) => failed(&error),
+                Ok(response) => classify(response, &call_headers).await,
+                Err(error) => connection_error(&error),
             }
         };
         // What had arrived when the connection ended is still read, so its end ends nothing here.
-        let driven = async {
+        let connection_driver = async {
             let _ended = connection.await;
             std::future::pending().await
         };
         tokio::select! {
             result = answer => result,
-            result = driven => result,
+            result = connection_driver => result,
         }
     }
 }
@@ -198,32 +198,32 @@
     Ok(stream)
 }
 
-fn request(call: &Call, names: &Names) -> http::Result<Request<Full<Bytes>>> {
+fn request(call: &Call, call_headers: &CallHeaders) -> http::Result<Request<Full<Bytes>>> {
     Request::post("/run")
         .header(HOST, call.address.to_string())
-        .header(REQUEST_HEADER, &names.request)
-        .header(CALL_HEADER, &names.call)
+        .header(REQUEST_HEADER, &call_headers.request)
+        .header(CALL_HEADER, &call_headers.call)
         .header(SERVICE_HEADER, call.service.as_str())
         .header(KIND_HEADER, call.kind.as_str())
         .header(TIMEOUT_HEADER, Millis::from(call.timeout).0)
         .body(Full::from(call.body.clone()))
 }
 
-async fn judge(response: Response<Incoming>, names: &Names) -> CallResult {
+async fn classify(response: Response<Incoming>, call_headers: &CallHeaders) -> CallResult {
     match response.status() {
-        StatusCode::OK => answer(response, names).await,
-        StatusCode::SERVICE_UNAVAILABLE => refusal(&response, names),
+        StatusCode::OK => read_answer(response, call_headers).await,
+        StatusCode::SERVICE_UNAVAILABLE => classify_refusal(&response, call_headers),
         _ => CallResult::Failed,
     }
 }
 
 /// The two names that an answer must repeat.
-struct Names {
+struct CallHeaders {
     request: String,
     call: String,
 }
 
-impl Names {
+impl CallHeaders {
     fn new(call: &Call, name: &InstanceName, incarnation: Incarnation) -> Self {
         Self {
             request: format!("{}-{}-{}", call.owner, call.flow, call.seq),
@@ -231,12 +231,12 @@
         }
     }
 
-    fn repeated_by(&self, response: &Response<Incoming>) -> bool {
+    fn is_echoed_by(&self, response: &Response<Incoming>) -> bool {
         header(response, REQUEST_HEADER) == Some(&self.request) && header(response, CALL_HEADER) == Some(&self.call)
     }
 
     /// Whether the response names another request or call. One that names none is not contradicted.
-    fn contradicted_by(&self, response: &Response<Incoming>) -> bool {
+    fn is_contradicted_by(&self, response: &Response<Incoming>) -> bool {
         let differs = |name, own: &str| header(response, name).is_some_and(|value| value != own);
         differs(REQUEST_HEADER, &self.request) || differs(CALL_HEADER, &self.call)
     }
@@ -247,13 +247,13 @@
 }
 
 /// The call failed on its connection, and the request may have been sent.
-fn failed(error: &hyper::Error) -> CallResult {
+fn connection_error(error: &hyper::Error) -> CallResult {
     log::debug!("upstreams: a call failed: {error}, {:?}", error.source());
     CallResult::Failed
 }
 
-fn refusal(response: &Response<Incoming>, names: &Names) -> CallResult {
-    if names.contradicted_by(response) {
+fn classify_refusal(response: &Response<Incoming>, call_headers: &CallHeaders) -> CallResult {
+    if call_headers.is_contradicted_by(response) {
         return CallResult::Mismatched;
     }
     match header(response, NOT_RUN_HEADER) {
@@ -263,8 +263,8 @@
     }
 }
 
-async fn answer(response: Response<Incoming>, names: &Names) -> CallResult {
-    if !names.repeated_by(&response) {
+async fn read_answer(response: Response<Incoming>, call_headers: &CallHeaders) -> CallResult {
+    if !call_headers.is_echoed_by(&response) {
         return CallResult::Mismatched;
     }
     // A body that is cut off or too long is none.
--- a/crates/jayquayd/tests/admin.rs
+++ b/crates/jayquayd/tests/admin.rs
@@ -8,24 +8,24 @@
 use jayquayd::admin;
 use jayquayd::admin::Context;
 use jayquayd::clock::Clock;
-use jayquayd::intake::Intake;
-use jayquayd::intake::Queues;
+use jayquayd::input::InputQueues;
+use jayquayd::input::InputSender;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
 /// Longer than any step of a test takes, unless it hangs.
-const PATIENCE: Duration = Duration::from_mins(1);
+const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 /// More connections than are served at a time.
 const MANY: usize = 100;
 
-async fn start() -> (SocketAddr, Queues) {
+async fn start() -> (SocketAddr, InputQueues) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (intake, queues) = Intake::new();
+    let (input_sender, queues) = InputSender::new();
     let context = Context {
-        intake,
+        input_sender,
         clock: Clock::start(),
         addresses: Addresses {
             callers: address,
@@ -66,7 +66,7 @@
             tokio::task::yield_now().await;
         }
     };
-    let answered = tokio::time::timeout(PATIENCE, answered).await;
+    let answered = tokio::time::timeout(TEST_TIMEOUT, answered).await;
     assert!(answered.is_ok(), "the room was not given back");
 }
 
@@ -76,6 +76,6 @@
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(b"GET /metrics HTTP/1.1\r\n").await.unwrap();
     let mut answer = Vec::new();
-    let ended = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await;
+    let ended = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut answer)).await;
     assert!(ended.is_ok(), "the connection is still open");
 }
--- a/crates/jayquayd/tests/feed.rs
+++ b/crates/jayquayd/tests/feed.rs
@@ -1,10 +1,10 @@
 //! How often an instance reads the platform's list.
 
-use jayquayd::feed::Feed;
-use jayquayd::feed::Wish;
-use jayquayd::intake::Input;
-use jayquayd::intake::Intake;
-use jayquayd::intake::Queues;
+use jayquayd::feed::DesiredState;
+use jayquayd::feed::PlatformSync;
+use jayquayd::input::Input;
+use jayquayd::input::InputQueues;
+use jayquayd::input::InputSender;
 use node::Event;
 use node::Listed;
 use platform::Client;
@@ -29,11 +29,11 @@
 }
 
 /// Waits until the feed tells that the platform answered, or did not.
-async fn answered(queues: &mut Queues) -> bool {
+async fn next_reachability(queues: &mut InputQueues) -> bool {
     loop {
         let input = queues.control.recv().await.expect("the feed runs");
-        if let Input::Event(Event::PlatformReachable(answers)) = input {
-            return answers;
+        if let Input::Event(Event::PlatformReachable(is_reachable)) = input {
+            return is_reachable;
         }
     }
 }
@@ -46,27 +46,27 @@
         ..Behaviour::default()
     };
     platform.behave(down).await;
-    let (intake, mut queues) = Intake::new();
-    let (wish, wished) = watch::channel(Wish::default());
-    let feed = Feed::new(client.clone(), intake, wished);
-    let reading = tokio::spawn(feed.read_list("north".parse().expect("a name")));
+    let (input_sender, mut queues) = InputSender::new();
+    let (desired, desired_receiver) = watch::channel(DesiredState::default());
+    let sync = PlatformSync::new(client.clone(), input_sender, desired_receiver);
+    let reading = tokio::spawn(sync.sync_list("north".parse().expect("a name")));
     // What failed is tried again.
-    assert!(!answered(&mut queues).await);
+    assert!(!next_reachability(&mut queues).await);
     platform.behave(Behaviour::default()).await;
-    while !answered(&mut queues).await {}
+    while !next_reachability(&mut queues).await {}
     let first = platform.counts().lists;
     // Another wish than that to watch wakes it, and it reads nothing in the time that others read often.
-    wish.send_modify(|wish| wish.leaving = true);
+    desired.send_modify(|desired| desired.leaving = true);
     for _ in 0..OTHER_READS {
         client.list().await.expect("the platform serves");
     }
     let first = first + OTHER_READS;
     assert_eq!(platform.counts().lists, first);
-    wish.send_modify(|wish| wish.watching = true);
-    assert!(answered(&mut queues).await);
+    desired.send_modify(|desired| desired.watching = true);
+    assert!(next_reachability(&mut queues).await);
     assert_eq!(platform.counts().lists, first + 1);
     // A watcher goes on.
-    assert!(answered(&mut queues).await);
+    assert!(next_reachability(&mut queues).await);
     assert!(platform.counts().lists >= first + 2);
     reading.abort();
 }
@@ -74,16 +74,16 @@
 #[tokio::test]
 async fn a_new_watcher_finds_those_that_started_in_other_zones_with_it() {
     let (platform, client) = start().await;
-    let (intake, mut queues) = Intake::new();
-    let watching = Wish {
+    let (input_sender, mut queues) = InputSender::new();
+    let watching = DesiredState {
         watching: true,
-        ..Wish::default()
+        ..DesiredState::default()
     };
-    let (_wish, wished) = watch::channel(watching);
-    let feed = Feed::new(client.clone(), intake, wished);
-    let reading = tokio::spawn(feed.read_list("north".parse().expect("a name")));
+    let (_desired, desired_receiver) = watch::channel(watching);
+    let sync = PlatformSync::new(client.clone(), input_sender, desired_receiver);
+    let reading = tokio::spawn(sync.sync_list("north".parse().expect("a name")));
     // Nobody is on the list at first.
-    assert!(answered(&mut queues).await);
+    assert!(next_reachability(&mut queues).await);
     let other = Listed::Entry {
         name: "entry-2".parse().expect("a name"),
         incarnation: Incarnation(1),
--- a/crates/jayquayd/tests/limits.rs
+++ b/crates/jayquayd/tests/limits.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use jayquayd::bucket::Rate;
-use jayquayd::bucket::Table;
+use jayquayd::bucket::SourceBuckets;
 use jayquayd::callers;
 use jayquayd::callers::Limits;
 use jayquayd::clock::Clock;
-use jayquayd::intake::Intake;
+use jayquayd::input::InputSender;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use tokio::net::UdpSocket;
 use units::Time;
@@ -25,9 +25,9 @@
     let _recording = metrics::set_default_local_recorder(&recorder);
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let address = socket.local_addr().unwrap();
-    let (intake, mut queues) = Intake::new();
+    let (input_sender, mut queues) = InputSender::new();
     let (receiver, _replier) = callers::split(socket, Clock::start(), limits);
-    let receiver = tokio::spawn(receiver.run(intake));
+    let receiver = tokio::spawn(receiver.run(input_sender));
     for sent in 1..=sources {
         let source = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         for _ in 0..count {
@@ -61,7 +61,7 @@
     let limits = Limits {
         per_source: only(10),
         total: only(35),
-        sources: 100,
+        max_sources: 100,
     };
     check(limits, 1, 10, 1_200, 10).await;
     check(limits, 1, 30, 100, 10).await;
@@ -76,7 +76,7 @@
     let limits = Limits {
         per_source: only(10_000),
         total: only(10_000),
-        sources: 100,
+        max_sources: 100,
     };
     check(limits, 20, 100, 10, 1_024).await;
 }
@@ -87,18 +87,18 @@
         per_second: 2,
         burst: 3,
     };
-    let mut table = Table::new(rate, 10);
+    let mut buckets = SourceBuckets::new(rate, 10);
     let source = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let start = Time(1_000_000);
-    let taken = (0..5).filter(|_| table.take(source(1), start)).count();
+    let taken = (0..5).filter(|_| buckets.try_take(source(1), start)).count();
     assert_eq!(taken, 3);
     let later = start + Duration::from_secs(1);
-    let taken = (0..5).filter(|_| table.take(source(1), later)).count();
+    let taken = (0..5).filter(|_| buckets.try_take(source(1), later)).count();
     assert_eq!(taken, 2);
     for port in 2..1_000 {
-        assert!(table.take(source(port), later));
-        assert!(table.len() <= 10);
+        assert!(buckets.try_take(source(port), later));
+        assert!(buckets.len() <= 10);
     }
-    let taken = (0..5).filter(|_| table.take(source(1), later)).count();
+    let taken = (0..5).filter(|_| buckets.try_take(source(1), later)).count();
     assert_eq!(taken, 3);
 }
--- a/crates/jayquayd/tests/sessions.rs
+++ b/crates/jayquayd/tests/sessions.rs
@@ -6,9 +6,9 @@
 
 use futures_util::SinkExt;
 use futures_util::StreamExt;
-use jayquayd::intake::Input;
-use jayquayd::intake::Intake;
-use jayquayd::intake::Queues;
+use jayquayd::input::Input;
+use jayquayd::input::InputQueues;
+use jayquayd::input::InputSender;
 use jayquayd::sessions;
 use jayquayd::sessions::Context;
 use jayquayd::sessions::MAX_HANDSHAKES;
@@ -30,7 +30,7 @@
 use wire::Frame;
 
 /// Longer than any step of a test takes, unless it hangs.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Speaks WebSocket on a connection to an instance, as a stranger would.
 async fn websocket(tcp: TcpStream, address: SocketAddr) -> WebSocketStream<TcpStream> {
@@ -43,7 +43,7 @@
     name: InstanceName,
     address: SocketAddr,
     sessions: Sessions,
-    queues: Queues,
+    queues: InputQueues,
     listening: JoinSet<()>,
 }
 
@@ -51,7 +51,7 @@
     async fn start(name: &str, incarnation: u64, secret: &str, capacity: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (intake, queues) = Intake::new();
+        let (input_sender, queues) = InputSender::new();
         let own = Identity {
             name: name.parse().unwrap(),
             incarnation: Incarnation(incarnation),
@@ -61,7 +61,7 @@
         let context = Context {
             own,
             keys: Keys::new(&secret.repeat(32).parse().unwrap(), &[]),
-            intake,
+            input_sender,
             handshake_history: Arc::default(),
         };
         let mut listening = JoinSet::new();
@@ -83,7 +83,7 @@
     /// The next frame or loss, in words.
     async fn next(&mut self) -> String {
         loop {
-            let input = tokio::time::timeout(PATIENCE, self.queues.control.recv()).await;
+            let input = tokio::time::timeout(TEST_TIMEOUT, self.queues.control.recv()).await;
             match input.expect("something comes in time").unwrap() {
                 Input::Frame(arrival) => {
                     let Frame::Want(Some(revision)) = arrival.frame else {
@@ -238,7 +238,7 @@
     let frame = Message::binary(vec![0; 1_000_000]);
     // The other side may hang up before everything is written.
     let _cut = ws.send(frame).await;
-    let end = tokio::time::timeout(PATIENCE, ws.next())
+    let end = tokio::time::timeout(TEST_TIMEOUT, ws.next())
         .await
         .expect("it ends in time");
     assert!(!matches!(end, Some(Ok(Message::Binary(_)))), "{end:?}");
@@ -258,7 +258,7 @@
     // Those over the limit are hung up on at once, the others when their time is over.
     for stranger in &mut strangers {
         let mut buffer = [0; 16];
-        let read = tokio::time::timeout(PATIENCE, stranger.read(&mut buffer)).await;
+        let read = tokio::time::timeout(TEST_TIMEOUT, stranger.read(&mut buffer)).await;
         let read = read.expect("it ends in time");
         assert_eq!(read.unwrap_or(0), 0);
     }
--- a/crates/jayquayd/tests/summary.rs
+++ b/crates/jayquayd/tests/summary.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use jayquayd::summary::Keeper;
 use jayquayd::summary::Summary;
+use jayquayd::summary::SummaryWriter;
 use node::Status;
 use platform::Client;
 use platform::Options;
@@ -59,9 +59,11 @@
 #[tokio::test]
 async fn a_summary_tells_the_zone_and_is_written_by_its_first_instance() {
     let (platform, client) = start().await;
-    Keeper::new(client.clone()).look(at(100), &status("b", 0)).await;
+    SummaryWriter::new(client.clone())
+        .write_if_due(at(100), &status("b", 0))
+        .await;
     assert_eq!(written(&platform), None);
-    Keeper::new(client).look(at(100), &status("a", 4)).await;
+    SummaryWriter::new(client).write_if_due(at(100), &status("a", 4)).await;
     let (writer, summary) = written(&platform).expect("the first one writes");
     let in_force = json!([
         {"revision": 2, "digest": "0a", "instances": ["b"]},
@@ -79,9 +81,9 @@
 #[tokio::test]
 async fn writes_are_few_and_none_if_nothing_changed() {
     let (platform, client) = start().await;
-    let mut keeper = Keeper::new(client.clone());
+    let mut writer = SummaryWriter::new(client.clone());
     for second in 0..100 {
-        keeper.look(at(second), &status("a", second)).await;
+        writer.write_if_due(at(second), &status("a", second)).await;
     }
     assert_eq!(
         platform.counts().taken,
@@ -89,40 +91,40 @@
         "one in ten seconds while it changes all the time"
     );
     for second in 100..200 {
-        keeper.look(at(second), &status("a", 90)).await;
+        writer.write_if_due(at(second), &status("a", 90)).await;
     }
     assert_eq!(platform.counts().taken, 10, "none while nothing changes");
     // A new life of the writer finds that what stands there is right.
-    Keeper::new(client).look(at(200), &status("a", 90)).await;
+    SummaryWriter::new(client).write_if_due(at(200), &status("a", 90)).await;
     assert_eq!((platform.counts().taken, platform.counts().reads), (10, 2));
 }
 
 #[tokio::test]
 async fn two_writers_do_not_write_over_what_they_have_not_seen() {
     let (platform, client) = start().await;
-    let mut one = Keeper::new(client.clone());
-    let mut other = Keeper::new(client);
-    one.look(at(0), &status("a", 1)).await;
-    other.look(at(0), &status("a", 2)).await;
+    let mut one = SummaryWriter::new(client.clone());
+    let mut other = SummaryWriter::new(client);
+    one.write_if_due(at(0), &status("a", 1)).await;
+    other.write_if_due(at(0), &status("a", 2)).await;
     // The version that the first one knows is no longer the newest.
-    one.look(at(10), &status("a", 3)).await;
+    one.write_if_due(at(10), &status("a", 3)).await;
     let refused = |platform: &Handle| written(platform).map(|(_, summary)| summary.refused[0].count);
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(2), 1));
-    one.look(at(20), &status("a", 3)).await;
+    one.write_if_due(at(20), &status("a", 3)).await;
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(3), 1));
 }
 
 #[tokio::test]
 async fn a_lost_answer_and_an_outage_cost_no_more() {
     let (platform, client) = start().await;
-    let mut keeper = Keeper::new(client);
+    let mut writer = SummaryWriter::new(client);
     let lost = Behaviour {
         lose_answers: 1,
         ..Behaviour::default()
     };
     platform.behave(lost).await;
     for second in 0..20 {
-        keeper.look(at(second), &status("a", 1)).await;
+        writer.write_if_due(at(second), &status("a", 1)).await;
     }
     // The write took effect; the second look reads that, and nothing is written again.
     assert_eq!((platform.counts().writes, platform.counts().taken), (1, 1));
@@ -132,11 +134,11 @@
     };
     platform.behave(unavailable).await;
     for second in 20..120 {
-        keeper.look(at(second), &status("a", 2)).await;
+        writer.write_if_due(at(second), &status("a", 2)).await;
     }
     let counts = platform.counts();
     assert!(counts.reads + counts.writes <= 13, "{counts:?}");
     platform.behave(Behaviour::default()).await;
-    keeper.look(at(130), &status("a", 2)).await;
+    writer.write_if_due(at(130), &status("a", 2)).await;
     assert_eq!(platform.counts().taken, 2);
 }
--- a/crates/jayquayd/tests/timeline.rs
+++ b/crates/jayquayd/tests/timeline.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use jayquayd::timeline::Hybrid;
+use jayquayd::timeline::HybridClock;
 use jayquayd::timeline::PAGE_LEN;
-use jayquayd::timeline::Ring;
 use jayquayd::timeline::Seq;
 use jayquayd::timeline::Stamp;
+use jayquayd::timeline::TimelineBuffer;
 use node::Record;
 use units::Incarnation;
 use units::Revision;
@@ -14,11 +14,11 @@
 
 /// Keeps `count` records in a ring of `capacity`, and tells the first and last number of a page and its length.
 fn check(capacity: usize, count: u64, since: u64) -> String {
-    let mut ring = Ring::new("one".parse().unwrap(), Incarnation(1), capacity);
+    let mut buffer = TimelineBuffer::new("one".parse().unwrap(), Incarnation(1), capacity);
     for number in 1..=count {
-        ring.push(Stamp(number), Record::InForce(Revision(number)));
+        buffer.push(Stamp(number), Record::InForce(Revision(number)));
     }
-    let page = ring.page(Seq(since)).0;
+    let page = buffer.page(Seq(since)).0;
     for entry in &page {
         assert_eq!(entry.record, Record::InForce(Revision(entry.seq.0)));
     }
@@ -42,9 +42,9 @@
 
 #[test]
 fn an_entry_is_one_line_of_json() {
-    let mut ring = Ring::new("one".parse().unwrap(), Incarnation(1), 10);
-    ring.push(Stamp(4_096), Record::InForce(Revision(3)));
-    let entry = ring.page(Seq(0)).0.remove(0);
+    let mut buffer = TimelineBuffer::new("one".parse().unwrap(), Incarnation(1), 10);
+    buffer.push(Stamp(4_096), Record::InForce(Revision(3)));
+    let entry = buffer.page(Seq(0)).0.remove(0);
     let line = serde_json::to_string(&entry).unwrap();
     insta::assert_snapshot!(line, @r#"{"seq":1,"stamp":4096,"instance":"one","incarnation":1,"record":{"InForce":3}}"#);
     assert_eq!(serde_json::from_str::<jayquayd::timeline::Entry>(&line).unwrap(), entry);
@@ -54,11 +54,11 @@
 fn an_effect_has_a_higher_stamp_than_its_cause() {
     let behind = Time(1_000_000);
     let ahead = behind + Duration::from_secs(30);
-    let mut sender = Hybrid::default();
-    let mut receiver = Hybrid::default();
+    let mut sender = HybridClock::default();
+    let mut receiver = HybridClock::default();
     let own = receiver.tick(behind);
     let cause = sender.tick(ahead);
-    assert!(receiver.follow(behind, cause));
+    assert!(receiver.observe(behind, cause));
     let effect = receiver.tick(behind);
     assert!(own < cause && cause < effect);
     assert!(receiver.tick(behind) > effect);
@@ -71,8 +71,8 @@
 #[test]
 fn a_clock_that_is_far_ahead_is_not_followed() {
     let now = Time(1_000_000);
-    let mut clock = Hybrid::default();
-    let far = Hybrid::default().tick(now + Duration::from_mins(2));
-    assert!(!clock.follow(now, far));
+    let mut clock = HybridClock::default();
+    let far = HybridClock::default().tick(now + Duration::from_mins(2));
+    assert!(!clock.observe(now, far));
     assert_eq!(clock.tick(now).time(), now);
 }
--- a/crates/jayquayd/tests/upstreams.rs
+++ b/crates/jayquayd/tests/upstreams.rs
@@ -4,9 +4,9 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-use jayquayd::intake::Input;
-use jayquayd::intake::Intake;
-use jayquayd::upstreams::Caller;
+use jayquayd::input::Input;
+use jayquayd::input::InputSender;
+use jayquayd::upstreams::CallClient;
 use jayquayd::upstreams::Upstreams;
 use node::Call;
 use node::CallId;
@@ -22,7 +22,7 @@
 use units::RequestSeq;
 
 /// Longer than any step of a test takes, unless it hangs.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const ECHO: &str = "x-jayquay-request: {request}\r\nx-jayquay-call: {call}\r\n";
 
 fn call(address: SocketAddr, timeout: Duration) -> Call {
@@ -40,8 +40,8 @@
     }
 }
 
-fn caller() -> Caller {
-    Caller::new("entry-1".parse().unwrap(), Incarnation(9))
+fn call_client() -> CallClient {
+    CallClient::new("entry-1".parse().unwrap(), Incarnation(9))
 }
 
 async fn read_request(stream: &mut TcpStream) -> String {
@@ -76,7 +76,7 @@
         stream.write_all(answer.as_bytes()).await.unwrap();
         request
     });
-    let result = caller().call(&call(address, PATIENCE)).await;
+    let result = call_client().call(&call(address, TEST_TIMEOUT)).await;
     let request = server.await.unwrap();
     assert_eq!(result, expected, "{name}");
     assert!(request.starts_with("POST /run HTTP/1.1\r\n"), "{request}");
@@ -130,11 +130,11 @@
         let (stream, _) = listener.accept().await.unwrap();
         drop(stream);
     });
-    let caller = caller();
-    let result = caller.call(&call(address, PATIENCE)).await;
+    let call_client = call_client();
+    let result = call_client.call(&call(address, TEST_TIMEOUT)).await;
     assert_eq!(result, CallResult::Failed);
     server.await.unwrap();
-    let result = caller.call(&call(address, PATIENCE)).await;
+    let result = call_client.call(&call(address, TEST_TIMEOUT)).await;
     assert_eq!(result, CallResult::Unreachable);
 }
 
@@ -154,9 +154,9 @@
         let (mut second, _) = listener.accept().await.unwrap();
         read_request(&mut second).await;
     });
-    let caller = caller();
-    let first = caller.call(&call(address, PATIENCE)).await;
-    let second = caller.call(&call(address, PATIENCE)).await;
+    let call_client = call_client();
+    let first = call_client.call(&call(address, TEST_TIMEOUT)).await;
+    let second = call_client.call(&call(address, TEST_TIMEOUT)).await;
     assert_eq!((first, second), (CallResult::Answered(Vec::new()), CallResult::Failed));
     server.await.unwrap();
 }
@@ -165,7 +165,7 @@
 async fn a_deadline_ends_a_call() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let result = caller().call(&call(address, Duration::from_millis(100))).await;
+    let result = call_client().call(&call(address, Duration::from_millis(100))).await;
     assert_eq!(result, CallResult::TimedOut);
     drop(listener);
 }
@@ -174,14 +174,14 @@
 async fn a_cancelled_call_closes_its_connection_and_has_no_result() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (intake, mut queues) = Intake::new();
-    let mut upstreams = Upstreams::new("entry-1".parse().unwrap(), Incarnation(9), intake).unwrap();
-    upstreams.call(call(address, PATIENCE));
+    let (input_sender, mut queues) = InputSender::new();
+    let mut upstreams = Upstreams::new("entry-1".parse().unwrap(), Incarnation(9), input_sender).unwrap();
+    upstreams.call(call(address, TEST_TIMEOUT));
     let (mut stream, _) = listener.accept().await.unwrap();
     read_request(&mut stream).await;
     upstreams.cancel(CallId(7));
     let mut rest = Vec::new();
-    let closed = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut rest)).await;
+    let closed = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut rest)).await;
     assert!(closed.is_ok(), "the connection is still open");
     drop(upstreams);
     assert!(queues.control.recv().await.is_none());
@@ -204,8 +204,8 @@
             stream.write_all(answer.as_bytes()).await.unwrap();
         }
     });
-    let (intake, mut queues) = Intake::new();
-    let mut upstreams = Upstreams::new("entry-1".parse().unwrap(), Incarnation(9), intake).unwrap();
+    let (input_sender, mut queues) = InputSender::new();
+    let mut upstreams = Upstreams::new("entry-1".parse().unwrap(), Incarnation(9), input_sender).unwrap();
     upstreams.poll("north-1".parse().unwrap(), address);
     let Some(Input::Event(Event::PollEnded(_, Ok(report)))) = queues.control.recv().await else {
         panic!("no report came");
@@ -222,35 +222,35 @@
 }
 
 /// A listener that nobody takes connections from, and those that fill its queue, so that the system answers no other.
-async fn unanswering() -> (TcpListener, Vec<Pin<Box<impl Future>>>) {
+async fn listener_with_full_backlog() -> (TcpListener, Vec<Pin<Box<impl Future>>>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = socket.local_addr().unwrap();
     let listener = socket.listen(1).unwrap();
-    let mut waiting = Vec::new();
-    let mut is_full = false;
+    let mut connecting = Vec::new();
+    let mut is_backlog_full = false;
     for _ in 0..8 {
         let mut stream = Box::pin(TcpStream::connect(address));
         let polled = tokio::time::timeout(Duration::from_millis(20), &mut stream).await;
-        is_full = polled.is_err();
-        waiting.push(stream);
+        is_backlog_full = polled.is_err();
+        connecting.push(stream);
     }
-    assert!(is_full, "the queue never filled");
-    (listener, waiting)
+    assert!(is_backlog_full, "the queue never filled");
+    (listener, connecting)
 }
 
 #[tokio::test]
 async fn a_connection_that_takes_too_long_is_unreachable() {
-    let (listener, _waiting) = unanswering().await;
+    let (listener, _connecting) = listener_with_full_backlog().await;
     let address = listener.local_addr().unwrap();
-    let result = caller().call(&call(address, PATIENCE)).await;
+    let result = call_client().call(&call(address, TEST_TIMEOUT)).await;
     assert_eq!(result, CallResult::Unreachable);
 }
 
 #[tokio::test]
 async fn a_deadline_that_passes_while_connecting_leaves_nothing_in_doubt() {
-    let (listener, _waiting) = unanswering().await;
+    let (listener, _connecting) = listener_with_full_backlog().await;
     let address = listener.local_addr().unwrap();
-    let result = caller().call(&call(address, Duration::from_millis(100))).await;
+    let result = call_client().call(&call(address, Duration::from_millis(100))).await;
     assert_eq!(result, CallResult::Unreachable);
 }
--- a/crates/jayquayd/tests/whole/fleet.rs
+++ b/crates/jayquayd/tests/whole/fleet.rs
@@ -8,7 +8,7 @@
 use jayquayd::Handle;
 
 /// Longer than any step of a test takes, unless it hangs.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long callers wait for an answer.
 const ANSWER_TIME: Duration = Duration::from_secs(10);
 /// How often a condition is looked at.
@@ -119,7 +119,7 @@
         let mut handle = self.instances.remove(index);
         handle.stop().await;
         self.spray();
-        tokio::time::timeout(PATIENCE, handle.ended())
+        tokio::time::timeout(TEST_TIMEOUT, handle.ended())
             .await
             .expect("it stops in time")
     }
@@ -188,7 +188,7 @@
             tokio::time::sleep(LOOK_TIME).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting)
+    tokio::time::timeout(TEST_TIMEOUT, waiting)
         .await
         .expect("the condition holds in time");
 }
--- a/crates/jayquayd/tests/whole/limits.rs
+++ b/crates/jayquayd/tests/whole/limits.rs
@@ -18,7 +18,7 @@
 use wire::Verdict;
 
 use crate::fleet::Fleet;
-use crate::fleet::PATIENCE;
+use crate::fleet::TEST_TIMEOUT;
 use crate::fleet::until;
 
 /// A flow of which nothing is sent again and nothing is pulled by itself.
@@ -81,7 +81,7 @@
         self.send(packet).await;
         let mut buffer = [0; wire::MAX_PACKET_LEN];
         loop {
-            let received = tokio::time::timeout(PATIENCE, self.socket.recv(&mut buffer)).await;
+            let received = tokio::time::timeout(TEST_TIMEOUT, self.socket.recv(&mut buffer)).await;
             let len = received.expect("a reply comes in time").unwrap();
             let reply = wire::decode_reply(&buffer[..len]).unwrap();
             if !matches!(reply, Reply::Accepted(_)) {
