--- a/crates/jayquayd/examples/fleet.rs
+++ b/crates/jayquayd/examples/fleet.rs
@@ -18,11 +18,11 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 const DOCUMENT: &str = include_str!("../../../examples/verblijfnet.yaml");
-const FLEETS: [usize; 3] = [9, 32, 64];
+const FLEET_SIZES: [usize; 3] = [9, 32, 64];
 /// How long a fleet gets to meet.
-const SETTLE: Duration = Duration::from_mins(1);
+const SETTLE_TIME: Duration = Duration::from_mins(1);
 /// How long it is measured.
-const SPAN: Duration = Duration::from_secs(20);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
 /// The system's clock ticks in a second, as in `/proc/self/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_KB: u64 = 4;
@@ -33,20 +33,20 @@
         .install_recorder()
         .expect("there is no other recorder");
     println!("instances  cpu % each  memory KB each  control B/s each  platform calls/s in all");
-    for count in FLEETS {
+    for count in FLEET_SIZES {
         measure(count, &recorder).await;
     }
 }
 
 /// What is read before and after a span.
-struct Reading {
+struct Sample {
     at: Instant,
     cpu: f64,
     sent: f64,
     calls: f64,
 }
 
-impl Reading {
+impl Sample {
     fn now(recorder: &PrometheusHandle) -> Self {
         let text = recorder.render();
         Self {
@@ -69,18 +69,18 @@
     for index in 0..count {
         fleet.push(start(index, platform.address()).await);
     }
-    tokio::time::sleep(SETTLE).await;
-    let first = Reading::now(recorder);
-    tokio::time::sleep(SPAN).await;
-    let last = Reading::now(recorder);
+    tokio::time::sleep(SETTLE_TIME).await;
+    let first = Sample::now(recorder);
+    tokio::time::sleep(MEASUREMENT_TIME).await;
+    let last = Sample::now(recorder);
     let memory = resident_kb().saturating_sub(before) / count as u64;
-    let span = (last.at - first.at).as_secs_f64();
-    let each = |total: f64| total / span / count as f64;
+    let elapsed = (last.at - first.at).as_secs_f64();
+    let each = |total: f64| total / elapsed / count as f64;
     println!(
         "{count:>9}  {:>10.3}  {memory:>14}  {:>16.0}  {:>23.2}",
         100.0 * each(last.cpu - first.cpu),
         each(last.sent - first.sent),
-        (last.calls - first.calls) / span,
+        (last.calls - first.calls) / elapsed,
     );
 }
 
--- a/crates/jayquayd/tests/admin.rs
+++ b/crates/jayquayd/tests/admin.rs
@@ -18,7 +18,7 @@
 /// Longer than any step of a test takes, unless it hangs.
 const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 /// More connections than are served at a time.
-const MANY: usize = 100;
+const IDLE_CONNECTIONS: usize = 100;
 
 async fn start() -> (SocketAddr, InputQueues) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -56,7 +56,7 @@
     let (address, _queues) = start().await;
     assert!(is_answered(address).await);
     let mut idle = Vec::new();
-    for _ in 0..MANY {
+    for _ in 0..IDLE_CONNECTIONS {
         idle.push(TcpStream::connect(address).await.unwrap());
     }
     assert!(!is_answered(address).await, "there was room for yet another connection");
--- a/crates/jayquayd/tests/feed.rs
+++ b/crates/jayquayd/tests/feed.rs
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_is_no_watcher_reads_the_list_once() {
+async fn a_non_watcher_reads_the_list_once() {
     let (platform, client) = start().await;
     let down = Behaviour {
         unavailable: true,
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn a_new_watcher_finds_those_that_started_in_other_zones_with_it() {
+async fn a_new_watcher_finds_instances_of_other_zones_that_started_with_it() {
     let (platform, client) = start().await;
     let (input_sender, mut queues) = InputSender::new();
     let watching = DesiredState {
--- a/crates/jayquayd/tests/handshake.rs
+++ b/crates/jayquayd/tests/handshake.rs
@@ -19,7 +19,7 @@
 
 type Socket = WebSocketStream<DuplexStream>;
 
-async fn pair() -> (Socket, Socket) {
+async fn connected_sockets() -> (Socket, Socket) {
     let (client, server) = tokio::io::duplex(64 * 1_024);
     let client = WebSocketStream::from_raw_socket(client, Role::Client, None).await;
     let server = WebSocketStream::from_raw_socket(server, Role::Server, None).await;
@@ -47,7 +47,7 @@
 
 /// Shakes hands between an initiator and an acceptor, and tells how it went for each.
 async fn check(initiator: (&str, &str), acceptor: (&str, &str), expected: (&str, &str)) {
-    let (mut client, mut server) = pair().await;
+    let (mut client, mut server) = connected_sockets().await;
     let client_own = identity(initiator.0);
     let server_own = identity(acceptor.0);
     let client_keys = keys(initiator.1);
@@ -57,12 +57,12 @@
     let server = async move { handshake::accept(&mut server, &server_own, &server_keys).await };
     let (client, server) = tokio::join!(client, server);
     assert_eq!(
-        (words(client), words(server)),
+        (describe(client), describe(server)),
         (expected.0.to_owned(), expected.1.to_owned())
     );
 }
 
-fn words(result: Result<Identity, Error>) -> String {
+fn describe(result: Result<Identity, Error>) -> String {
     match result {
         Ok(identity) => format!("met {}", identity.name),
         Err(error) => error.to_string(),
@@ -83,7 +83,7 @@
 
 #[tokio::test]
 async fn an_impostor_that_is_connected_to_is_refused() {
-    let (mut client, mut server) = pair().await;
+    let (mut client, mut server) = connected_sockets().await;
     let impostor = async move {
         let _hello = receive(&mut server).await;
         send(&mut server, &handshake::encode(&Hello::new(identity("two")))).await;
@@ -102,18 +102,18 @@
     let own = identity("two");
     let keys = keys("a");
     let hello = handshake::encode(&Hello::new(identity("one")));
-    let (mut client, mut server) = pair().await;
-    let honest = async {
+    let (mut client, mut server) = connected_sockets().await;
+    let legitimate = async {
         send(&mut client, &hello).await;
         let other = receive(&mut client).await;
         let proof = handshake::encode(&Transcript::new(&hello, &other).proof(&keys, Side::Initiator));
         send(&mut client, &proof).await;
         proof
     };
-    let (recorded, met) = tokio::join!(honest, handshake::accept(&mut server, &own, &keys));
+    let (recorded, met) = tokio::join!(legitimate, handshake::accept(&mut server, &own, &keys));
     assert_eq!(met, Ok(identity("one")));
 
-    let (mut client, mut server) = pair().await;
+    let (mut client, mut server) = connected_sockets().await;
     let replay = async {
         send(&mut client, &hello).await;
         receive(&mut client).await;
@@ -134,7 +134,7 @@
         (handshake::encode(&older), Error::Version),
     ];
     for (message, expected) in cases {
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_sockets().await;
         send(&mut client, &message).await;
         let result = handshake::accept(&mut server, &identity("two"), &keys("a")).await;
         assert_eq!(result, Err(expected));
--- a/crates/jayquayd/tests/limits.rs
+++ b/crates/jayquayd/tests/limits.rs
@@ -14,7 +14,7 @@
 use units::Time;
 
 /// Nothing is gained back, so that no test depends on how fast it runs.
-fn only(burst: u32) -> Rate {
+fn without_refill(burst: u32) -> Rate {
     Rate { per_second: 0, burst }
 }
 
@@ -59,8 +59,8 @@
 #[tokio::test]
 async fn datagrams_over_a_limit_are_dropped_and_counted() {
     let limits = Limits {
-        per_source: only(10),
-        total: only(35),
+        per_source: without_refill(10),
+        total: without_refill(35),
         max_sources: 100,
     };
     check(limits, 1, 10, 1_200, 10).await;
@@ -74,15 +74,15 @@
 #[tokio::test]
 async fn a_full_queue_drops_datagrams() {
     let limits = Limits {
-        per_source: only(10_000),
-        total: only(10_000),
+        per_source: without_refill(10_000),
+        total: without_refill(10_000),
         max_sources: 100,
     };
     check(limits, 20, 100, 10, 1_024).await;
 }
 
 #[test]
-fn tokens_come_back_with_time_and_sources_are_forgotten() {
+fn tokens_are_refilled_and_old_sources_are_evicted() {
     let rate = Rate {
         per_second: 2,
         burst: 3,
--- a/crates/jayquayd/tests/process.rs
+++ b/crates/jayquayd/tests/process.rs
@@ -31,9 +31,9 @@
 }
 
 /// Ends the process when a test fails.
-struct Running(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ended = self.0.kill();
         let _reaped = self.0.wait();
@@ -41,10 +41,10 @@
 }
 
 /// Runs a process until it has printed its addresses, sends it a signal, and returns its exit code.
-fn check(signal: &str) -> Option<i32> {
+fn exit_code_after(signal: &str) -> Option<i32> {
     let settings = settings_file(&format!("{signal}.yaml"), VALID);
     let child = command(&settings).stdout(Stdio::piped()).spawn().unwrap();
-    let mut running = Running(child);
+    let mut running = KillOnDrop(child);
     let mut line = String::new();
     let stdout = running.0.stdout.take().unwrap();
     BufReader::new(stdout).read_line(&mut line).unwrap();
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn a_signal_begins_a_planned_stop() {
-    assert_eq!(check("TERM"), Some(0));
-    assert_eq!(check("INT"), Some(0));
+fn a_signal_starts_a_planned_stop() {
+    assert_eq!(exit_code_after("TERM"), Some(0));
+    assert_eq!(exit_code_after("INT"), Some(0));
 }
 
 #[test]
-fn wrong_settings_are_bad_usage_and_no_secret_is_repeated() {
+fn invalid_settings_are_a_usage_error_and_no_secret_is_printed() {
     let text = VALID
         .replace("zone: zone-a", "zone: 7\nport: 3")
         .replace("f\"", "f\", extra: 1");
@@ -90,14 +90,14 @@
 }
 
 #[test]
-fn the_example_passes_the_check() {
+fn the_example_settings_pass_the_check() {
     let example = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/settings.yaml");
     let output = command(&example).arg("--check").output().unwrap();
     assert_eq!(output.status.code(), Some(0));
 }
 
 #[test]
-fn a_wrong_command_line_is_bad_usage() {
+fn an_invalid_command_line_is_a_usage_error() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_jayquayd"));
     let output = command.arg("--no-such-option").output().unwrap();
     let errors = String::from_utf8(output.stderr).unwrap();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn help_that_nobody_reads_is_no_failure() {
+fn help_to_a_closed_pipe_is_not_a_failure() {
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
     let mut command = Command::new(env!("CARGO_BIN_EXE_jayquayd"));
@@ -116,16 +116,16 @@
 }
 
 /// What a process that can reach no platform says until it says `text`, or has complained of the platform three times.
-fn said(running: &mut Running, text: &str) -> Vec<String> {
+fn read_log_until(running: &mut KillOnDrop, text: &str) -> Vec<String> {
     let stderr = BufReader::new(running.0.stderr.take().unwrap());
     let mut lines = Vec::new();
-    let mut silent = 0;
+    let mut platform_warnings = 0;
     for line in stderr.lines() {
         let line = line.unwrap();
-        silent += usize::from(line.contains("entry not renewed"));
-        let is_said = line.contains(text);
+        platform_warnings += usize::from(line.contains("entry not renewed"));
+        let is_found = line.contains(text);
         lines.push(line);
-        if is_said || silent == 3 {
+        if is_found || platform_warnings == 3 {
             break;
         }
     }
@@ -133,10 +133,10 @@
 }
 
 #[test]
-fn an_instance_with_another_secret_is_told_so() {
+fn an_instance_with_another_secret_logs_a_hint() {
     let first = settings_file("first.yaml", VALID);
     let child = command(&first).stdout(Stdio::piped()).spawn().unwrap();
-    let mut first = Running(child);
+    let mut first = KillOnDrop(child);
     let mut line = String::new();
     let stdout = first.0.stdout.take().unwrap();
     BufReader::new(stdout).read_line(&mut line).unwrap();
@@ -148,17 +148,17 @@
     let other = VALID.replace("name: one", "name: two").replace("0123", "3210");
     let second = settings_file("second.yaml", &format!("{other}{peers}\n"));
     let child = command(&second).stderr(Stdio::piped()).spawn().unwrap();
-    let told = format!("sessions: one at {} ended the handshake", addresses.instances);
-    let lines = said(&mut Running(child), &told);
-    assert!(lines.iter().any(|line| line.contains(&told)), "{lines:#?}");
+    let expected = format!("sessions: one at {} ended the handshake", addresses.instances);
+    let lines = read_log_until(&mut KillOnDrop(child), &expected);
+    assert!(lines.iter().any(|line| line.contains(&expected)), "{lines:#?}");
 }
 
 #[test]
-fn unusable_packets_are_counted_by_cause_and_said_in_the_log() {
+fn unusable_packets_are_counted_by_cause_and_logged() {
     let settings = settings_file("unusable.yaml", VALID);
     let mut child = command(&settings);
     let child = child.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    let mut running = Running(child);
+    let mut running = KillOnDrop(child);
     let mut line = String::new();
     BufReader::new(running.0.stdout.take().unwrap())
         .read_line(&mut line)
--- a/crates/jayquayd/tests/sessions.rs
+++ b/crates/jayquayd/tests/sessions.rs
@@ -33,7 +33,7 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Speaks WebSocket on a connection to an instance, as a stranger would.
-async fn websocket(tcp: TcpStream, address: SocketAddr) -> WebSocketStream<TcpStream> {
+async fn open_websocket(tcp: TcpStream, address: SocketAddr) -> WebSocketStream<TcpStream> {
     let url = format!("ws://{address}/");
     let (ws, _) = tokio_tungstenite::client_async(url, tcp).await.unwrap();
     ws
@@ -106,7 +106,7 @@
     }
 
     /// The next frame or loss, while the other instance works and gets neither.
-    async fn next_unheard_by(&mut self, other: &mut Self) -> String {
+    async fn next_while_idle(&mut self, other: &mut Self) -> String {
         tokio::select! {
             next = self.next() => next,
             heard = other.next() => panic!("the other one heard: {heard}"),
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn the_end_of_a_session_is_told_and_another_one_is_made() {
+async fn the_end_of_a_session_is_reported_and_a_new_one_is_made() {
     let mut one = Instance::start("one", 1, "a", 8).await;
     let mut two = Instance::start("two", 2, "a", 8).await;
     assert!(one.send(&two, 10));
@@ -155,23 +155,23 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_cannot_be_met_is_lost_each_time() {
+async fn each_failed_connection_reports_a_loss() {
     let mut one = Instance::start("one", 1, "a", 8).await;
-    let mut stranger = Instance::start("two", 2, "b", 8).await;
+    let mut rejected = Instance::start("two", 2, "b", 8).await;
     for _ in 0..3 {
-        assert!(one.send(&stranger, 10));
+        assert!(one.send(&rejected, 10));
         assert_eq!(one.next().await, "lost two");
     }
     // Another instance answers at the address that was known.
     let three = Instance::start("three", 3, "a", 8).await;
-    stranger.address = three.address;
-    assert!(one.send(&stranger, 10));
+    rejected.address = three.address;
+    assert!(one.send(&rejected, 10));
     assert_eq!(one.next().await, "lost two");
-    assert!(stranger.queues.control.is_empty());
+    assert!(rejected.queues.control.is_empty());
 }
 
 #[tokio::test]
-async fn no_more_sessions_than_allowed() {
+async fn sessions_are_limited() {
     let mut one = Instance::start("one", 1, "a", 1).await;
     let mut two = Instance::start("two", 2, "a", 8).await;
     let mut three = Instance::start("three", 3, "a", 8).await;
@@ -180,12 +180,12 @@
     assert!(!one.send(&three, 11));
     // The one that connects is hung up on, and told so.
     assert!(three.send(&one, 30));
-    assert_eq!(three.next_unheard_by(&mut one).await, "lost one");
+    assert_eq!(three.next_while_idle(&mut one).await, "lost one");
     assert_eq!(one.sessions.established(), 1);
 }
 
 #[tokio::test]
-async fn a_newer_life_replaces_an_older_one_and_never_the_other_way() {
+async fn a_newer_incarnation_replaces_an_older_one_and_never_the_other_way() {
     let mut one = Instance::start("one", 1, "a", 8).await;
     let mut older = Instance::start("two", 2, "a", 8).await;
     let mut newer = Instance::start("two", 3, "a", 8).await;
@@ -196,16 +196,16 @@
     assert_eq!(one.next().await, "two (3) sent 20 at 20");
     assert_eq!(older.next().await, "lost one");
     assert!(older.send(&one, 11));
-    assert_eq!(older.next_unheard_by(&mut one).await, "lost one");
+    assert_eq!(older.next_while_idle(&mut one).await, "lost one");
     assert!(one.send(&newer, 30));
     assert_eq!(newer.next().await, "one (1) sent 30 at 30");
 }
 
 #[tokio::test]
-async fn a_frozen_instance_is_given_up() {
+async fn a_session_with_a_frozen_instance_ends() {
     let mut one = Instance::start("one", 1, "a", 8).await;
     let tcp = TcpStream::connect(one.address).await.unwrap();
-    let mut ws = websocket(tcp, one.address).await;
+    let mut ws = open_websocket(tcp, one.address).await;
     let own = Identity {
         name: "two".parse().unwrap(),
         incarnation: Incarnation(2),
@@ -230,10 +230,10 @@
 }
 
 #[tokio::test]
-async fn a_stranger_is_hung_up_on_before_anything_is_read() {
+async fn an_oversized_handshake_message_closes_the_connection() {
     let mut one = Instance::start("one", 1, "a", 8).await;
     let tcp = TcpStream::connect(one.address).await.unwrap();
-    let mut ws = websocket(tcp, one.address).await;
+    let mut ws = open_websocket(tcp, one.address).await;
     // More than a handshake may hold, less than a frame may.
     let frame = Message::binary(vec![0; 1_000_000]);
     // The other side may hang up before everything is written.
@@ -248,17 +248,17 @@
 }
 
 #[tokio::test]
-async fn silent_strangers_neither_pile_up_nor_keep_instances_out() {
+async fn silent_connections_are_bounded_and_do_not_block_instances() {
     let mut one = Instance::start("one", 1, "a", 8).await;
     let mut two = Instance::start("two", 2, "a", 8).await;
-    let mut strangers = Vec::new();
+    let mut silent_connections = Vec::new();
     for _ in 0..MAX_HANDSHAKES + 10 {
-        strangers.push(TcpStream::connect(one.address).await.unwrap());
+        silent_connections.push(TcpStream::connect(one.address).await.unwrap());
     }
     // Those over the limit are hung up on at once, the others when their time is over.
-    for stranger in &mut strangers {
+    for connection in &mut silent_connections {
         let mut buffer = [0; 16];
-        let read = tokio::time::timeout(TEST_TIMEOUT, stranger.read(&mut buffer)).await;
+        let read = tokio::time::timeout(TEST_TIMEOUT, connection.read(&mut buffer)).await;
         let read = read.expect("it ends in time");
         assert_eq!(read.unwrap_or(0), 0);
     }
@@ -268,16 +268,16 @@
 }
 
 #[tokio::test]
-async fn strangers_of_one_source_leave_room_for_instances_of_others() {
+async fn silent_connections_of_one_host_leave_slots_for_other_hosts() {
     let one = Instance::start("one", 1, "a", 8).await;
-    let mut strangers = Vec::new();
+    let mut silent_connections = Vec::new();
     for _ in 0..MAX_HANDSHAKES {
-        strangers.push(TcpStream::connect(one.address).await.unwrap());
+        silent_connections.push(TcpStream::connect(one.address).await.unwrap());
     }
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.2:0".parse().unwrap()).unwrap();
     let tcp = socket.connect(one.address).await.unwrap();
-    let mut ws = websocket(tcp, one.address).await;
+    let mut ws = open_websocket(tcp, one.address).await;
     let own = Identity {
         name: "two".parse().unwrap(),
         incarnation: Incarnation(2),
--- a/crates/jayquayd/tests/summary.rs
+++ b/crates/jayquayd/tests/summary.rs
@@ -46,7 +46,7 @@
     Time::default() + Duration::from_secs(seconds)
 }
 
-fn written(platform: &Handle) -> Option<(String, Summary)> {
+fn stored_summary(platform: &Handle) -> Option<(String, Summary)> {
     let key = Key {
         kind: Kind::Status,
         name: "north".to_owned(),
@@ -57,14 +57,14 @@
 }
 
 #[tokio::test]
-async fn a_summary_tells_the_zone_and_is_written_by_its_first_instance() {
+async fn a_summary_describes_the_zone_and_is_written_by_its_first_instance() {
     let (platform, client) = start().await;
     SummaryWriter::new(client.clone())
         .write_if_due(at(100), &status("b", 0))
         .await;
-    assert_eq!(written(&platform), None);
+    assert_eq!(stored_summary(&platform), None);
     SummaryWriter::new(client).write_if_due(at(100), &status("a", 4)).await;
-    let (writer, summary) = written(&platform).expect("the first one writes");
+    let (writer, summary) = stored_summary(&platform).expect("the first one writes");
     let in_force = json!([
         {"revision": 2, "digest": "0a", "instances": ["b"]},
         {"revision": 3, "digest": "0a", "instances": ["a"]}
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn writes_are_few_and_none_if_nothing_changed() {
+async fn writes_are_rate_limited_and_skipped_without_changes() {
     let (platform, client) = start().await;
     let mut writer = SummaryWriter::new(client.clone());
     for second in 0..100 {
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn two_writers_do_not_write_over_what_they_have_not_seen() {
+async fn two_writers_do_not_overwrite_versions_they_have_not_read() {
     let (platform, client) = start().await;
     let mut one = SummaryWriter::new(client.clone());
     let mut other = SummaryWriter::new(client);
@@ -108,14 +108,14 @@
     other.write_if_due(at(0), &status("a", 2)).await;
     // The version that the first one knows is no longer the newest.
     one.write_if_due(at(10), &status("a", 3)).await;
-    let refused = |platform: &Handle| written(platform).map(|(_, summary)| summary.refused[0].count);
+    let refused = |platform: &Handle| stored_summary(platform).map(|(_, summary)| summary.refused[0].count);
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(2), 1));
     one.write_if_due(at(20), &status("a", 3)).await;
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(3), 1));
 }
 
 #[tokio::test]
-async fn a_lost_answer_and_an_outage_cost_no_more() {
+async fn a_lost_answer_and_an_outage_cause_no_extra_calls() {
     let (platform, client) = start().await;
     let mut writer = SummaryWriter::new(client);
     let lost = Behaviour {
--- a/crates/jayquayd/tests/timeline.rs
+++ b/crates/jayquayd/tests/timeline.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_oldest_go_first_and_the_gap_shows() {
+fn the_oldest_entries_are_dropped_and_the_gap_is_visible() {
     assert_eq!(check(10, 0, 0), "nothing");
     assert_eq!(check(10, 4, 0), "1..=4, 4 entries");
     assert_eq!(check(10, 4, 3), "4..=4, 1 entries");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_clock_that_is_far_ahead_is_not_followed() {
+fn a_stamp_far_ahead_is_ignored() {
     let now = Time(1_000_000);
     let mut clock = HybridClock::default();
     let far = HybridClock::default().tick(now + Duration::from_mins(2));
--- a/crates/jayquayd/tests/upstreams.rs
+++ b/crates/jayquayd/tests/upstreams.rs
@@ -86,16 +86,16 @@
 }
 
 #[tokio::test]
-async fn what_an_upstream_says_becomes_a_result() {
+async fn responses_map_to_call_results() {
     let ok = "HTTP/1.1 200 OK\r\n{echo}content-length: 4\r\n\r\ndone";
     check(ok, CallResult::Answered(b"done".to_vec())).await;
     let chunked = "HTTP/1.1 200 OK\r\n{echo}transfer-encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n";
     check(chunked, CallResult::Answered(b"done".to_vec())).await;
-    let anonymous = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
-    check(anonymous, CallResult::Mismatched).await;
-    let crossed =
+    let without_echo = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
+    check(without_echo, CallResult::Mismatched).await;
+    let other_call =
         "HTTP/1.1 200 OK\r\nx-jayquay-request: {request}\r\nx-jayquay-call: other\r\ncontent-length: 4\r\n\r\ndone";
-    check(crossed, CallResult::Mismatched).await;
+    check(other_call, CallResult::Mismatched).await;
     let cut = "HTTP/1.1 200 OK\r\n{echo}content-length: 5\r\n\r\ndone";
     check(cut, CallResult::Mismatched).await;
     let cut_chunk = "HTTP/1.1 200 OK\r\n{echo}transfer-encoding: chunked\r\n\r\n4\r\ndone\r\n";
@@ -106,11 +106,11 @@
     check(shed, CallResult::Shed).await;
     let draining = "HTTP/1.1 503 Draining\r\n{echo}x-jayquay-not-run: draining\r\ncontent-length: 0\r\n\r\n";
     check(draining, CallResult::Draining).await;
-    let other_shed =
+    let shed_of_other_call =
         "HTTP/1.1 503 Shed\r\nx-jayquay-call: other\r\nx-jayquay-not-run: shed\r\ncontent-length: 0\r\n\r\n";
-    check(other_shed, CallResult::Mismatched).await;
-    let vague = "HTTP/1.1 503 Unavailable\r\ncontent-length: 0\r\n\r\n";
-    check(vague, CallResult::Failed).await;
+    check(shed_of_other_call, CallResult::Mismatched).await;
+    let without_cause = "HTTP/1.1 503 Unavailable\r\ncontent-length: 0\r\n\r\n";
+    check(without_cause, CallResult::Failed).await;
     let error = "HTTP/1.1 500 Error\r\n{echo}x-jayquay-not-run: shed\r\ncontent-length: 0\r\n\r\n";
     check(error, CallResult::Failed).await;
     let redirect = "HTTP/1.1 307 Moved\r\n{echo}location: /elsewhere\r\ncontent-length: 0\r\n\r\n";
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn only_a_connection_that_never_came_about_is_unreachable() {
+async fn only_a_failed_connection_is_unreachable() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn a_poll_joins_health_and_load() {
+async fn a_poll_combines_health_and_load() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
--- a/crates/jayquayd/tests/whole/crash.rs
+++ b/crates/jayquayd/tests/whole/crash.rs
@@ -13,20 +13,20 @@
 use wire::Verdict;
 
 use crate::fleet::Fleet;
-use crate::fleet::until;
+use crate::fleet::wait_until;
 
 /// How many callers there are.
-const CALLERS: usize = 8;
+const CALLER_COUNT: usize = 8;
 /// How many holds end before, between and after the crashes, at least.
-const HOLDS_BETWEEN: usize = 200;
+const MIN_HOLDS_PER_PHASE: usize = 200;
 /// How long callers wait for an answer.
-const ANSWER_TIME: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What became of a hold: `None` if it was answered.
 type Outcomes = Vec<(Vec<u8>, Option<Verdict>)>;
 
 #[tokio::test]
-async fn a_crash_runs_no_hold_twice_and_no_refusal_lies() {
+async fn a_crash_runs_no_request_twice_and_refused_requests_did_not_run() {
     let mut fleet = Fleet::new().await;
     fleet.put_document(1);
     for name in ["one", "two", "three"] {
@@ -40,36 +40,36 @@
         reordered: "0.05".parse().unwrap(),
     });
     let mut clients = Vec::new();
-    for _ in 0..CALLERS {
+    for _ in 0..CALLER_COUNT {
         clients.push(fleet.open().await);
     }
     let done = AtomicBool::new(false);
-    let ended = AtomicUsize::new(0);
-    let working = clients
+    let completed = AtomicUsize::new(0);
+    let callers = clients
         .iter()
         .enumerate()
-        .map(|(caller, client)| work(caller, client, &done, &ended));
-    let failing = async {
+        .map(|(caller, client)| run_caller(caller, client, &done, &completed));
+    let crashes = async {
         for name in ["four", "five"] {
-            let more = ended.load(Ordering::Relaxed) + HOLDS_BETWEEN;
-            until(async || ended.load(Ordering::Relaxed) >= more).await;
+            let target = completed.load(Ordering::Relaxed) + MIN_HOLDS_PER_PHASE;
+            wait_until(async || completed.load(Ordering::Relaxed) >= target).await;
             let home = fleet.home().await;
             fleet.crash(home);
             fleet.join(name, "a").await;
         }
-        let more = ended.load(Ordering::Relaxed) + HOLDS_BETWEEN;
-        until(async || ended.load(Ordering::Relaxed) >= more).await;
+        let target = completed.load(Ordering::Relaxed) + MIN_HOLDS_PER_PHASE;
+        wait_until(async || completed.load(Ordering::Relaxed) >= target).await;
         done.store(true, Ordering::Relaxed);
     };
-    let (outcomes, ()) = tokio::join!(futures_util::future::join_all(working), failing);
+    let (outcomes, ()) = tokio::join!(futures_util::future::join_all(callers), crashes);
     let outcomes: Outcomes = outcomes.into_iter().flatten().collect();
-    check(&fleet, &outcomes);
+    check_outcomes(&fleet, &outcomes);
     // A machine that stalls for seconds may get one more owner taken for dead. Every flow goes on all the same.
     for client in &clients {
         let kind: units::KindName = "hold".parse().unwrap();
-        until(async || {
+        wait_until(async || {
             client
-                .request(kind.clone(), b"room".to_vec(), ANSWER_TIME)
+                .request(kind.clone(), b"room".to_vec(), REQUEST_TIMEOUT)
                 .await
                 .is_ok()
         })
@@ -77,13 +77,13 @@
     }
 }
 
-async fn work(caller: usize, client: &Client, done: &AtomicBool, ended: &AtomicUsize) -> Outcomes {
+async fn run_caller(caller: usize, client: &Client, done: &AtomicBool, completed: &AtomicUsize) -> Outcomes {
     let service = "availability".parse().unwrap();
     let kind: units::KindName = "hold".parse().unwrap();
     let mut outcomes = Vec::new();
     while !done.load(Ordering::Relaxed) {
         let body = format!("caller {caller} room {}", outcomes.len()).into_bytes();
-        let outcome = match client.request(kind.clone(), body.clone(), ANSWER_TIME).await {
+        let outcome = match client.request(kind.clone(), body.clone(), REQUEST_TIMEOUT).await {
             Ok(answer) => {
                 assert_eq!(answer, expected_answer(&service, &kind, &body, Bytes(100)));
                 None
@@ -91,13 +91,13 @@
             Err(failure) => Some(failure.verdict),
         };
         outcomes.push((body, outcome));
-        ended.fetch_add(1, Ordering::Relaxed);
+        completed.fetch_add(1, Ordering::Relaxed);
     }
     outcomes
 }
 
 /// Compares what callers were told with what ran.
-fn check(fleet: &Fleet, outcomes: &Outcomes) {
+fn check_outcomes(fleet: &Fleet, outcomes: &Outcomes) {
     let mut runs: HashMap<String, u32> = HashMap::new();
     for run in fleet.upstreams.iter().flat_map(standin::upstream::Handle::runs) {
         *runs.entry(run.body).or_default() += run.runs;
@@ -117,7 +117,7 @@
     }
     println!("{} holds, {in_doubt} in doubt", outcomes.len());
     assert!(
-        in_doubt <= 2 * CALLERS,
+        in_doubt <= 2 * CALLER_COUNT,
         "a crash leaves at most one hold of each caller in doubt"
     );
 }
--- a/crates/jayquayd/tests/whole/fleet.rs
+++ b/crates/jayquayd/tests/whole/fleet.rs
@@ -10,9 +10,9 @@
 /// Longer than any step of a test takes, unless it hangs.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long callers wait for an answer.
-const ANSWER_TIME: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often a condition is looked at.
-const LOOK_TIME: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Stand-ins and the instances among them.
 #[derive(Debug)]
@@ -103,22 +103,22 @@
 
     /// Starts an instance, waits until it is ready, and hands it packets.
     pub async fn join(&mut self, name: &str, secrets: &str) {
-        self.enter(&self.settings(name, secrets)).await;
+        self.join_with(&self.settings(name, secrets)).await;
     }
 
     /// Starts an instance with these settings, waits until it is ready, and hands it packets.
-    pub async fn enter(&mut self, settings: &Settings) {
+    pub async fn join_with(&mut self, settings: &Settings) {
         let handle = jayquayd::start(settings, None).await.unwrap();
-        until(async || state(&handle).await == "ready").await;
+        wait_until(async || readiness(&handle).await == "ready").await;
         self.instances.push(handle);
-        self.spray();
+        self.update_fabric();
     }
 
     /// Stops an instance in the planned way, and takes it from the fabric.
     pub async fn leave(&mut self, index: usize) -> jayquayd::End {
         let mut handle = self.instances.remove(index);
         handle.stop().await;
-        self.spray();
+        self.update_fabric();
         tokio::time::timeout(TEST_TIMEOUT, handle.ended())
             .await
             .expect("it stops in time")
@@ -139,10 +139,10 @@
     /// Ends an instance at once, and takes it from the fabric.
     pub fn crash(&mut self, index: usize) {
         drop(self.instances.remove(index));
-        self.spray();
+        self.update_fabric();
     }
 
-    fn spray(&self) {
+    fn update_fabric(&self) {
         let callers = self.instances.iter().map(|handle| handle.addresses().callers);
         self.fabric.set_instances(callers.collect());
     }
@@ -156,23 +156,23 @@
     }
 
     /// How often each request ran, the most.
-    pub fn most_runs(&self) -> u32 {
+    pub fn max_runs(&self) -> u32 {
         let runs = self.upstreams.iter().flat_map(standin::upstream::Handle::runs);
         runs.map(|run| run.runs).max().unwrap_or(0)
     }
 }
 
 /// Sends so many holds, and expects an answer to each.
-pub async fn hold(client: &Client, count: usize) {
+pub async fn send_holds(client: &Client, count: usize) {
     for number in 0..count {
         let body = format!("room {number}").into_bytes();
-        let answer = client.request("hold".parse().unwrap(), body, ANSWER_TIME).await;
+        let answer = client.request("hold".parse().unwrap(), body, REQUEST_TIMEOUT).await;
         assert!(answer.is_ok(), "hold {number}: {answer:?}");
     }
 }
 
 /// The state that `/ready` names, and whether its status code agrees.
-pub async fn state(handle: &Handle) -> String {
+pub async fn readiness(handle: &Handle) -> String {
     let url = format!("http://{}/ready", handle.addresses().admin);
     let response = reqwest::get(url).await.unwrap();
     let is_ok = response.status().is_success();
@@ -182,10 +182,10 @@
 }
 
 /// Waits until a condition holds.
-pub async fn until(mut condition: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     let waiting = async {
         while !condition().await {
-            tokio::time::sleep(LOOK_TIME).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
     tokio::time::timeout(TEST_TIMEOUT, waiting)
--- a/crates/jayquayd/tests/whole/limits.rs
+++ b/crates/jayquayd/tests/whole/limits.rs
@@ -19,7 +19,7 @@
 
 use crate::fleet::Fleet;
 use crate::fleet::TEST_TIMEOUT;
-use crate::fleet::until;
+use crate::fleet::wait_until;
 
 /// A flow of which nothing is sent again and nothing is pulled by itself.
 struct Flow {
@@ -41,7 +41,7 @@
             service: "availability".parse().unwrap(),
             address: fleet.fabric.services()[0],
         });
-        let Reply::Opened(opened) = flow.ask(&open).await else {
+        let Reply::Opened(opened) = flow.request_reply(&open).await else {
             panic!("the flow was not opened");
         };
         flow.token = opened.granted.token;
@@ -77,7 +77,7 @@
     }
 
     /// Sends a packet, and takes the first reply that is more than a note that the request is known.
-    async fn ask(&self, packet: &Packet) -> Reply {
+    async fn request_reply(&self, packet: &Packet) -> Reply {
         self.send(packet).await;
         let mut buffer = [0; wire::MAX_PACKET_LEN];
         loop {
@@ -91,7 +91,7 @@
     }
 }
 
-async fn fleet(service_ms: u32, answer_len: u64, limit: impl Fn(&mut Settings)) -> Fleet {
+async fn fleet(service_ms: u32, answer_len: u64, set_limits: impl Fn(&mut Settings)) -> Fleet {
     let mut fleet = Fleet::with(|options| {
         options.service_time = standin::upstream::ServiceTime::Fixed(Millis(service_ms));
         options.answer_len = Bytes(answer_len);
@@ -99,8 +99,8 @@
     .await;
     fleet.put_document(1);
     let mut settings = fleet.settings("one", "a");
-    limit(&mut settings);
-    fleet.enter(&settings).await;
+    set_limits(&mut settings);
+    fleet.join_with(&settings).await;
     fleet
 }
 
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn no_more_flows_than_allowed() {
+async fn flows_are_limited() {
     // One caller's address may have as many ledgers as are free besides, which is half of four.
     let fleet = fleet(5, 100, |settings| settings.limits.flows = 4).await;
     let flows = [
@@ -121,43 +121,43 @@
         Flow::open(&fleet).await,
     ];
     for flow in &flows[..2] {
-        let reply = flow.ask(&flow.hold(1)).await;
+        let reply = flow.request_reply(&flow.hold(1)).await;
         assert!(matches!(reply, Reply::Chunk(_)), "{reply:?}");
     }
-    let reply = flows[2].ask(&flows[2].hold(1)).await;
+    let reply = flows[2].request_reply(&flows[2].hold(1)).await;
     assert_eq!(refusal(&reply).map(|(_, reason)| reason), Some(Reason::Limit));
-    let reply = flows[0].ask(&flows[0].hold(2)).await;
+    let reply = flows[0].request_reply(&flows[0].hold(2)).await;
     assert!(matches!(reply, Reply::Chunk(_)), "{reply:?}");
     assert_eq!(fleet.instances[0].status().await.unwrap().flows, 2);
 }
 
 #[tokio::test]
-async fn no_more_requests_than_allowed() {
+async fn requests_are_limited() {
     let fleet = fleet(10_000, 100, |settings| settings.limits.requests = 3).await;
     let flow = Flow::open(&fleet).await;
     for seq in 1..=3 {
         flow.send(&flow.hold(seq)).await;
     }
-    until(async || fleet.instances[0].status().await.unwrap().requests == 3).await;
-    let reply = flow.ask(&flow.hold(4)).await;
+    wait_until(async || fleet.instances[0].status().await.unwrap().requests == 3).await;
+    let reply = flow.request_reply(&flow.hold(4)).await;
     assert_eq!(refusal(&reply), Some((Verdict::NotRun, Reason::Limit)));
     assert_eq!(fleet.instances[0].status().await.unwrap().requests, 3);
 }
 
 #[tokio::test]
-async fn no_more_answers_kept_than_allowed() {
+async fn stored_answers_are_limited() {
     let fleet = fleet(5, 400_000, |settings| settings.limits.answer_bytes = Bytes(1_000_000)).await;
     let flow = Flow::open(&fleet).await;
     let mut first_chunks = Vec::new();
     for seq in 1..=5 {
-        let Reply::Chunk(chunk) = flow.ask(&flow.hold(seq)).await else {
+        let Reply::Chunk(chunk) = flow.request_reply(&flow.hold(seq)).await else {
             panic!("hold {seq} was not answered");
         };
         first_chunks.push(chunk);
     }
-    until(async || fleet.instances[0].status().await.unwrap().answer_bytes <= 1_000_000).await;
-    let newest = flow.ask(&flow.pull(&first_chunks[4])).await;
+    wait_until(async || fleet.instances[0].status().await.unwrap().answer_bytes <= 1_000_000).await;
+    let newest = flow.request_reply(&flow.pull(&first_chunks[4])).await;
     assert!(matches!(newest, Reply::Chunk(_)), "{newest:?}");
-    let oldest = flow.ask(&flow.pull(&first_chunks[0])).await;
+    let oldest = flow.request_reply(&flow.pull(&first_chunks[0])).await;
     assert_eq!(refusal(&oldest), Some((Verdict::MayHaveRun, Reason::AnswerGone)));
 }
--- a/crates/jayquayd/tests/whole/main.rs
+++ b/crates/jayquayd/tests/whole/main.rs
@@ -3,8 +3,9 @@
 mod crash;
 mod fleet;
 mod limits;
-mod meeting;
+
 mod outage;
+mod startup;
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
@@ -13,9 +14,9 @@
 use jayquayd::summary::Summary;
 
 use crate::fleet::Fleet;
-use crate::fleet::hold;
-use crate::fleet::state;
-use crate::fleet::until;
+use crate::fleet::readiness;
+use crate::fleet::send_holds;
+use crate::fleet::wait_until;
 
 #[tokio::test]
 async fn a_request_passes_through_any_instance() {
@@ -25,8 +26,8 @@
         fleet.join(name, "a").await;
     }
     let client = fleet.open().await;
-    hold(&client, 50).await;
-    assert_eq!(fleet.most_runs(), 1);
+    send_holds(&client, 50).await;
+    assert_eq!(fleet.max_runs(), 1);
     for handle in &fleet.instances {
         let status = handle.status().await.unwrap();
         assert_eq!(status.members.len(), 3);
@@ -34,38 +35,38 @@
 }
 
 #[tokio::test]
-async fn readiness_names_what_is_missing() {
+async fn readiness_reports_what_is_missing() {
     let fleet = Fleet::new().await;
     let mut one = fleet.start("one", "a").await;
-    assert_eq!(state(&one).await, "no-document");
+    assert_eq!(readiness(&one).await, "no-document");
     fleet.put_document(1);
-    until(async || state(&one).await == "ready").await;
+    wait_until(async || readiness(&one).await == "ready").await;
     let down = standin::platform::Behaviour {
         down: true,
         ..Default::default()
     };
     fleet.platform.behave(down).await;
-    until(async || state(&one).await == "cut-off").await;
+    wait_until(async || readiness(&one).await == "cut-off").await;
     one.stop().await;
     assert_eq!(one.ended().await, End::Stopped(0));
     assert!(one.status().await.is_none());
 }
 
 #[tokio::test]
-async fn an_instance_with_a_wrong_secret_is_not_ready_and_takes_nobody_else_out_of_use() {
+async fn an_instance_with_a_wrong_secret_is_not_ready_and_leaves_the_others_ready() {
     let mut fleet = Fleet::new().await;
     fleet.put_document(1);
     for name in ["one", "two"] {
         fleet.join(name, "a").await;
     }
-    let stranger = fleet.start("three", "b").await;
-    until(async || state(&stranger).await == "stranger").await;
+    let rejected = fleet.start("three", "b").await;
+    wait_until(async || readiness(&rejected).await == "stranger").await;
     for handle in &fleet.instances {
-        assert_eq!(state(handle).await, "ready");
+        assert_eq!(readiness(handle).await, "ready");
     }
     // With the secret that the others hold as well, it meets them.
-    let renewed = fleet.start("four", "ba").await;
-    until(async || state(&renewed).await == "ready").await;
+    let accepted = fleet.start("four", "ba").await;
+    wait_until(async || readiness(&accepted).await == "ready").await;
 }
 
 #[tokio::test]
@@ -79,7 +80,7 @@
     let replaced = AtomicBool::new(false);
     let holding = async {
         while !replaced.load(Ordering::Relaxed) {
-            hold(&client, 1).await;
+            send_holds(&client, 1).await;
         }
     };
     let replacing = async {
@@ -90,8 +91,8 @@
         replaced.store(true, Ordering::Relaxed);
     };
     tokio::join!(holding, replacing);
-    hold(&client, 10).await;
-    assert_eq!(fleet.most_runs(), 1);
+    send_holds(&client, 10).await;
+    assert_eq!(fleet.max_runs(), 1);
 }
 
 #[tokio::test]
@@ -105,12 +106,12 @@
     for (round, secrets) in ["ab", "ba", "b"].iter().enumerate() {
         for name in ["one", "two"] {
             fleet.join(&format!("{name}-{round}"), secrets).await;
-            hold(&client, 10).await;
+            send_holds(&client, 10).await;
             assert_eq!(fleet.leave(0).await, End::Stopped(0));
-            hold(&client, 10).await;
+            send_holds(&client, 10).await;
         }
     }
-    assert_eq!(fleet.most_runs(), 1);
+    assert_eq!(fleet.max_runs(), 1);
 }
 
 #[tokio::test]
@@ -130,18 +131,18 @@
         address: fleet.instances[0].addresses().instances,
     }];
     let two = jayquayd::start(&settings, None).await.unwrap();
-    until(async || state(&two).await == "cut-off").await;
+    wait_until(async || readiness(&two).await == "cut-off").await;
     let status = two.status().await.unwrap();
     assert_eq!(status.revision.map(|revision| revision.0), Some(1));
 }
 
 #[tokio::test]
-async fn the_time_line_and_the_status_are_served() {
+async fn the_timeline_and_the_status_are_served() {
     let mut fleet = Fleet::new().await;
     fleet.put_document(1);
     fleet.join("one", "a").await;
     let client = fleet.open().await;
-    hold(&client, 3).await;
+    send_holds(&client, 3).await;
     let admin = fleet.instances[0].addresses().admin;
     let get = async |path: &str| reqwest::get(format!("http://{admin}{path}")).await.unwrap();
     assert!(get("/live").await.status().is_success());
@@ -175,7 +176,7 @@
         kind: platform::api::Kind::Status,
         name: "zone-a".to_owned(),
     };
-    until(async || fleet.platform.object(&key).is_some()).await;
+    wait_until(async || fleet.platform.object(&key).is_some()).await;
     let object = fleet.platform.object(&key).unwrap();
     let summary: Summary = serde_json::from_value(object.value).unwrap();
     assert_eq!(
--- a/crates/jayquayd/tests/whole/outage.rs
+++ b/crates/jayquayd/tests/whole/outage.rs
@@ -5,9 +5,9 @@
 use standin::platform::Behaviour;
 
 use crate::fleet::Fleet;
-use crate::fleet::hold;
-use crate::fleet::state;
-use crate::fleet::until;
+use crate::fleet::readiness;
+use crate::fleet::send_holds;
+use crate::fleet::wait_until;
 
 async fn revision(handle: &Handle) -> u64 {
     let status = handle.status().await.unwrap();
@@ -15,14 +15,14 @@
 }
 
 /// Waits until a revision is in force at every instance.
-async fn in_force(fleet: &Fleet, wanted: u64) {
+async fn wait_for_revision(fleet: &Fleet, wanted: u64) {
     for handle in &fleet.instances {
-        until(async || revision(handle).await == wanted).await;
+        wait_until(async || revision(handle).await == wanted).await;
     }
 }
 
 /// An instance that knows a peer from its settings.
-async fn newcomer(fleet: &Fleet) -> Handle {
+async fn new_instance(fleet: &Fleet) -> Handle {
     let mut settings = fleet.settings("three", "a");
     settings.peers = vec![config::Seed {
         name: "one".parse().unwrap(),
@@ -33,7 +33,7 @@
 }
 
 /// The revisions that came into force at an instance, in their order.
-async fn came_into_force(handle: &Handle) -> Vec<u64> {
+async fn applied_revisions(handle: &Handle) -> Vec<u64> {
     let url = format!("http://{}/timeline", handle.addresses().admin);
     let lines = reqwest::get(url).await.unwrap().text().await.unwrap();
     let mut revisions = Vec::new();
@@ -53,7 +53,7 @@
     fleet.join("one", "a").await;
     fleet.join("two", "a").await;
     fleet.put_document(2);
-    in_force(&fleet, 2).await;
+    wait_for_revision(&fleet, 2).await;
     fleet
 }
 
@@ -61,11 +61,11 @@
 async fn recover(fleet: &Fleet, client: &Client) {
     fleet.platform.behave(Behaviour::default()).await;
     fleet.put_document(3);
-    in_force(fleet, 3).await;
-    hold(client, 20).await;
-    assert_eq!(fleet.most_runs(), 1);
+    wait_for_revision(fleet, 3).await;
+    send_holds(client, 20).await;
+    assert_eq!(fleet.max_runs(), 1);
     for handle in &fleet.instances {
-        let revisions = came_into_force(handle).await;
+        let revisions = applied_revisions(handle).await;
         assert!(
             revisions.is_sorted_by(|earlier, later| earlier < later),
             "{revisions:?}"
@@ -74,20 +74,20 @@
 }
 
 /// Lets the platform misbehave like this, while requests go on and a newcomer learns the document from its peers.
-async fn check(fault: &str) {
+async fn check_fault(fault: &str) {
     let mut fleet = fleet().await;
     fleet.platform.behave(serde_json::from_str(fault).unwrap()).await;
     let client = fleet.open().await;
-    hold(&client, 20).await;
-    let newcomer = newcomer(&fleet).await;
-    fleet.instances.push(newcomer);
-    in_force(&fleet, 2).await;
-    hold(&client, 20).await;
+    send_holds(&client, 20).await;
+    let new_instance = new_instance(&fleet).await;
+    fleet.instances.push(new_instance);
+    wait_for_revision(&fleet, 2).await;
+    send_holds(&client, 20).await;
     recover(&fleet, &client).await;
 }
 
 #[tokio::test]
-async fn an_old_version_that_comes_late_reverts_nothing() {
+async fn a_delayed_old_version_reverts_nothing() {
     let mut fleet = fleet().await;
     let client = fleet.open().await;
     let mut fault = Behaviour {
@@ -96,50 +96,50 @@
         ..Default::default()
     };
     fleet.platform.behave(fault.clone()).await;
-    let newcomer = newcomer(&fleet).await;
-    fleet.instances.push(newcomer);
-    in_force(&fleet, 2).await;
+    let new_instance = new_instance(&fleet).await;
+    fleet.instances.push(new_instance);
+    wait_for_revision(&fleet, 2).await;
     // Only now does the newcomer's own read come back, with revision 1.
     fault.stalled = false;
     fleet.platform.behave(fault).await;
-    until(async || state(&fleet.instances[2]).await == "ready").await;
-    hold(&client, 20).await;
-    in_force(&fleet, 2).await;
+    wait_until(async || readiness(&fleet.instances[2]).await == "ready").await;
+    send_holds(&client, 20).await;
+    wait_for_revision(&fleet, 2).await;
     recover(&fleet, &client).await;
 }
 
 #[tokio::test]
 async fn a_platform_that_serves_old_versions_reverts_nothing() {
-    check(r#"{"behind": 1}"#).await;
+    check_fault(r#"{"behind": 1}"#).await;
 }
 
 #[tokio::test]
 async fn a_platform_that_is_down_stops_nothing() {
-    check(r#"{"down": true}"#).await;
+    check_fault(r#"{"down": true}"#).await;
 }
 
 #[tokio::test]
 async fn a_platform_that_refuses_stops_nothing() {
-    check(r#"{"unavailable": true}"#).await;
+    check_fault(r#"{"unavailable": true}"#).await;
 }
 
 #[tokio::test]
 async fn a_platform_that_stalls_stops_nothing() {
-    check(r#"{"stalled": true}"#).await;
+    check_fault(r#"{"stalled": true}"#).await;
 }
 
 #[tokio::test]
 async fn a_platform_slower_than_its_clients_wait_stops_nothing() {
-    check(r#"{"slow": 2500}"#).await;
+    check_fault(r#"{"slow": 2500}"#).await;
 }
 
 #[tokio::test]
-async fn a_list_of_long_ago_stops_nothing() {
-    check(r#"{"list_lag": 3600000}"#).await;
+async fn a_stale_list_stops_nothing() {
+    check_fault(r#"{"list_lag": 3600000}"#).await;
 }
 
 #[tokio::test]
-async fn a_watcher_keeps_asking_through_a_long_outage() {
+async fn a_watcher_keeps_polling_through_a_long_outage() {
     let fleet = fleet().await;
     // Going down cuts the watches that wait; refusals afterwards are counted.
     for fault in [r#"{"down": true}"#, r#"{"unavailable": true}"#] {
@@ -147,5 +147,5 @@
     }
     let before = fleet.platform.counts().watches;
     // Two watchers whose pauses kept doubling would ask a dozen times in as long as this waits.
-    until(async || fleet.platform.counts().watches >= before + 20).await;
+    wait_until(async || fleet.platform.counts().watches >= before + 20).await;
 }
--- a/crates/jayquayd/tests/whole/meeting.rs
+++ b/crates/jayquayd/tests/whole/startup.rs
@@ -4,10 +4,10 @@
 use units::Millis;
 
 use crate::fleet::Fleet;
-use crate::fleet::until;
+use crate::fleet::wait_until;
 
 #[tokio::test]
-async fn instances_that_start_together_meet_though_the_list_lags() {
+async fn instances_that_start_together_connect_although_the_list_lags() {
     let mut fleet = Fleet::new().await;
     fleet.put_document(1);
     let lagging = Behaviour {
@@ -22,6 +22,6 @@
         fleet.instances.push(jayquayd::start(&settings, None).await.unwrap());
     }
     for handle in &fleet.instances {
-        until(async || handle.status().await.is_some_and(|status| status.members.len() == 3)).await;
+        wait_until(async || handle.status().await.is_some_and(|status| status.members.len() == 3)).await;
     }
 }
