--- a/crates/jayquayd/examples/fleet.rs
+++ b/crates/jayquayd/examples/fleet.rs
@@ -1,7 +1,8 @@
-//! What instances cost while nothing is asked of them: `cargo run --release -p jayquayd --example fleet`.
+//! Measures the cost of idle instances: `cargo run --release -p jayquayd --example fleet`.
 //!
-//! All instances of a run share this process and loopback, with a stand-in for the platform. Processor time and memory are the
-//! process's, divided by the instances, less what it takes with none; control bytes are what the instances' sessions count.
+//! All instances of a run share this process and loopback, with a stand-in for the platform. Processor time and memory
+//! are those of the process divided by the number of instances; memory excludes what the process uses before the
+//! instances start. Control bytes are the frame bytes counted by the sessions.
 
 use std::fs;
 use std::time::Duration;
@@ -19,11 +20,11 @@
 
 const DOCUMENT: &str = include_str!("../../../examples/verblijfnet.yaml");
 const FLEET_SIZES: [usize; 3] = [9, 32, 64];
-/// How long a fleet gets to meet.
+/// Time for the instances to connect to each other before the measurement.
 const SETTLE_TIME: Duration = Duration::from_mins(1);
-/// How long it is measured.
+/// Duration of the measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
-/// The system's clock ticks in a second, as in `/proc/self/stat`.
+/// Clock ticks per second in `/proc/self/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_KB: u64 = 4;
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// What is read before and after a span.
+/// The values read at the start and the end of a measurement.
 struct Sample {
     at: Instant,
     cpu: f64,
@@ -99,10 +100,10 @@
     jayquayd::start(&settings, None).await.expect("loopback has free ports")
 }
 
-/// The processor time of this process so far.
+/// Processor time used by this process so far, in seconds.
 fn cpu_seconds() -> f64 {
-    let stat = fs::read_to_string("/proc/self/stat").expect("Linux has it");
-    // The name in parentheses may hold spaces; what follows it does not.
+    let stat = fs::read_to_string("/proc/self/stat").expect("Linux provides this file");
+    // The process name in parentheses may contain spaces; the fields after it do not.
     let (_, fields) = stat.rsplit_once(')').expect("the name is in parentheses");
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |index: usize| fields[index].parse::<f64>().expect("a number");
@@ -110,7 +111,7 @@
 }
 
 fn resident_kb() -> u64 {
-    let statm = fs::read_to_string("/proc/self/statm").expect("Linux has it");
+    let statm = fs::read_to_string("/proc/self/statm").expect("Linux provides this file");
     let pages = statm
         .split_whitespace()
         .nth(1)
@@ -118,7 +119,7 @@
     pages.expect("a number") * PAGE_KB
 }
 
-/// A counter's sum over all its labels.
+/// The sum of a counter over all labels.
 fn counter(text: &str, name: &str) -> f64 {
     let lines = text.lines().filter(|line| line.starts_with(name));
     lines
--- a/crates/jayquayd/src/accept.rs
+++ b/crates/jayquayd/src/accept.rs
@@ -1,4 +1,4 @@
-//! Taking TCP connections, also while the system refuses to. Who connects is not this part's business.
+//! Accepts TCP connections, retrying while the system refuses to. Peers are not checked here.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// How long to wait after the system refused to take a connection, as when file descriptors are used up.
+/// Delay after a failed accept, for example when the process has run out of file descriptors.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The next connection. `part` begins the log lines.
+/// Accepts the next connection. `part` is the prefix of log lines.
 pub(crate) async fn next(listener: &TcpListener, part: &str) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok(accepted) => return accepted,
             Err(error) => {
-                log::warn!("{part}: no connection could be taken: {error}");
+                log::warn!("{part}: accept failed: {error}");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
--- a/crates/jayquayd/src/addresses.rs
+++ b/crates/jayquayd/src/addresses.rs
@@ -1,17 +1,17 @@
-//! The addresses of a process.
+//! Listening addresses of an instance.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Where a process listens.
+/// Addresses at which an instance listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Addresses {
-    /// For datagrams of callers, over UDP.
+    /// UDP address for datagrams from callers.
     pub callers: SocketAddr,
-    /// For sessions of other instances, over TCP.
+    /// TCP address for sessions with other instances.
     pub instances: SocketAddr,
-    /// For operators and probes, over HTTP.
+    /// HTTP address for operators and probes.
     pub admin: SocketAddr,
 }
--- a/crates/jayquayd/src/admin.rs
+++ b/crates/jayquayd/src/admin.rs
@@ -1,6 +1,6 @@
-//! The HTTP endpoints for operators and probes: liveness, readiness, status, time line and metrics.
+//! HTTP endpoints for operators and probes: liveness, readiness, status, timeline and metrics.
 //!
-//! Everything here reads. Nothing that is asked here changes what the instance does.
+//! All endpoints are read-only.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,48 +35,48 @@
 use crate::throttle::LogThrottle;
 use crate::timeline::Seq;
 
-/// How long the engine may take to answer before the process counts as not alive.
+/// Time limit for the engine to reply, after which the process is reported as not alive.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may last, from its beginning to the last byte of its answer.
+/// Time limit for a connection, from accepting it to the last byte of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(15);
-/// How many connections there may be at a time, so that those who ask leave file descriptors for sessions and calls.
+/// Maximum number of concurrent connections, which leaves file descriptors for sessions and calls.
 const MAX_CONNECTIONS: usize = 64;
 
-/// What the endpoints need.
+/// State shared by the endpoints.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// Reaches the engine.
+    /// Sends requests to the engine.
     pub input_sender: InputSender,
-    /// Tells how long the process runs.
+    /// Provides the uptime of the process.
     pub clock: Clock,
-    /// Where the process listens.
+    /// Addresses at which the process listens.
     pub addresses: Addresses,
     /// Renders the metrics, if a recorder is installed.
     pub metrics: Option<PrometheusHandle>,
-    /// Whether other instances accept this one.
+    /// Results of handshakes, which show whether other instances accept this one.
     pub handshake_history: Arc<HandshakeHistory>,
 }
 
-/// Why an instance should get no packets, or that it should.
+/// Whether an instance should receive packets, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Readiness {
-    /// It serves.
+    /// The instance serves requests.
     Ready,
-    /// It serves what it can without the platform.
+    /// The instance serves requests but cannot reach the platform.
     CutOff,
-    /// It has not found its fleet yet.
+    /// The instance has not yet found the other instances.
     Starting,
-    /// It holds no configuration document.
+    /// The instance has no configuration document.
     NoDocument,
-    /// It is on a planned stop.
+    /// A planned stop is in progress.
     Draining,
-    /// The other instances take it for a stranger: its secrets are not theirs.
+    /// The other instances reject this one because it holds none of their secrets.
     Stranger,
 }
 
 impl Readiness {
-    /// What a status and the handshakes with other instances say of readiness.
+    /// Determines the readiness from the node's status and the results of handshakes.
     pub fn of(status: &Status, is_rejected: bool) -> Self {
         match status.stage {
             Stage::Draining | Stage::Stopped => Self::Draining,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The state as it stands in JSON and on status pages.
+    /// The state as written in JSON and on status pages.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -100,33 +100,33 @@
         }
     }
 
-    /// Whether packets may be handed to the instance.
+    /// Whether the instance may receive packets.
     pub fn is_ready(self) -> bool {
         matches!(self, Self::Ready | Self::CutOff)
     }
 }
 
-/// The answer of `/ready`.
+/// Response body of `/ready`.
 #[derive(Debug, Serialize)]
 struct ReadyResponse {
     ready: bool,
     state: Readiness,
 }
 
-/// The answer of `/status`.
+/// Response body of `/status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Whether packets may be handed to it, and why not.
+    /// Readiness of the instance.
     pub state: Readiness,
-    /// Where it listens.
+    /// Addresses at which the instance listens.
     pub addresses: Addresses,
-    /// Its own clock.
+    /// Time of the instance's clock.
     pub now: Time,
-    /// How long it runs, in milliseconds.
+    /// Time since the start of the process, in milliseconds.
     pub uptime_ms: u64,
-    /// The version of the program.
+    /// Version of the program.
     pub version: String,
-    /// What its node tells of itself.
+    /// Status of the node.
     pub node: Status,
 }
 
@@ -136,7 +136,7 @@
     since: Seq,
 }
 
-/// Answers requests for ever. A connection carries one request, and ends within 15 seconds.
+/// Serves requests until the task is aborted. A connection carries one request and is closed within 15 seconds.
 pub async fn serve(listener: TcpListener, context: Context) {
     let router = router(context);
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
@@ -155,7 +155,7 @@
         tasks.spawn(async move {
             let mut server = http1::Builder::new();
             let connection = server.keep_alive(false).serve_connection(TokioIo::new(tcp), service);
-            // Whoever asked may hang up, or be too slow for the time that a connection has.
+            // The client may disconnect or exceed the time limit.
             let _ended = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
             drop(permit);
         });
@@ -215,7 +215,7 @@
     Json(report).into_response()
 }
 
-/// One JSON object a line, oldest first. A caller goes on from the last number it got.
+/// Returns one JSON object per line, oldest first. A client continues from the last sequence number it received.
 async fn timeline(State(context): State<Context>, Query(query): Query<TimelineQuery>) -> Response {
     let queried = tokio::time::timeout(ENGINE_TIMEOUT, context.input_sender.timeline(query.since)).await;
     let Ok(Some(page)) = queried else {
@@ -223,7 +223,7 @@
     };
     let mut lines = String::new();
     for entry in page.0 {
-        let line = serde_json::to_string(&entry).expect("an entry always has a JSON form");
+        let line = serde_json::to_string(&entry).expect("an entry can always be encoded as JSON");
         lines.push_str(&line);
         lines.push('\n');
     }
--- a/crates/jayquayd/src/bucket.rs
+++ b/crates/jayquayd/src/bucket.rs
@@ -1,20 +1,20 @@
-//! Token buckets: how often something may happen, per source and in all, in bounded memory.
+//! Token buckets for rate limits, in total and per source, in bounded memory.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use units::Time;
 
-/// How often something may happen.
+/// A rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rate {
-    /// How often per second, in the long run.
+    /// Sustained number of events per second.
     pub per_second: u32,
-    /// How often at once.
+    /// Maximum number of events at once.
     pub burst: u32,
 }
 
-/// One token bucket.
+/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 pub struct Bucket {
     tokens: f64,
@@ -22,7 +22,7 @@
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Time) -> Self {
         Self {
             tokens: rate.burst.into(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes a token if there is one, and tells whether there was.
+    /// Takes a token if one is available. Returns whether it was.
     pub fn try_take(&mut self, rate: Rate, now: Time) -> bool {
         let refill = now.since(self.refilled_at).as_secs_f64() * f64::from(rate.per_second);
         self.tokens = (self.tokens + refill).min(rate.burst.into());
@@ -43,10 +43,10 @@
     }
 }
 
-/// A bucket per source, for at most so many sources.
+/// One token bucket per source, for at most `capacity` sources.
 ///
-/// Sources are held in two generations. When the younger one is half of the capacity, the older one is let go, so
-/// that each step takes constant time. A source that is let go starts again with a full bucket.
+/// Sources are kept in two generations. When the young generation reaches half of the capacity, it replaces the old
+/// one, so that each operation takes constant time. An evicted source starts again with a full bucket.
 #[derive(Debug)]
 pub struct SourceBuckets {
     rate: Rate,
@@ -56,7 +56,7 @@
 }
 
 impl SourceBuckets {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(rate: Rate, capacity: usize) -> Self {
         Self {
             rate,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes a token of `source` if it has one, and tells whether it had.
+    /// Takes a token from the bucket of `source` if one is available. Returns whether it was.
     pub fn try_take(&mut self, source: SocketAddr, now: Time) -> bool {
         let rate = self.rate;
         if let Some(bucket) = self.young_generation.get_mut(&source) {
@@ -82,12 +82,12 @@
         is_taken
     }
 
-    /// How many sources are held.
+    /// Number of sources tracked.
     pub fn len(&self) -> usize {
         self.young_generation.len() + self.old_generation.len()
     }
 
-    /// Whether no source is held.
+    /// Whether no source is tracked.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/jayquayd/src/callers.rs
+++ b/crates/jayquayd/src/callers.rs
@@ -1,6 +1,6 @@
-//! The UDP socket that callers send to.
+//! The UDP socket for callers.
 //!
-//! This part drops what is too long or comes too often. It reads nothing of what a datagram holds.
+//! Drops datagrams that are too long or exceed a rate limit. Their contents are not inspected here.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 use crate::metric;
 use crate::throttle::LogThrottle;
 
-/// How often datagrams are taken.
+/// Rate limits for datagrams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Of one source address.
+    /// Rate per source address.
     pub per_source: Rate,
-    /// In all.
+    /// Rate over all sources.
     pub total: Rate,
-    /// How many sources are told apart.
+    /// Maximum number of source addresses tracked.
     pub max_sources: usize,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl ReplySender {
-    /// Sends a reply. It is dropped when the socket's buffer is full: callers retransmit.
+    /// Sends a reply. It is dropped if the socket's send buffer is full, since callers retransmit.
     pub fn send(&self, to: SocketAddr, reply: &Reply) {
         let bytes = wire::encode_reply(reply);
         match self.socket.try_send_to(&bytes, to) {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Takes datagrams of callers.
+/// Receives datagrams from callers.
 #[derive(Debug)]
 pub struct DatagramReceiver {
     socket: Arc<UdpSocket>,
@@ -58,7 +58,7 @@
     throttle: LogThrottle,
 }
 
-/// Splits a socket into its two directions.
+/// Splits a socket into a receiver of datagrams and a sender of replies.
 pub fn split(socket: UdpSocket, clock: Clock, limits: Limits) -> (DatagramReceiver, ReplySender) {
     let socket = Arc::new(socket);
     let reply_sender = ReplySender {
@@ -76,9 +76,9 @@
 }
 
 impl DatagramReceiver {
-    /// Takes datagrams for ever.
+    /// Receives datagrams until the task is aborted.
     pub async fn run(mut self, input_sender: InputSender) {
-        // One byte more than allowed tells a datagram that is too long from one that just fits.
+        // The extra byte distinguishes a datagram of the maximum length from a longer one.
         let mut buffer = [0; MAX_PACKET_LEN + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -128,14 +128,14 @@
     }
 
     fn log_error(&self, error: &io::Error) {
-        // An ICMP refusal of an earlier reply shows up here; it says nothing of the socket.
+        // An ICMP error for an earlier reply is reported here; it does not affect the socket.
         if let Some(suppressed) = self.throttle.allow() {
             log::debug!("callers: receive failed: {error}{suppressed}");
         }
     }
 }
 
-/// Why a datagram was dropped unread.
+/// Reason for dropping a datagram unread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DropCause {
     TooLong,
--- a/crates/jayquayd/src/clock.rs
+++ b/crates/jayquayd/src/clock.rs
@@ -1,6 +1,6 @@
-//! The process's clock, and its incarnation.
+//! The clock and the incarnation of the process.
 //!
-//! The wall clock is read once. A step of the wall clock afterwards changes nothing here.
+//! The wall clock is read once at the start, so later steps of the wall clock have no effect.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,11 +10,11 @@
 use units::Incarnation;
 use units::Time;
 
-/// How many low bits of an incarnation are random, so that two lives begun in one millisecond differ. The whole stays
-/// below 2^53, so that every JSON reader keeps it exact.
+/// Number of random low bits of an incarnation, which distinguish two starts within one millisecond. The whole number
+/// stays below 2^53, so that every JSON parser reads it exactly.
 const RANDOM_BITS: u32 = 10;
 
-/// Tells the time: the wall clock at the start, counted on by the monotonic clock.
+/// A clock that starts at the wall-clock time and advances with the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     wall_at_start: Time,
@@ -22,7 +22,7 @@
 }
 
 impl Clock {
-    /// Reads the wall clock.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn start() -> Self {
         let wall_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self {
@@ -31,19 +31,19 @@
         }
     }
 
-    /// The time now. It never runs backwards.
+    /// The current time, which never goes backwards.
     pub fn now(&self) -> Time {
         self.wall_at_start + self.start.elapsed()
     }
 
-    /// How long ago the process started.
+    /// Time since the clock was created.
     pub fn uptime(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// A new life's number: its start in milliseconds, then random bits.
+    /// Creates an incarnation from the start time in milliseconds and random bits.
     ///
-    /// It is higher than that of an earlier life as long as the wall clock was not set back between the two starts.
+    /// It is higher than that of an earlier start unless the wall clock was set back in between.
     pub fn incarnation(&self) -> Incarnation {
         let millis = self.wall_at_start.0 / 1_000;
         let random = rand::random::<u64>() >> (u64::BITS - RANDOM_BITS);
--- a/crates/jayquayd/src/daemon.rs
+++ b/crates/jayquayd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them.
+//! Builds the components of an instance and runs them.
 
 use std::fmt;
 use std::io;
@@ -39,32 +39,32 @@
 use crate::timeline::TimelineBuffer;
 use crate::upstreams::Upstreams;
 
-/// How many entries of the time line are kept.
+/// Maximum number of timeline entries kept.
 const TIMELINE_CAPACITY: usize = 20_000;
-/// How many sources of datagrams are told apart.
+/// Maximum number of source addresses with a rate limit of their own.
 const MAX_SOURCES: usize = 65_536;
 
-/// Why a process could not start.
+/// An error that prevents an instance from starting.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address could not be listened at.
+    /// A socket could not be bound to an address.
     Listen(SocketAddr, io::Error),
-    /// The HTTP client could not be made.
+    /// The HTTP client could not be created.
     Client(reqwest::Error),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listen(address, error) => write!(f, "cannot listen at {address}: {error}"),
-            Self::Client(error) => write!(f, "cannot make an HTTP client: {error}"),
+            Self::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
+            Self::Client(error) => write!(f, "cannot create the HTTP client: {error}"),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// A running instance. Dropping it ends it at once, as a crash would.
+/// A running instance. Dropping the handle ends the instance immediately, like a crash.
 #[derive(Debug)]
 pub struct Handle {
     addresses: Addresses,
@@ -74,28 +74,28 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The addresses at which the instance listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Its life.
+    /// The incarnation of the instance.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     pub async fn stop(&self) {
-        // An engine that is gone needs no stop.
+        // Fails only if the engine has already ended.
         let _closed = self.input_sender.send_event(Event::Stop).await;
     }
 
-    /// What the node tells of itself, unless it has ended.
+    /// The status of the node, or `None` if the engine has ended.
     pub async fn status(&self) -> Option<node::Status> {
         self.input_sender.status().await
     }
 
-    /// Waits until it has ended.
+    /// Waits for the instance to end.
     pub async fn ended(&mut self) -> End {
         match self.running.join_next().await {
             Some(Ok(end)) => end,
@@ -104,7 +104,7 @@
     }
 }
 
-/// The sockets of a process.
+/// The listening sockets of an instance.
 struct Sockets {
     callers: UdpSocket,
     instances: TcpListener,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Starts an instance. `metrics` renders the metrics, if a recorder is installed.
+/// Starts an instance. `metrics` renders the metrics for `/metrics`, if a recorder is installed.
 pub async fn start(settings: &Settings, metrics: Option<PrometheusHandle>) -> Result<Handle, StartError> {
     let clock = Clock::start();
     let incarnation = clock.incarnation();
@@ -171,7 +171,7 @@
     })
 }
 
-/// Runs the engine. The other parts end with it.
+/// Runs the engine, then aborts all other tasks.
 async fn supervise(engine: Engine, tasks: JoinSet<()>) -> End {
     let end = engine.run().await;
     drop(tasks);
@@ -223,7 +223,7 @@
         admin: reachable_admin_address(settings),
         leaving: false,
     };
-    // Each of these ends only when the engine is gone.
+    // Each of these ends only once the engine has ended.
     let document = sync.clone().sync_document();
     let list = sync.clone().sync_list(own.zone.clone());
     let peers = sync.clone().announce_peers(configured_peers(settings));
@@ -242,14 +242,15 @@
     });
 }
 
-/// Where operators on other hosts reach this instance, if they do.
+/// The admin address that is reachable from other hosts, if any.
 fn reachable_admin_address(settings: &Settings) -> Option<SocketAddr> {
     let listen = settings.listen.admin;
     let is_reachable = !listen.ip().is_loopback() && !listen.ip().is_unspecified() && listen.port() != 0;
     settings.advertise.admin.or(is_reachable.then_some(listen))
 }
 
-/// The instances in the settings. Their lives are unknown, so that any life that is heard of is newer.
+/// The peers named in the settings. Their incarnations are unknown, so they get the lowest one, which any observed
+/// incarnation supersedes.
 fn configured_peers(settings: &Settings) -> Vec<Listed> {
     let entries = settings.peers.iter().map(|seed| Listed::Entry {
         name: seed.name.clone(),
@@ -272,7 +273,7 @@
 }
 
 fn caller_limits(settings: &Settings) -> callers::Limits {
-    // What comes within one second may come at once.
+    // A burst may be as large as the packets allowed in one second.
     let rate = |per_second| Rate {
         per_second,
         burst: per_second,
--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -1,4 +1,4 @@
-//! The task that owns the node: it takes events, keeps the time, and hands the node's actions to the parts.
+//! The task that owns the node: passes it events and ticks, and executes its actions.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,42 +26,42 @@
 use crate::timeline::TimelineBuffer;
 use crate::upstreams::Upstreams;
 
-/// How many inputs are taken at once from each queue.
+/// Maximum number of inputs taken from a queue at once.
 const BATCH_LEN: usize = 64;
-/// How much longer than its bound a planned stop may take before the process gives up on the node.
+/// Time beyond the limit of a planned stop after which the process ends without waiting for the node.
 const STOP_GRACE: Duration = Duration::from_secs(2);
-/// How long sessions may take to send what is queued when everything else is done.
+/// Time limit for sessions to send queued frames at the end of a planned stop.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// A time that does not come.
+/// Stands for an absent deadline.
 const NO_DEADLINE: Duration = Duration::from_hours(24 * 365);
 
-/// How the engine ended.
+/// The reason for which the engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The planned stop is done, and so many requests were left in doubt.
+    /// The planned stop completed, with this many requests left in doubt.
     Stopped(u32),
-    /// The planned stop did not end within its bound, and so many requests were left in progress.
+    /// The planned stop exceeded its time limit, with this many requests still in progress.
     Overdue(usize),
-    /// Nobody is left to tell it anything.
+    /// All senders of inputs are gone.
     Abandoned,
 }
 
-/// What carries out the node's actions.
+/// The components that execute the node's actions.
 #[derive(Debug)]
 pub struct Components {
-    /// Sends replies.
+    /// Sends replies to callers.
     pub reply_sender: ReplySender,
-    /// Sends frames.
+    /// Sends frames to other instances.
     pub sessions: Sessions,
     /// Calls upstreams.
     pub upstreams: Upstreams,
-    /// Steers the platform's part.
+    /// Controls the synchronisation with the platform.
     pub desired: watch::Sender<DesiredState>,
-    /// Keeps the time line.
+    /// Records the timeline.
     pub timeline: TimelineBuffer,
 }
 
-/// The task's state.
+/// State of the engine task.
 #[derive(Debug)]
 pub struct Engine {
     node: Node,
@@ -71,7 +71,7 @@
     components: Components,
     stop_within: Duration,
     stop_by: Option<tokio::time::Instant>,
-    /// Instances whose frames were lost, to be told to the node at the next step.
+    /// Instances to which frames were lost, reported to the node in the next batch.
     lost_peers: Vec<InstanceName>,
     actions: Vec<Action>,
     end: Option<End>,
@@ -80,7 +80,7 @@
 }
 
 impl Engine {
-    /// An engine around `node`.
+    /// Creates an engine for `node`.
     pub fn new(node: Node, clock: Clock, queues: InputQueues, components: Components, stop_within: Duration) -> Self {
         Self {
             node,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Runs until the planned stop is done.
+    /// Runs until a planned stop completes or exceeds its time limit.
     pub async fn run(mut self) -> End {
         let mut inputs = Vec::with_capacity(BATCH_LEN);
         let mut datagrams = Vec::with_capacity(BATCH_LEN);
@@ -110,7 +110,7 @@
             let stop_by = self
                 .stop_by
                 .unwrap_or_else(|| tokio::time::Instant::now() + NO_DEADLINE);
-            // Which ready branch is taken first is random, so that no queue starves another one or the ticks.
+            // `select!` polls the branches in random order, so no queue can starve another one or the ticks.
             tokio::select! {
                 count = self.queues.control.recv_many(&mut inputs, BATCH_LEN) => {
                     if count == 0 {
@@ -171,7 +171,7 @@
             Input::Frame(received) => self.handle_frame(received),
             Input::Session(event) => self.handle_session_event(event),
             Input::Status(reply) => {
-                // Whoever asked may have gone away; then nobody wants the answer.
+                // The requester may have stopped waiting for the reply.
                 let _unwanted = reply.send(self.node.status(self.clock.now()));
             }
             Input::Timeline(since, reply) => {
@@ -197,7 +197,7 @@
         if self.stop_by.is_some() {
             return;
         }
-        log::info!("daemon: planned stop begins");
+        log::info!("daemon: planned stop started");
         self.stop_by = Some(tokio::time::Instant::now() + self.stop_within + STOP_GRACE);
         self.components.desired.send_modify(|desired| desired.leaving = true);
         self.handle_event(Event::Stop);
@@ -254,7 +254,7 @@
         self.components.timeline.push(stamp, record);
     }
 
-    /// Lets the sessions send what is queued, for a while.
+    /// Waits, up to a time limit, until the sessions have sent their queued frames.
     async fn flush(&mut self) {
         let mut open = self.components.sessions.release_all();
         let ends = async {
@@ -268,7 +268,7 @@
             }
         };
         if tokio::time::timeout(FLUSH_TIMEOUT, ends).await.is_err() {
-            log::warn!("daemon: {} sessions did not send all that was queued", open.len());
+            log::warn!("daemon: {} sessions ended with frames still queued", open.len());
         }
     }
 }
--- a/crates/jayquayd/src/feed.rs
+++ b/crates/jayquayd/src/feed.rs
@@ -1,7 +1,8 @@
-//! What the platform says: the configuration document, the list of instances, and this instance's own entry on it.
+//! Synchronisation with the platform: the configuration document, the instance list and this instance's entry on it.
 //!
-//! Only an instance that the node chose as a watcher watches the document and goes on reading the list; the others learn
-//! from their peers, so that reads grow slowly with the fleet. While the platform is down, pauses grow.
+//! Only an instance selected as a watcher by its node watches the document and keeps reading the list. The others learn
+//! of changes from their peers, so that the number of reads grows slowly with the fleet. Failed calls are repeated with
+//! exponential backoff.
 
 use std::time::Duration;
 
@@ -24,43 +25,43 @@
 use crate::metric;
 use crate::throttle::LogThrottle;
 
-/// How long the platform keeps an entry that is not renewed.
+/// Lifetime of an entry on the platform's list unless it is renewed.
 const LEASE_TTL: Millis = Millis(90_000);
-/// How often an entry is renewed.
+/// Interval between renewals of the entry.
 const RENEW_EVERY: Duration = Duration::from_secs(30);
-/// How often a watcher reads the list.
+/// Interval between a watcher's reads of the list.
 const WATCHER_LIST_EVERY: Duration = Duration::from_secs(2);
-/// How often a watcher reads the instances of all availability zones, and not only those of its own.
+/// Interval between a watcher's reads of the full list instead of the instances of its own availability zone.
 const FULL_LIST_EVERY: Duration = Duration::from_mins(1);
-/// How long after its first read a watcher goes on to read all zones: instances that start together may all have read
-/// before any stood on the list.
+/// Period after its first read in which a watcher always reads the full list: instances that start together may all
+/// have read the list before any of them was on it.
 const FULL_LIST_FIRST: Duration = Duration::from_secs(30);
-/// How often the instances in the settings are named.
+/// Interval between announcements of the peers in the settings to the node.
 const PEERS_INTERVAL: Duration = Duration::from_secs(10);
-/// How long one watch waits.
+/// Time that one watch request waits for a change.
 const WATCH_TIME: Duration = Duration::from_secs(20);
-/// The shortest time from one read of the document to the next, unless it brought something new.
+/// Minimum interval between reads of the document, unless the last one returned a newer revision.
 const MIN_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// The first pause after a failure.
+/// Delay after the first failure.
 const MIN_PAUSE: Duration = Duration::from_millis(500);
-/// The longest pause after failures.
+/// Maximum delay after repeated failures.
 const MAX_PAUSE: Duration = Duration::from_secs(30);
-/// The longest pause of a watcher of the document. A document that is accepted once the platform is back must be in force within
-/// seconds, and two instances of a zone are no burden.
+/// Maximum delay for a watcher of the document. A document accepted once the platform is back must be in force within
+/// seconds, and the two watchers of a zone cause little load.
 const MAX_WATCHER_PAUSE: Duration = Duration::from_secs(2);
-/// The exponent at which pauses stop growing.
+/// Maximum exponent of the exponential backoff.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// What the engine wants of this part.
+/// State requested by the engine.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct DesiredState {
-    /// Whether this instance watches the document.
+    /// Whether this instance is a watcher of the document and the list.
     pub watching: bool,
-    /// Whether this instance is leaving.
+    /// Whether the entry is to be marked as leaving.
     pub leaving: bool,
 }
 
-/// Talks to the platform.
+/// Synchronises the instance with the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformSync {
     client: Client,
@@ -68,7 +69,7 @@
     desired: watch::Receiver<DesiredState>,
 }
 
-/// Pauses that grow with each failure.
+/// Exponential backoff.
 #[derive(Debug, Default)]
 struct Backoff {
     failures: u32,
@@ -83,7 +84,7 @@
 }
 
 impl PlatformSync {
-    /// Calls the platform by `client`, and follows `desired`.
+    /// Creates a synchronisation that calls the platform through `client` and follows `desired`.
     pub fn new(client: Client, input_sender: InputSender, desired: watch::Receiver<DesiredState>) -> Self {
         Self {
             client,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Keeps `entry` on the platform's list, and marks it when this instance is leaving.
+    /// Keeps `entry` on the platform's list, and marks it once this instance is leaving.
     pub async fn maintain_entry(mut self, entry: Listed) -> Result<(), Closed> {
         let mut lease = Lease::new(entry, LEASE_TTL);
         let mut backoff = Backoff::default();
@@ -109,7 +110,7 @@
                 log::warn!("platform: entry not renewed: {error}{suppressed}");
             }
             let delay = self.record_outcome(&result, RENEW_EVERY, &mut backoff).await?;
-            // Only this change is not waited out: the others see at once that this instance is leaving.
+            // A change of `leaving` ends the wait, so that the other instances see it without delay.
             let changed = self.desired.wait_for(|desired| desired.leaving != leaving);
             if let Ok(Err(_)) = tokio::time::timeout(delay, changed).await {
                 return Err(Closed);
@@ -117,9 +118,10 @@
         }
     }
 
-    /// Reads the list once, and goes on while the engine wishes so: whoever knows no other instance is a watcher.
+    /// Reads the list once, and continues while this instance is a watcher. An instance that knows no other is always a
+    /// watcher.
     ///
-    /// Of the list a watcher reads its own zone often and all zones seldom, and only what has changed.
+    /// A watcher reads its own zone often and the full list rarely; both reads return only changes.
     pub async fn sync_list(mut self, zone: ZoneName) -> Result<(), Closed> {
         let mut backoff = Backoff::default();
         let mut zone_list = List::new(Scope::Zone(zone));
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Names the instances in the settings now and then, so that they are found without the platform.
+    /// Periodically reports the peers in the settings to the node, so that they are found while the platform is down.
     pub async fn announce_peers(self, peers: Vec<Listed>) -> Result<(), Closed> {
         if peers.is_empty() {
             return Ok(());
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Reads the document until there is one, and watches it while the engine wishes so.
+    /// Reads the document until there is one, and watches it while this instance is a watcher.
     pub async fn sync_document(mut self) -> Result<(), Closed> {
         let mut backoff = Backoff::default();
         let mut no_document_backoff = Backoff::default();
@@ -188,8 +190,8 @@
             if let Ok(document) = result {
                 has_read = true;
                 let is_newer = self.deliver_document(document, &mut known).await?;
-                // A platform that answers a watch at once, and with nothing new, is not asked in a tight loop. Where
-                // there is no document yet, only watchers keep asking often.
+                // The minimum interval prevents a tight loop if the platform answers watches at once without a change.
+                // While there is no document, only watchers keep reading often.
                 delay = match (is_newer, watching) {
                     (true, _) => Duration::ZERO,
                     (false, true) => jittered(MIN_READ_INTERVAL.saturating_sub(began.elapsed())),
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Waits, but not once the engine wishes something else.
+    /// Waits for `delay`, or until the desired state changes.
     async fn sleep_or_change(&mut self, delay: Duration) -> Result<(), Closed> {
         match tokio::time::timeout(delay, self.desired.changed()).await {
             Ok(Err(_)) => Err(Closed),
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Hands a document to the node, and tells whether it is newer than what was held.
+    /// Passes a document to the node. Returns whether it is newer than the known revision.
     async fn deliver_document(&self, document: Option<Document>, known: &mut Revision) -> Result<bool, Closed> {
         let Some(document) = document else {
             return Ok(false);
@@ -221,7 +223,7 @@
         Ok(is_newer)
     }
 
-    /// Tells the node whether the platform answered, and returns how long to wait.
+    /// Reports to the node whether the platform is reachable. Returns the delay before the next call.
     async fn record_outcome<T>(
         &self,
         result: &Result<T, Error>,
@@ -242,7 +244,7 @@
     }
 }
 
-/// A refusal is an answer as well.
+/// Whether the platform answered. A refusal counts as an answer.
 fn is_reachable<T>(result: &Result<T, Error>) -> bool {
     !matches!(result, Err(Error::Unavailable(_) | Error::InDoubt(_)))
 }
--- a/crates/jayquayd/src/gauges.rs
+++ b/crates/jayquayd/src/gauges.rs
@@ -1,4 +1,5 @@
-//! What the node tells of itself, as metrics. Lists become counts by state, so that no label grows with the fleet.
+//! Metrics derived from the node's status. Lists become counts by state, so that the number of label values does not
+//! grow with the fleet.
 
 use std::time::Duration;
 
@@ -12,22 +13,22 @@
 use crate::metric::MEMBER_STATES;
 use crate::throttle::LogThrottle;
 
-/// How often the node is asked.
+/// Interval between updates.
 pub(crate) const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The states of an upstream as a home sees it.
+/// The states of an upstream at the home of its service.
 const UPSTREAM_STATES: [&str; 6] = ["active", "warming", "ejected", "probing", "draining", "removed"];
 
-/// Says in the log, at a limited rate, that packets came which no instance can use.
+/// Logs, at a limited rate, that unusable packets were received.
 #[derive(Debug, Default)]
 pub(crate) struct UnusablePacketLog {
-    /// How many there were when the log last said so.
+    /// Number of unusable packets when it was last logged.
     last_logged: u64,
     throttle: LogThrottle,
 }
 
 impl UnusablePacketLog {
-    /// Compares with the last look.
+    /// Logs the number of unusable packets if it has grown since it was last logged.
     pub(crate) fn log_increase(&mut self, status: &Status) {
         let bad_tokens = refused_count(status, Reason::Token);
         let wrong_services = refused_count(status, Reason::WrongService);
@@ -54,7 +55,7 @@
     counts.map(|refused| refused.count).sum()
 }
 
-/// Sets the metrics that the node's status tells.
+/// Sets the metrics from the node's status.
 pub(crate) fn update(status: &Status, now: Time) {
     metric::flows().set(status.flows as f64);
     metric::requests().set(status.requests as f64);
--- a/crates/jayquayd/src/input.rs
+++ b/crates/jayquayd/src/input.rs
@@ -1,7 +1,7 @@
-//! The queues into the engine.
+//! The input queues of the engine.
 //!
-//! What callers send waits apart from all else, so that a flood of datagrams neither delays heartbeats and
-//! results of calls nor costs unbounded memory.
+//! Datagrams from callers have a queue of their own, so that a flood of them neither delays heartbeats and call results
+//! nor takes unbounded memory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,55 +19,55 @@
 use crate::timeline::Seq;
 use crate::timeline::Stamp;
 
-/// How many inputs other than datagrams may wait.
+/// Capacity of the queue for inputs other than datagrams.
 const CONTROL_QUEUE_LEN: usize = 4_096;
-/// How many bytes of frames from other instances may wait, over all sessions.
+/// Maximum number of bytes of queued frames from other instances, over all sessions.
 const MAX_FRAME_BYTES: usize = 32 * 1_024 * 1_024;
-/// How many datagrams may wait.
+/// Capacity of the datagram queue.
 const DATAGRAM_QUEUE_LEN: usize = 1_024;
 
 /// A datagram from a caller.
 #[derive(Debug)]
 pub struct Datagram {
-    /// Where it came from.
+    /// Source address.
     pub from: SocketAddr,
-    /// What it holds.
+    /// Contents.
     pub bytes: Vec<u8>,
 }
 
-/// What the engine is told, apart from datagrams.
+/// An input of the engine other than a datagram.
 #[derive(Debug)]
 pub enum Input {
     /// An event for the node.
     Event(Event),
     /// A frame from another instance.
     Frame(ReceivedFrame),
-    /// A session began or ended.
+    /// A change in the state of a session.
     Session(SessionEvent),
-    /// Asks for the node's status.
+    /// Requests the status of the node.
     Status(oneshot::Sender<node::Status>),
-    /// Asks for records of the time line after this number.
+    /// Requests the timeline entries after this sequence number.
     Timeline(Seq, oneshot::Sender<Page>),
 }
 
 /// A frame from another instance.
 #[derive(Debug)]
 pub struct ReceivedFrame {
-    /// The sender.
+    /// The sending instance.
     pub peer: Peer,
-    /// The sender's stamp.
+    /// The sender's hybrid timestamp.
     pub stamp: Stamp,
     /// The frame.
     pub frame: Frame,
-    /// The room that it takes until the engine has handled it.
+    /// Reserved bytes, released once the engine has handled the frame.
     pub permit: OwnedSemaphorePermit,
 }
 
-/// The engine is gone.
+/// The engine has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Closed;
 
-/// Where the parts put what they have for the engine.
+/// The sending side of the queues, used by the other components.
 #[derive(Debug, Clone)]
 pub struct InputSender {
     control: mpsc::Sender<Input>,
@@ -75,17 +75,17 @@
     frame_bytes: Arc<Semaphore>,
 }
 
-/// The engine's ends of the queues.
+/// The receiving side of the queues, used by the engine.
 #[derive(Debug)]
 pub struct InputQueues {
-    /// Everything but datagrams.
+    /// All inputs except datagrams.
     pub control: mpsc::Receiver<Input>,
-    /// What callers sent.
+    /// Datagrams from callers.
     pub datagrams: mpsc::Receiver<Datagram>,
 }
 
 impl InputSender {
-    /// Makes the queues.
+    /// Creates the queues.
     pub fn new() -> (Self, InputQueues) {
         let (control, control_receiver) = mpsc::channel(CONTROL_QUEUE_LEN);
         let (datagrams, datagram_receiver) = mpsc::channel(DATAGRAM_QUEUE_LEN);
@@ -101,36 +101,36 @@
         (input_sender, queues)
     }
 
-    /// Waits for room, then puts an input.
+    /// Sends an input, waiting while the queue is full.
     pub async fn send(&self, input: Input) -> Result<(), Closed> {
         self.control.send(input).await.map_err(|_| Closed)
     }
 
-    /// Waits for room, then puts an event for the node.
+    /// Sends an event for the node, waiting while the queue is full.
     pub async fn send_event(&self, event: Event) -> Result<(), Closed> {
         self.send(Input::Event(event)).await
     }
 
-    /// Waits until frames of so many bytes together may wait.
+    /// Reserves `len` bytes for a queued frame, waiting until they are available.
     pub async fn reserve_bytes(&self, len: usize) -> Result<OwnedSemaphorePermit, Closed> {
         let len = u32::try_from(len.min(MAX_FRAME_BYTES)).map_err(|_| Closed)?;
         let permit = Arc::clone(&self.frame_bytes).acquire_many_owned(len).await;
         permit.map_err(|_| Closed)
     }
 
-    /// Puts a datagram if there is room, and tells whether there was.
+    /// Queues a datagram unless the queue is full. Returns whether it was queued.
     pub fn try_send_datagram(&self, datagram: Datagram) -> bool {
         self.datagrams.try_send(datagram).is_ok()
     }
 
-    /// Asks the node for its status. There is none once the engine is gone.
+    /// Requests the status of the node. Returns `None` if the engine has ended.
     pub async fn status(&self) -> Option<node::Status> {
         let (reply_sender, reply) = oneshot::channel();
         self.send(Input::Status(reply_sender)).await.ok()?;
         reply.await.ok()
     }
 
-    /// Asks for a page of the time line. There is none once the engine is gone.
+    /// Requests a page of the timeline. Returns `None` if the engine has ended.
     pub async fn timeline(&self, since: Seq) -> Option<Page> {
         let (reply_sender, reply) = oneshot::channel();
         self.send(Input::Timeline(since, reply_sender)).await.ok()?;
--- a/crates/jayquayd/src/lib.rs
+++ b/crates/jayquayd/src/lib.rs
@@ -1,5 +1,5 @@
-//! The daemon around a node: it owns the sockets, the sessions, the calls and the clock, and decides nothing about
-//! requests. Everything that the node must judge reaches it as an event, and what it wants done is carried out here.
+//! The daemon around a [`node::Node`]: it owns the sockets, sessions, upstream calls and the clock. All decisions about
+//! requests are made by the node, which receives events and returns actions that are executed here.
 
 pub mod admin;
 pub mod bucket;
--- a/crates/jayquayd/src/main.rs
+++ b/crates/jayquayd/src/main.rs
@@ -1,6 +1,6 @@
-//! `jayquayd`: an entry instance as a process.
+//! `jayquayd`: runs an instance as a process.
 //!
-//! It prints one line of JSON with its addresses once it listens, and ends by itself after SIGTERM or SIGINT.
+//! Prints its addresses as one line of JSON once it listens, and performs a planned stop on SIGTERM or SIGINT.
 
 use std::fmt;
 use std::fs;
@@ -34,41 +34,41 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// Something failed while the process ran.
+/// Exit code for a failure at run time.
 const EXIT_FAILURE: u8 = 1;
-/// The command line or the settings are wrong.
+/// Exit code for an invalid command line or invalid settings.
 const EXIT_USAGE: u8 = 2;
 
-/// The buckets of histograms, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const HISTOGRAM_BUCKETS: &[f64] = &[
     0.0001, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
-/// How often the recorder tidies its histograms.
+/// Interval of the metrics recorder's upkeep, which drains its histograms.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs an entry instance.
+/// Runs an instance.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version, footer("Example: jayquayd --settings instance.yaml"))]
 struct Options {
     /// The instance's settings, a YAML file
     #[bpaf(argument("FILE"))]
     settings: PathBuf,
-    /// Forward flows without reading them: the settings are those of the flow mode
+    /// Forward flows without reading their contents, with the settings of the flow mode
     flows: bool,
-    /// Check the settings and end
+    /// Check the settings and exit
     check: bool,
 }
 
-/// Why the process could not run.
+/// An error that prevents the process from running.
 #[derive(Debug)]
 enum RunError {
     /// The metrics recorder could not be installed.
     Metrics(BuildError),
-    /// Signals could not be caught, or the addresses not be printed.
+    /// A signal handler could not be installed, or the addresses could not be printed.
     Io(io::Error),
-    /// The daemon did not start.
+    /// The daemon could not be started.
     Start(StartError),
-    /// The flow mode did not start.
+    /// The flow mode failed.
     Forward(forward::RunError),
 }
 
@@ -139,7 +139,7 @@
     }
 }
 
-/// Prints the help that the arguments ask for, or says what is wrong with them.
+/// Prints the requested help or completion to stdout, or the parse error to stderr.
 fn report_parse_failure(failure: ParseFailure) -> ExitCode {
     let text = match failure {
         ParseFailure::Stdout(help, full) => help.monochrome(full),
@@ -149,17 +149,17 @@
             return ExitCode::from(EXIT_USAGE);
         }
     };
-    // A reader that has gone, as `head` does, is no failure.
+    // A closed pipe, as with `head`, is not a failure.
     let _ignored = writeln!(io::stdout(), "{text}");
     ExitCode::SUCCESS
 }
 
-/// Writes a line to stderr. Where nobody reads it, the exit code still tells.
+/// Writes a line to stderr. A write error is ignored because the exit code reports the failure as well.
 fn print_error(text: &str) {
     let _ignored = writeln!(io::stderr(), "{text}");
 }
 
-/// Each line begins with the name of its part, so that the module's path is left out.
+/// Initializes the logger without module paths, since each line begins with the name of its part.
 fn init_log(target: Target) {
     let env = Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
@@ -178,8 +178,8 @@
     })
 }
 
-/// Runs the flow mode. One thread does all: its work is a few microseconds a packet, and a second thread would only
-/// add switches between the two.
+/// Runs the flow mode on a single thread: a packet takes a few microseconds, and a second thread would only add context
+/// switches.
 fn forward(options: &Options) -> ExitCode {
     let text = match fs::read_to_string(&options.settings) {
         Ok(text) => text,
@@ -217,7 +217,8 @@
 #[tokio::main]
 async fn run(settings: &Settings) -> Result<ExitCode, RunError> {
     let metrics = install_recorder()?;
-    // Signals are caught from before the first line on, so that whoever reads it may stop the process at once.
+    // Signal handlers are installed before the addresses are printed, so that a reader of that line may stop the
+    // process at once.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut handle = jayquayd::start(settings, Some(metrics)).await?;
@@ -272,11 +273,11 @@
             ExitCode::from(EXIT_FAILURE)
         }
         End::Overdue(left) => {
-            log::error!("daemon: the planned stop did not end within its bound, {left} requests left in progress");
+            log::error!("daemon: the planned stop exceeded its time limit, {left} requests left in progress");
             ExitCode::from(EXIT_FAILURE)
         }
         End::Abandoned => {
-            log::error!("daemon: the engine ended by itself");
+            log::error!("daemon: the engine ended unexpectedly");
             ExitCode::from(EXIT_FAILURE)
         }
     }
--- a/crates/jayquayd/src/poll.rs
+++ b/crates/jayquayd/src/poll.rs
@@ -1,4 +1,4 @@
-//! An upstream's own report of its health and load. The report may lag or mislead; judging it is the node's.
+//! Fetches an upstream's report of its health and load. The report may be stale or wrong; the node evaluates it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use units::Incarnation;
 use units::Slots;
 
-/// How long a report may take.
+/// Time limit for fetching a report.
 const POLL_TIME: Duration = Duration::from_millis(500);
-/// The longest report, in bytes.
+/// Maximum length of a report, in bytes.
 const MAX_REPORT_LEN: usize = 4 * 1_024;
 
 #[derive(Debug, Deserialize)]
@@ -46,7 +46,7 @@
         .build()
 }
 
-/// Asks the upstream at `address`.
+/// Fetches the report of the upstream at `address`.
 pub(crate) async fn report(client: &Client, address: SocketAddr) -> Result<UpstreamReport, PollError> {
     let health = get::<Health>(client, address, "health");
     let load = get::<Load>(client, address, "load");
@@ -70,7 +70,7 @@
     serde_json::from_slice(&bytes).map_err(|_| PollError)
 }
 
-/// Reads a body, unless it is cut off or longer than `max_len`.
+/// Reads a body. Returns `None` if it is truncated or longer than `max_len`.
 async fn body(mut response: Response, max_len: usize) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     while let Some(chunk) = response.chunk().await.ok()? {
--- a/crates/jayquayd/src/session_event.rs
+++ b/crates/jayquayd/src/session_event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told of sessions with other instances.
+//! Events that session tasks report to the engine.
 
 use node::Peer;
 use tokio::sync::mpsc;
@@ -8,45 +8,45 @@
 
 use crate::timeline::Stamp;
 
-/// Names a session within this process.
+/// Identifies a session within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct SessionId(u64);
 
 impl SessionId {
-    /// A name that no other session has.
+    /// Creates a random ID.
     pub(crate) fn next() -> Self {
         Self(rand::random())
     }
 }
 
-/// A session began or ended.
+/// A change in the state of a session.
 #[derive(Debug)]
 pub enum SessionEvent {
-    /// Another instance connected and proved itself.
+    /// Another instance connected and was authenticated.
     Accepted {
-        /// Names the session.
+        /// ID of the session.
         id: SessionId,
         /// The other instance.
         peer: Peer,
-        /// What is put here is sent.
+        /// Queue of frames to send on the session.
         queue: mpsc::Sender<(Stamp, Frame)>,
-        /// Frames are taken once this has been told; otherwise the session ends.
+        /// Signals that the session is admitted; it ends if this is dropped instead.
         admit: oneshot::Sender<()>,
     },
-    /// The instance that was connected to proved itself.
+    /// The instance that this one connected to was authenticated.
     Authenticated {
-        /// Names the session.
+        /// ID of the session.
         id: SessionId,
         /// The other instance.
         peer: Peer,
     },
-    /// A session ended or could not be made.
+    /// A session ended or could not be established.
     Ended {
-        /// Names the session.
+        /// ID of the session.
         id: SessionId,
         /// The other instance.
         name: InstanceName,
-        /// Whether frames may have been lost with it.
+        /// Whether frames may have been lost.
         lost: bool,
     },
 }
--- a/crates/jayquayd/src/sessions.rs
+++ b/crates/jayquayd/src/sessions.rs
@@ -1,8 +1,8 @@
-//! WebSocket sessions with other instances, made on demand and authenticated.
+//! Authenticated WebSocket sessions with other instances, established on demand.
 //!
-//! The table belongs to the engine's task. Each session has one task of its own, which is told what to send through
-//! a bounded queue. Both sides may have made a session at the same time: each then sends on one of the two and
-//! reads from both, so that frames keep their order. What a frame says is not this part's business.
+//! The engine task owns the session table. Each session runs in its own task, which receives outgoing frames through
+//! a bounded queue. If both sides connect at the same time, each side sends on one of the two sessions and reads from
+//! both, so that frames stay in order. This module does not interpret frames.
 
 pub mod handshake;
 
@@ -43,13 +43,13 @@
 pub use self::listener::MAX_HANDSHAKES;
 pub use self::listener::listen;
 
-/// The longest pause between two attempts to connect to one instance.
+/// Maximum delay between two attempts to connect to the same instance.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// The shortest pause between two attempts to connect to one instance.
+/// Minimum delay between two attempts to connect to the same instance.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The exponent at which a pause stops growing.
+/// Number of failures after which the reconnect delay no longer doubles.
 const MAX_DOUBLINGS: u32 = 6;
-/// How many instances are remembered as unreachable.
+/// Number of unreachable instances tracked before expired entries are evicted.
 const MAX_TRACKED_FAILURES: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
@@ -58,7 +58,7 @@
     retry_at: Instant,
 }
 
-/// The table of sessions.
+/// The session table, keyed by the name of the other instance.
 #[derive(Debug)]
 pub struct Sessions {
     context: Context,
@@ -67,12 +67,12 @@
     failures: HashMap<InstanceName, ConnectFailure>,
     tasks: JoinSet<()>,
     drop_log: LogThrottle,
-    /// Limits what is said of handshakes that others ended.
+    /// Rate limit for log lines about handshakes closed by the other side.
     rejection_log: Arc<LogThrottle>,
 }
 
 impl Sessions {
-    /// An empty table for at most so many instances.
+    /// Creates an empty table for sessions with at most `capacity` instances.
     pub fn new(context: Context, capacity: usize) -> Self {
         Self {
             context,
@@ -85,15 +85,15 @@
         }
     }
 
-    /// Sends a frame, over a session that is made if there is none. Returns whether it could be queued; if not, what
-    /// was queued before it is lost as well.
+    /// Queues a frame, starting a session first if there is none. Returns whether the frame was queued; if it was not,
+    /// frames queued before it are lost as well.
     #[must_use]
     pub fn send(&mut self, to: &InstanceName, address: SocketAddr, stamp: Stamp, frame: Frame) -> bool {
         while self.tasks.try_join_next().is_some() {}
         if let Some(session) = self.active(to) {
             let is_established = session.incarnation.is_some();
             let queued = session.queue.try_send((stamp, frame)).is_ok();
-            // A session that is still being made fails by itself, with all that waits for it.
+            // A session that is still connecting reports its own failure, including the loss of its queued frames.
             if !queued && is_established {
                 self.drop_session(to);
             }
@@ -109,7 +109,7 @@
         queued
     }
 
-    /// Takes note of a change. Returns the instance whose frames may have been lost, if one is concerned.
+    /// Updates the table for a session event. Returns the name of the instance if frames to it may have been lost.
     pub fn handle_event(&mut self, event: SessionEvent) -> Option<InstanceName> {
         let lost = match event {
             SessionEvent::Accepted { id, peer, queue, admit } => {
@@ -128,7 +128,7 @@
         lost
     }
 
-    /// How many instances there are sessions with.
+    /// Number of instances with an established active session.
     pub fn established(&self) -> usize {
         let is_established = |peer_sessions: &&PeerSessions| {
             peer_sessions
@@ -139,7 +139,7 @@
         self.peers.values().filter(is_established).count()
     }
 
-    /// Gives all sessions up once they have sent what is queued, and names them.
+    /// Releases all sessions, which close after flushing their queues, and returns their IDs.
     pub fn release_all(&mut self) -> HashSet<SessionId> {
         let peers = std::mem::take(&mut self.peers);
         let sessions = peers
@@ -156,7 +156,7 @@
         self.peers.remove(name);
         metric::sessions_ended("full").increment(1);
         if let Some(suppressed) = self.drop_log.allow() {
-            log::warn!("sessions: {name} takes no more frames, session dropped{suppressed}");
+            log::warn!("sessions: the send queue for {name} is full, session dropped{suppressed}");
         }
     }
 
@@ -192,7 +192,7 @@
             metric::sessions_failed("old_life").increment(1);
             return None;
         }
-        // The session may have ended meanwhile; its end is on its way then.
+        // If the session has ended in the meantime, its `Ended` event is already queued.
         let _ended = admit.send(());
         metric::sessions_begun("incoming").increment(1);
         log::debug!("sessions: {} ({}) connected", peer.name, peer.incarnation);
--- a/crates/jayquayd/src/sessions/connection.rs
+++ b/crates/jayquayd/src/sessions/connection.rs
@@ -1,4 +1,4 @@
-//! Making a connection to another instance or taking one, up to the end of the handshake.
+//! Establishes and accepts connections with other instances, including the handshake.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use super::handshake::Keys;
 use super::handshake::MAX_MESSAGE_LEN;
 
-/// How long a connection and its handshake may take.
+/// Time limit for connecting and completing the handshake.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// What a frame's message holds besides the frame, at most.
+/// Maximum number of bytes in a message besides the frame itself.
 const ENVELOPE_LEN: usize = 64;
 
 /// An authenticated connection.
@@ -26,12 +26,12 @@
     pub(super) ws: WebSocketStream<TcpStream>,
 }
 
-/// Connects to the instance at `address`.
+/// Connects to the instance at `address` and authenticates both sides.
 pub(super) async fn connect(address: SocketAddr, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
     with_handshake_timeout(connect_without_timeout(address, own, keys)).await
 }
 
-/// Takes a connection from whoever made it.
+/// Performs the handshake on an incoming connection.
 pub(super) async fn accept(tcp: TcpStream, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
     with_handshake_timeout(accept_without_timeout(tcp, own, keys)).await
 }
@@ -56,19 +56,20 @@
 
 async fn accept_without_timeout(tcp: TcpStream, own: &Identity, keys: &Keys) -> Result<Connection, Error> {
     tcp.set_nodelay(true).map_err(|_| Error::Closed)?;
-    // A stranger may make this side hold no more than a handshake needs.
+    // Until the peer is authenticated, it cannot make this side buffer more than a handshake message.
     let handshake_config = Some(config_with_max_len(MAX_MESSAGE_LEN));
     let handshake = tokio_tungstenite::accept_async_with_config(tcp, handshake_config).await;
     let mut ws = handshake.map_err(|_| Error::Closed)?;
     let other = handshake::accept(&mut ws, own, keys).await?;
-    // The other side sends nothing between its proof and ours, so that no byte is lost with the narrow buffers.
+    // The peer sends nothing between its proof and ours, so no bytes are lost when the handshake's buffers are
+    // discarded.
     let session_config = Some(config_with_max_len(MAX_FRAME_LEN + ENVELOPE_LEN));
     let ws = WebSocketStream::from_raw_socket(ws.into_inner(), Role::Server, session_config).await;
     Ok(Connection { other, ws })
 }
 
-/// What a session's buffers take at rest, in bytes. An instance may have a session with each of 600 others, and the
-/// library's own choice of 128 KiB for each direction would take 150 MB for that.
+/// Size of a session's read and write buffers, in bytes. An instance may have sessions with 600 others, for which the
+/// library's default of 128 KiB in each direction would take 150 MB.
 const BUFFER_LEN: usize = 8 * 1_024;
 
 fn config_with_max_len(len: usize) -> WebSocketConfig {
--- a/crates/jayquayd/src/sessions/context.rs
+++ b/crates/jayquayd/src/sessions/context.rs
@@ -1,4 +1,4 @@
-//! What every session of this instance needs.
+//! State shared by all sessions of this instance.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
 use super::handshake_history::HandshakeHistory;
 use crate::input::InputSender;
 
-/// Who this instance is, and how it proves that.
+/// Identity, keys and engine queues shared by all sessions.
 #[derive(Debug, Clone)]
 pub struct Context {
-    /// Who this instance is.
+    /// Identity sent in handshakes.
     pub own: Identity,
-    /// How it proves that.
+    /// Keys for authenticating to and verifying other instances.
     pub keys: Keys,
-    /// Where frames and changes go.
+    /// Queues for received frames and session events.
     pub input_sender: InputSender,
-    /// Whether others accept this instance.
+    /// Results of handshakes, which show whether other instances accept this one.
     pub handshake_history: Arc<HandshakeHistory>,
 }
--- a/crates/jayquayd/src/sessions/handshake.rs
+++ b/crates/jayquayd/src/sessions/handshake.rs
@@ -1,8 +1,8 @@
-//! The first two messages each way of a session: both sides prove that they hold a secret in common.
+//! Mutual authentication by a shared secret, in the first two messages of each side.
 //!
-//! Each side sends a fresh nonce with its identity, then a MAC over everything that both sides have said. A MAC is
-//! bound to both nonces, both names and lives, and the side that sends it, so that it is of no use in any other
-//! handshake. The session that follows is authenticated but not encrypted.
+//! Each side sends its identity and a fresh nonce, then a MAC over both of these messages. A MAC is bound to both
+//! nonces, both names and incarnations, and the side that sends it, so it cannot be reused in another handshake. The
+//! session that follows is authenticated but not encrypted.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -24,30 +24,30 @@
 use units::InstanceName;
 use units::ZoneName;
 
-/// Separates the keys of sessions from others derived of the same secret.
+/// Separates session keys from other keys derived from the same secret.
 const KEY_CONTEXT: &str = "jayquay 2026-12-02 instance session";
-/// The version of what instances say to one another.
+/// Version of the protocol between instances.
 const VERSION: u8 = 1;
-/// The longest handshake message, in bytes.
+/// Maximum length of a handshake message, in bytes.
 pub const MAX_MESSAGE_LEN: usize = 1_024;
-/// How many MACs a proof may hold: the settings name a current secret and at most four others.
+/// Maximum number of MACs in a proof: the settings hold one current and at most four previous secrets.
 const MAX_MACS: usize = 5;
 
-/// Who an instance is.
+/// Identity of an instance, as sent in its first handshake message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Its name.
     pub name: InstanceName,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for other instances.
+    /// Address at which it accepts sessions from other instances.
     pub address: SocketAddr,
 }
 
 impl Identity {
-    /// The life that this identity names.
+    /// Name and incarnation of the instance.
     pub fn peer(&self) -> Peer {
         Peer {
             name: self.name.clone(),
@@ -59,16 +59,16 @@
 /// The first message of each side.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The version of the protocol.
+    /// Protocol version.
     pub version: u8,
-    /// Who sends it.
+    /// Identity of the sender.
     pub identity: Identity,
-    /// Never used before.
+    /// Random value that is fresh for each handshake.
     pub nonce: ByteArray<32>,
 }
 
 impl Hello {
-    /// A first message with a new nonce.
+    /// Creates a first message with a fresh nonce.
     pub fn new(identity: Identity) -> Self {
         Self {
             version: VERSION,
@@ -78,14 +78,14 @@
     }
 }
 
-/// The second message of each side: a MAC by each secret that the sender holds.
+/// The second message of each side: one MAC for each secret of the sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proof {
-    /// The MACs, the current secret's first.
+    /// The MACs, starting with that of the current secret.
     pub macs: Vec<ByteArray<32>>,
 }
 
-/// The keys that an instance proves and checks with.
+/// Keys for creating and verifying proofs.
 #[derive(Clone)]
 pub struct Keys(Vec<[u8; 32]>);
 
@@ -96,7 +96,7 @@
 }
 
 impl Keys {
-    /// Keys of the current secret and of those that are accepted too.
+    /// Derives the keys from the current secret and from the previous ones that are still accepted.
     pub fn new(current: &Secret, previous: &[Secret]) -> Self {
         let mut keys = vec![current.derive(KEY_CONTEXT)];
         keys.extend(previous.iter().map(|secret| secret.derive(KEY_CONTEXT)));
@@ -104,36 +104,36 @@
     }
 }
 
-/// Which side of a session.
+/// A side of a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// The one that connected.
+    /// The side that opened the connection.
     Initiator,
-    /// The one that was connected to.
+    /// The side that accepted the connection.
     Acceptor,
 }
 
-/// Why a handshake failed.
+/// The cause of a failed handshake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Error {
-    /// The other side holds none of this instance's secrets.
+    /// The peer's proof matches none of this instance's secrets.
     NoCommonSecret,
-    /// The other side speaks another version.
+    /// The peer uses another protocol version.
     Version,
-    /// The other side is another instance than the one that was meant, or claims this instance's own name.
+    /// The peer is not the expected instance, or claims this instance's own name.
     WrongName,
-    /// A message is too long or cannot be read.
+    /// A message is too long or cannot be decoded.
     Malformed,
-    /// The connection ended.
+    /// The connection was closed.
     Closed,
-    /// It took too long.
+    /// The handshake exceeded its time limit.
     Timeout,
-    /// No connection could be made.
+    /// The connection could not be established.
     Connect,
 }
 
 impl Error {
-    /// The cause as a metric label and in logs.
+    /// The cause as a metric label and in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoCommonSecret => "stranger",
@@ -155,7 +155,7 @@
 
 impl std::error::Error for Error {}
 
-/// Proves this instance to the one it connected to, and has it prove itself.
+/// Performs the handshake as the side that opened the connection.
 pub async fn initiate<S>(ws: &mut WebSocketStream<S>, own: &Identity, keys: &Keys) -> Result<Identity, Error>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -171,7 +171,7 @@
     Ok(other)
 }
 
-/// Has the instance that connected prove itself, then proves this one to it.
+/// Performs the handshake as the side that accepted the connection. Sends its proof only after verifying the peer's.
 pub async fn accept<S>(ws: &mut WebSocketStream<S>, own: &Identity, keys: &Keys) -> Result<Identity, Error>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -187,12 +187,12 @@
     Ok(other)
 }
 
-/// What both sides have said so far.
+/// The first messages of both sides, over which the MACs are computed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transcript(Vec<u8>);
 
 impl Transcript {
-    /// The transcript of both first messages, as they were sent.
+    /// Creates a transcript from the encoded first messages, each prefixed with its length.
     pub fn new(initiator: &[u8], acceptor: &[u8]) -> Self {
         let mut bytes = Vec::with_capacity(16 + initiator.len() + acceptor.len());
         for message in [initiator, acceptor] {
@@ -202,7 +202,7 @@
         Self(bytes)
     }
 
-    /// This side's proof.
+    /// Creates the proof of `side`.
     pub fn proof(&self, keys: &Keys, side: Side) -> Proof {
         let macs = keys.0.iter().map(|key| ByteArray::new(*self.mac(key, side).as_bytes()));
         Proof { macs: macs.collect() }
@@ -214,7 +214,7 @@
         }
         for key in &keys.0 {
             let expected = self.mac(key, side);
-            // Comparing hashes takes constant time.
+            // `Hash` compares in constant time.
             if proof
                 .macs
                 .iter()
@@ -249,10 +249,11 @@
     Ok(hello.identity)
 }
 
-/// Writes a handshake message.
+/// Encodes a handshake message.
 pub fn encode<T: Serialize>(item: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
-    ciborium::into_writer(item, &mut bytes).expect("a vector takes every write, and every message has a CBOR form");
+    ciborium::into_writer(item, &mut bytes)
+        .expect("writing to a vector does not fail, and every message can be encoded as CBOR");
     bytes
 }
 
--- a/crates/jayquayd/src/sessions/handshake_history.rs
+++ b/crates/jayquayd/src/sessions/handshake_history.rs
@@ -1,4 +1,4 @@
-//! Whether other instances accept this one, as its handshakes show.
+//! Results of this instance's handshakes, which show whether other instances accept it.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicU32;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How many handshakes the others must have ended, with none that succeeded, until this instance counts as a stranger. One
-/// may end because the other side stops.
+/// Number of handshakes closed by other instances, with none successful, after which this instance counts as rejected.
+/// A single one may be closed because the other side is stopping.
 const MIN_REJECTIONS: u32 = 3;
-/// For how long after the start handshakes tell that. An instance that has served for longer is not taken out of use
-/// because of another one that starts with wrong secrets. An instance meets the others within a second or two.
+/// Period after the start in which rejections are counted. An instance that has served for longer is not made unready
+/// by another one that starts with wrong secrets. Connecting to the others takes a second or two.
 const OBSERVATION_TIME: Duration = Duration::from_secs(10);
 
-/// What the handshakes of this instance have shown.
+/// Counts of this instance's successful and rejected handshakes.
 #[derive(Debug)]
 pub struct HandshakeHistory {
     started: Instant,
@@ -32,19 +32,19 @@
 }
 
 impl HandshakeHistory {
-    /// Another instance has proved that it has the same secrets.
+    /// Records a handshake in which another instance proved that it holds a common secret.
     pub(super) fn record_success(&self) {
         self.has_succeeded.store(true, Ordering::Relaxed);
     }
 
-    /// Another instance has ended a handshake that this one began.
+    /// Records that another instance closed a handshake that this one initiated.
     pub(super) fn record_rejection(&self) {
         if self.started.elapsed() < OBSERVATION_TIME {
             self.rejections.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Whether the others take this instance for a stranger: its secrets are not theirs.
+    /// Whether other instances reject this one, most likely because it holds none of their secrets.
     pub fn is_rejected(&self) -> bool {
         !self.has_succeeded.load(Ordering::Relaxed) && self.rejections.load(Ordering::Relaxed) >= MIN_REJECTIONS
     }
--- a/crates/jayquayd/src/sessions/listener.rs
+++ b/crates/jayquayd/src/sessions/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections of other instances.
+//! Accepts sessions from other instances.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -24,20 +24,20 @@
 use crate::session_event::SessionId;
 use crate::throttle::LogThrottle;
 
-/// How many connections may be in their handshake at a time.
+/// Maximum number of concurrent handshakes.
 pub const MAX_HANDSHAKES: usize = 64;
 
-/// How many of them may come from one host, so that one that connects and says nothing leaves room for the others. An
-/// instance needs one or two.
+/// Maximum number of concurrent handshakes from one host, so that a host that connects and stays silent cannot take all
+/// slots. An instance needs one or two.
 const MAX_HANDSHAKES_PER_HOST: usize = 16;
 
-/// Room for handshakes, in all and from each host.
+/// Limits concurrent handshakes, in total and per host.
 #[derive(Debug, Default)]
 struct HandshakeSlots {
     in_use: Mutex<HashMap<IpAddr, usize>>,
 }
 
-/// A place that a handshake holds until this is dropped.
+/// A handshake slot, released on drop.
 struct HandshakeSlot {
     slots: Arc<HandshakeSlots>,
     host: IpAddr,
@@ -48,7 +48,7 @@
         self.in_use.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A place for a handshake with a host. `None` if there is no room.
+    /// Acquires a slot for a handshake with `host`, or returns `None` if a limit is reached.
     fn acquire(self: &Arc<Self>, host: IpAddr) -> Option<HandshakeSlot> {
         let mut in_use = self.in_use();
         let total: usize = in_use.values().sum();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Takes connections for ever.
+/// Accepts connections until the task is aborted.
 pub async fn listen(listener: TcpListener, context: Context) {
     let slots = Arc::new(HandshakeSlots::default());
     let throttle = Arc::new(LogThrottle::default());
--- a/crates/jayquayd/src/sessions/outgoing.rs
+++ b/crates/jayquayd/src/sessions/outgoing.rs
@@ -1,4 +1,4 @@
-//! A session that this side makes, from the first attempt to connect to its end.
+//! Sessions initiated by this instance, from connecting to the end of the session.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use crate::session_event::SessionId;
 use crate::throttle::LogThrottle;
 
-/// A session that this side makes.
+/// A session initiated by this instance.
 pub(super) struct OutgoingSession {
     pub(super) id: SessionId,
     pub(super) peer_name: InstanceName,
@@ -58,7 +58,8 @@
         let _closed = context.input_sender.send(Input::Session(event)).await;
     }
 
-    /// Who refuses a stranger ends the handshake without a word, so that this side can only ask about its secrets.
+    /// Logs a failed handshake. An instance that cannot verify the peer closes the connection without giving a reason,
+    /// so the log line can only suggest comparing the secrets.
     fn log_failure(&self, error: handshake::Error) {
         let Self { peer_name, address, .. } = self;
         log::debug!("sessions: no session with {peer_name} at {address}: {error}");
--- a/crates/jayquayd/src/sessions/peer_sessions.rs
+++ b/crates/jayquayd/src/sessions/peer_sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions with one instance: at most one that frames are sent on, and one more that the other side made.
+//! The sessions with one instance: one for sending frames, and at most one more that the other side established.
 
 use tokio::sync::mpsc;
 use units::Incarnation;
@@ -7,22 +7,22 @@
 use super::session::QueuedFrame;
 use crate::session_event::SessionId;
 
-/// A session as the table knows it.
+/// An entry of the session table.
 #[derive(Debug)]
 pub(super) struct Session {
     pub(super) id: SessionId,
-    /// Unknown while a session is being made.
+    /// `None` until the other side is authenticated.
     pub(super) incarnation: Option<Incarnation>,
     pub(super) side: Side,
     pub(super) queue: mpsc::Sender<QueuedFrame>,
 }
 
-/// The sessions with one instance.
+/// All sessions with one instance.
 #[derive(Debug, Default)]
 pub(super) struct PeerSessions {
-    /// The one that frames are sent on.
+    /// The session on which this instance sends.
     pub(super) active: Option<Session>,
-    /// Another one, which the other side may send on.
+    /// A second session, on which the other side may send.
     pub(super) secondary: Option<Session>,
 }
 
@@ -41,11 +41,11 @@
         sessions.into_iter().flatten().find(|session| session.id == id)
     }
 
-    /// Adds a session that the other side made, and tells whether the active one was given up for it.
+    /// Adds a session established by the other side. Returns whether it replaced the active one.
     pub(super) fn add(&mut self, session: Session, is_newer_incarnation: bool) -> bool {
         let replaces = match &self.active {
             None => true,
-            // The other side makes a second one only when it holds the first for lost.
+            // The other side opens a second session only if it considers the first one lost.
             Some(active) => is_newer_incarnation || active.side == Side::Acceptor,
         };
         if !replaces {
--- a/crates/jayquayd/src/sessions/session.rs
+++ b/crates/jayquayd/src/sessions/session.rs
@@ -1,7 +1,7 @@
-//! One authenticated session: frames in, frames out, and noticing that the other side is gone.
+//! An authenticated session: sends and receives frames and detects an unresponsive peer.
 //!
-//! Each message is the sender's stamp, then one CBOR frame. A side that has sent something and hears nothing asks
-//! with a ping, and gives up when that stays unanswered too. Idle sessions cost nothing.
+//! Each message holds the sender's stamp followed by one CBOR frame. A side that has sent a frame and receives nothing
+//! sends a ping, and ends the session if that remains unanswered as well. Idle sessions cause no traffic.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -29,45 +29,45 @@
 use crate::metric;
 use crate::timeline::Stamp;
 
-/// How many frames may wait for one session.
+/// Maximum number of frames queued for one session.
 pub(super) const QUEUE_LEN: usize = 1_024;
-/// How many frames are written before a flush.
+/// Maximum number of frames written before a flush.
 const BATCH_LEN: usize = 64;
-/// How long after unanswered frames a ping is sent.
+/// Time without any message from the peer, counted from the first unanswered frame, after which a ping is sent.
 const PING_AFTER: Duration = Duration::from_secs(2);
-/// How long after unanswered frames a session is given up.
+/// Time without any message from the peer, counted from the first unanswered frame, after which the session ends.
 const PEER_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long one flush may take.
+/// Time limit for one flush.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a session may be idle before the side that made it closes it.
+/// Time without frames after which the initiator closes a session.
 ///
-/// Each member probes the others in turn, two a second, so of 600 it comes back to one after five minutes. A session that
-/// ends before then costs a handshake for each probe.
+/// Each member probes the others in turn, two per second, so with 600 members it returns to the same one after five
+/// minutes. A session that ends before then costs a handshake for each probe.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(15);
-/// How often silence is checked.
+/// Interval between checks for silence and idleness.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the other side may take to confirm a close.
+/// Time limit for the peer to confirm a close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The length of a stamp, in bytes.
+/// Length of a stamp, in bytes.
 const STAMP_LEN: usize = 8;
 
-/// A frame on its way out.
+/// A frame queued for sending, with its stamp.
 pub(super) type QueuedFrame = (Stamp, Frame);
 
-/// Why a session ended.
+/// The reason for which a session ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum End {
-    /// Nothing was said for long, and this side closed it.
+    /// This side closed the session after it was idle.
     Idle,
-    /// The other side closed it for lack of use.
+    /// The peer closed the session after it was idle.
     ClosedByPeer,
-    /// The connection ended.
+    /// The connection was closed.
     Closed,
-    /// The other side no longer answers.
+    /// The peer does not answer pings.
     Silent,
-    /// The other side no longer reads.
+    /// The peer stopped reading: a flush exceeded its time limit.
     Stalled,
-    /// This instance gave it up.
+    /// This instance released the session or the engine has stopped.
     Replaced,
 }
 
@@ -82,18 +82,18 @@
         }
     }
 
-    /// Whether the end says nothing about the other side's health.
+    /// Whether the session ended for lack of use, which says nothing about the peer's health.
     pub(super) fn is_graceful(self) -> bool {
         matches!(self, Self::Idle | Self::ClosedByPeer)
     }
 }
 
-/// When things were last sent and heard, in milliseconds since the session began.
+/// Times of the last sent and received messages, in milliseconds since the session began.
 struct Activity {
     start: Instant,
-    /// When the first frame was sent that nothing has been heard since; zero if there is none.
+    /// Time of the first frame sent since the peer was last heard from; zero if there is none.
     unanswered_since: AtomicU64,
-    /// When a frame was last sent or received.
+    /// Time at which a frame was last sent or received.
     last_frame_at: AtomicU64,
 }
 
@@ -140,7 +140,7 @@
     }
 }
 
-/// Runs a session until it ends. Frames that come are put into the intake; those in `queue` are sent.
+/// Runs a session until it ends. Received frames are passed to the engine; frames in `queue` are sent.
 pub(super) async fn run<W>(
     ws: W,
     side: Side,
@@ -156,14 +156,15 @@
     let reading = read(&mut stream, peer, input_sender, &activity);
     let writing = write(&mut sink, side, queue, &activity);
     tokio::pin!(reading);
-    // What has already arrived counts before a timer that ran out meanwhile, as after a pause of the process.
+    // Messages that have already arrived take precedence over an expired timer, for example after the process was
+    // suspended.
     let end = tokio::select! {
         biased;
         end = &mut reading => end,
         end = writing => end,
     };
     if end == End::Idle {
-        // What the other side sent before it learnt of the close is still taken.
+        // Still receives frames that the peer sent before it saw the close.
         let _late = tokio::time::timeout(CLOSE_TIMEOUT, reading).await;
     }
     end
@@ -187,7 +188,7 @@
         activity.note_received();
         metric::frames_received().increment(1);
         metric::frame_bytes_received().increment(bytes.len() as u64);
-        // Room is taken before the frame is read, so that what waits is bounded in bytes as well.
+        // Reserving bytes before decoding the frame also bounds the memory of queued frames.
         let Ok(permit) = input_sender.reserve_bytes(bytes.len()).await else {
             return End::Replaced;
         };
@@ -257,9 +258,12 @@
         for (stamp, frame) in batch.drain(..) {
             let bytes = encode(stamp, &frame);
             if bytes.len() > STAMP_LEN + MAX_FRAME_LEN {
-                // The other side would end the session for it.
+                // The peer would end the session on receiving it.
                 metric::frames_too_long().increment(1);
-                log::error!("sessions: a frame of {} bytes is too long to be sent", bytes.len());
+                log::error!(
+                    "sessions: dropped a frame of {} bytes, which is too long to send",
+                    bytes.len()
+                );
                 continue;
             }
             metric::frames_sent().increment(1);
@@ -298,7 +302,7 @@
     Some((Stamp(u64::from_be_bytes(*stamp)), frame))
 }
 
-/// Counts the end of a session, and tells whether frames may have been lost with it.
+/// Counts and logs the end of a session. Returns whether frames may have been lost.
 pub(super) fn record_end(peer: &Peer, end: End, queue: &mut mpsc::Receiver<QueuedFrame>) -> bool {
     metric::sessions_ended(end.as_str()).increment(1);
     log::debug!("sessions: session with {} ended: {}", peer.name, end.as_str());
--- a/crates/jayquayd/src/summary.rs
+++ b/crates/jayquayd/src/summary.rs
@@ -1,8 +1,8 @@
-//! A small summary of an availability zone, kept at the platform for those who can reach no instance.
+//! A small summary of an availability zone, stored at the platform for clients that cannot reach any instance.
 //!
-//! The first live instance of the zone by name writes it, when it has changed and not too often. Two that differ on who
-//! that is write over the version that they know, so that neither undoes what it has not seen: nothing is decided by a
-//! summary.
+//! The live instance of the zone with the lowest name writes it when it has changed, at a limited rate. Each write
+//! names the version that it replaces, so that two instances that disagree on which of them is the writer do not
+//! overwrite a version they have not seen. No decision depends on a summary.
 
 mod content;
 mod keeper;
--- a/crates/jayquayd/src/summary/content.rs
+++ b/crates/jayquayd/src/summary/content.rs
@@ -1,4 +1,4 @@
-//! What a summary holds, and how it is made of a status.
+//! The contents of a summary, derived from the node's status.
 
 use std::collections::BTreeMap;
 
@@ -14,61 +14,61 @@
 use units::UpstreamName;
 use wire::MemberState;
 
-/// What one instance sees of its availability zone.
+/// One instance's view of its availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The revision in force at the writer.
+    /// Revision of the document in force at the writer.
     pub revision: Option<Revision>,
-    /// The digest of that document.
+    /// Digest of that document.
     pub digest: Option<String>,
-    /// The instances of the zone that the writer knows.
+    /// Instances of the zone known to the writer.
     pub members: Vec<Member>,
-    /// What those instances told of last, by revision. An instance may have a newer one in force by now.
+    /// These instances by the revision that they last reported. An instance may have a newer one in force by now.
     #[serde(default)]
     pub in_force: Vec<InForce>,
-    /// The upstreams that get no new work, of the services whose home is the writer.
+    /// Upstreams that receive no new requests, of the services whose home is the writer.
     #[serde(default)]
     pub upstreams: Vec<Upstream>,
-    /// What the writer refused, over its life.
+    /// Number of requests that the writer has refused since its start.
     #[serde(default)]
     pub refused: Vec<RefusedCount>,
 }
 
-/// An instance, as the writer sees it.
+/// An instance as seen by the writer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
     pub name: InstanceName,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How it fares.
+    /// Its state.
     pub state: MemberState,
 }
 
-/// Instances that have the same document in force.
+/// Instances with the same document in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Its revision.
+    /// Revision of the document.
     pub revision: Revision,
-    /// Its digest, in hexadecimal.
+    /// Digest of the document, in hexadecimal.
     pub digest: String,
-    /// The instances.
+    /// Names of the instances.
     pub instances: Vec<InstanceName>,
 }
 
-/// An upstream that gets no new work.
+/// An upstream that receives no new requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Why.
+    /// State for which it receives none.
     pub state: State,
 }
 
 impl Summary {
-    /// The summary that this instance has to write, if it is the first of its zone.
+    /// The summary for this instance to write, or `None` if another one is the writer for the zone.
     pub fn of(status: &Status) -> Option<Self> {
         let zone = status.members.iter().filter(|member| member.zone == status.zone);
         let members: Vec<Member> = zone
@@ -94,7 +94,7 @@
     }
 }
 
-/// Groups the instances of the zone, so that a zone of hundreds stays a few kilobytes.
+/// Groups the instances of the zone by document, so that a zone of hundreds takes only a few kilobytes.
 fn in_force(status: &Status) -> Vec<InForce> {
     let mut groups: BTreeMap<(Revision, &str), Vec<InstanceName>> = BTreeMap::new();
     for member in &status.members {
--- a/crates/jayquayd/src/summary/keeper.rs
+++ b/crates/jayquayd/src/summary/keeper.rs
@@ -1,4 +1,4 @@
-//! When a summary is written, and over which version.
+//! Writes the summary of a zone: at what times, and over which version.
 
 use std::time::Duration;
 
@@ -13,29 +13,29 @@
 use crate::input::InputSender;
 use crate::metric;
 
-/// The shortest time from one write to the next: with ten zones, at most one write a second.
+/// Minimum interval between writes. With ten zones, this is at most one write per second.
 pub const WRITE_EVERY: Duration = Duration::from_secs(10);
-/// How often an instance looks whether there is something to write.
+/// Mean interval between checks for a changed summary.
 const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What stands at the platform, as far as this instance knows.
+/// The summary stored at the platform, as far as this instance knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct StoredSummary {
     version: Revision,
     summary: Option<Summary>,
 }
 
-/// Keeps one zone's summary.
+/// Writes the summary of one zone.
 #[derive(Debug)]
 pub struct SummaryWriter {
     client: Client,
     stored: Option<StoredSummary>,
-    /// When the platform was called last, whatever came of it.
+    /// Time of the last call to the platform, whether or not it succeeded.
     last_call: Option<Time>,
 }
 
 impl SummaryWriter {
-    /// A keeper that knows nothing of what stands at the platform.
+    /// Creates a writer that does not know what is stored at the platform.
     pub fn new(client: Client) -> Self {
         Self {
             client,
@@ -44,10 +44,11 @@
         }
     }
 
-    /// Writes the summary, if this instance has to, if it has changed, and if the last write is long enough ago.
+    /// Writes the summary if this instance is the writer, the summary has changed, and the last call is long enough
+    /// ago.
     pub async fn write_if_due(&mut self, now: Time, status: &Status) {
         let Some(summary) = Summary::of(status) else {
-            // Whoever writes from now on makes what is known here old.
+            // Another instance may write from now on, which makes the known version obsolete.
             self.stored = None;
             return;
         };
@@ -62,7 +63,8 @@
         let result = self.write(status, summary).await;
         metric::platform_calls(if result.is_ok() { "ok" } else { "failed" }).increment(1);
         if result.is_err() {
-            // It may have taken effect, or somebody else has written: what stands there is read before the next write.
+            // The write may have taken effect, or another instance may have written, so the stored version is read
+            // before the next write.
             self.stored = None;
         }
     }
@@ -89,7 +91,7 @@
         Ok(())
     }
 
-    /// Reads what stands there. What an earlier version of the program wrote need not be readable.
+    /// Reads the stored version. A summary that cannot be decoded, as from an earlier release, counts as absent.
     async fn read(&mut self, status: &Status) -> Result<Revision, Error> {
         let found = self.client.status::<serde_json::Value>(&status.zone).await?;
         let Some(found) = found else {
@@ -103,7 +105,7 @@
     }
 }
 
-/// Keeps the summary, until the engine is gone.
+/// Keeps the summary up to date until the engine ends.
 pub async fn run(client: Client, clock: Clock, input_sender: InputSender) {
     let mut summary_writer = SummaryWriter::new(client);
     loop {
--- a/crates/jayquayd/src/throttle.rs
+++ b/crates/jayquayd/src/throttle.rs
@@ -1,4 +1,4 @@
-//! Log lines at a limited rate: what strangers can cause must not fill the log.
+//! Rate limits for log lines, so that untrusted peers cannot flood the log.
 
 use std::fmt;
 use std::sync::atomic::AtomicU64;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long one line keeps further ones away.
+/// Minimum interval between two lines.
 const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many lines were held back since the last one, to be put at a line's end.
+/// Number of lines suppressed since the last one, to be appended to a line.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Suppressed(u64);
 
@@ -17,12 +17,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             0 => Ok(()),
-            count => write!(f, " ({count} lines like this held back)"),
+            count => write!(f, " ({count} similar lines suppressed)"),
         }
     }
 }
 
-/// Lets one line through per [`MIN_INTERVAL`], and counts those it held back.
+/// Allows one line per [`MIN_INTERVAL`], and counts the suppressed ones.
 #[derive(Debug)]
 pub(crate) struct LogThrottle {
     start: Instant,
@@ -41,7 +41,7 @@
 }
 
 impl LogThrottle {
-    /// Whether a line may be written now, and how many were held back since the last one.
+    /// Returns the number of lines suppressed since the last one if a line may be written now.
     pub(crate) fn allow(&self) -> Option<Suppressed> {
         let now = u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX);
         let next = self.next_ms.load(Ordering::Relaxed);
--- a/crates/jayquayd/src/timeline.rs
+++ b/crates/jayquayd/src/timeline.rs
@@ -1,4 +1,5 @@
-//! The last events of this process, in bounded memory, stamped so that those of several processes can be merged.
+//! The most recent events of this process, in bounded memory, with timestamps by which the timelines of several
+//! processes can be merged.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -11,15 +12,15 @@
 use units::InstanceName;
 use units::Time;
 
-/// How many entries one page holds at most.
+/// Maximum number of entries in a page.
 pub const PAGE_LEN: usize = 1_000;
 
-/// How many low bits of a stamp count events within one microsecond.
+/// Number of low bits of a stamp that count events within one microsecond.
 const COUNTER_BITS: u32 = 12;
-/// A stamp further ahead than this is not followed: the sender's clock is wrong.
+/// Stamps further ahead than this are ignored, since the sender's clock must be wrong.
 const MAX_CLOCK_SKEW: Duration = Duration::from_mins(1);
 
-/// The number of an entry within its incarnation, from 1. A missing number shows a gap.
+/// Sequence number of an entry within its incarnation, starting at 1. A missing number indicates a gap.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Seq(pub u64);
@@ -30,8 +31,8 @@
     }
 }
 
-/// A hybrid logical time: microseconds since the Unix epoch, then a count, so that an effect's stamp is always
-/// higher than that of its cause in another process.
+/// A hybrid logical timestamp: microseconds since the Unix epoch followed by a counter. An effect always has a higher
+/// stamp than its cause in another process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Stamp(pub u64);
@@ -41,7 +42,7 @@
         Self(time.0 << COUNTER_BITS)
     }
 
-    /// The time that the stamp holds.
+    /// The physical time of the stamp.
     pub fn time(self) -> Time {
         Time(self.0 >> COUNTER_BITS)
     }
@@ -54,14 +55,14 @@
 }
 
 impl HybridClock {
-    /// The stamp of what happens now.
+    /// Returns the stamp for an event that happens now.
     pub fn tick(&mut self, now: Time) -> Stamp {
         let next = Stamp(self.last.0 + 1);
         self.last = next.max(Stamp::at(now));
         self.last
     }
 
-    /// Follows a stamp that came from another process, and tells whether it could be followed.
+    /// Advances the clock to a stamp received from another process. Returns whether the stamp was plausible.
     pub fn observe(&mut self, now: Time, seen: Stamp) -> bool {
         if now.until(seen.time()) > MAX_CLOCK_SKEW {
             return false;
@@ -71,26 +72,26 @@
     }
 }
 
-/// An entry of the time line.
+/// An entry of the timeline.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number.
+    /// Sequence number.
     pub seq: Seq,
-    /// When it happened.
+    /// Time of the event.
     pub stamp: Stamp,
-    /// The instance where it happened.
+    /// Instance on which it happened.
     pub instance: InstanceName,
-    /// The instance's life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// What happened.
+    /// The event.
     pub record: Record,
 }
 
-/// Some entries, oldest first.
+/// A range of entries, oldest first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page(pub Vec<Entry>);
 
-/// The last entries of this process.
+/// The most recent entries of this process.
 #[derive(Debug)]
 pub struct TimelineBuffer {
     instance: InstanceName,
@@ -101,7 +102,7 @@
 }
 
 impl TimelineBuffer {
-    /// An empty ring that keeps at most `capacity` entries.
+    /// Creates an empty buffer for at most `capacity` entries.
     pub fn new(instance: InstanceName, incarnation: Incarnation, capacity: usize) -> Self {
         Self {
             instance,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Keeps a record, and lets the oldest one go when there is no room.
+    /// Appends a record, and drops the oldest entry if the buffer is full.
     pub fn push(&mut self, stamp: Stamp, record: Record) {
         if self.entries.len() >= self.capacity {
             self.entries.pop_front();
@@ -128,7 +129,7 @@
         self.next.0 += 1;
     }
 
-    /// The oldest entries after number `since`, at most [`PAGE_LEN`] of them.
+    /// The oldest entries after sequence number `since`, at most [`PAGE_LEN`] of them.
     pub fn page(&self, since: Seq) -> Page {
         let start = self.entries.partition_point(|entry| entry.seq <= since);
         let entries = self.entries.range(start..).take(PAGE_LEN);
--- a/crates/jayquayd/src/upstreams.rs
+++ b/crates/jayquayd/src/upstreams.rs
@@ -1,9 +1,9 @@
 //! Calls to upstreams over HTTP, and polls of their health and load.
 //!
-//! This part never retries. It tells the node exactly what is known of a call: `Unreachable` only when no
-//! connection came about, so that no byte of the request was sent. Therefore every call has a connection of its
-//! own, made before the request is handed over: on a pooled one, a request that failed might or might not have been
-//! sent.
+//! Calls are never retried here. The node learns exactly what is known about a call: `Unreachable` means that no
+//! connection was established, so no byte of the request was sent. Every call therefore uses a new connection that is
+//! established before the request is passed to it. On a pooled connection, a failed request might or might not have
+//! been sent.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -41,25 +41,25 @@
 use crate::metric;
 use crate::poll;
 
-/// Names the request, the same in each call for it.
+/// Header with the ID of the request, which is the same for every call made for it.
 pub const REQUEST_HEADER: &str = "x-jayquay-request";
-/// Names the call.
+/// Header with the ID of the call.
 pub const CALL_HEADER: &str = "x-jayquay-call";
-/// The service.
+/// Header with the name of the service.
 pub const SERVICE_HEADER: &str = "x-jayquay-service";
-/// The kind of request.
+/// Header with the kind of request.
 pub const KIND_HEADER: &str = "x-jayquay-kind";
-/// How long until the deadline, in milliseconds.
+/// Header with the time left until the deadline, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-jayquay-timeout-ms";
-/// On a 503: the request has not run, and why.
+/// Header of a 503 response that states that the request has not run, and why.
 pub const NOT_RUN_HEADER: &str = "x-jayquay-not-run";
-/// The longest answer of an upstream, in bytes.
+/// Maximum length of an upstream's answer, in bytes.
 pub const MAX_ANSWER_LEN: usize = 4 * 1_024 * 1_024 - 64 * 1_024;
 
-/// How long making a connection may take.
+/// Time limit for establishing a connection.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
 
-/// Calls upstreams, and keeps track of the calls in progress.
+/// Starts calls and polls, and tracks the calls in progress.
 #[derive(Debug)]
 pub struct Upstreams {
     call_client: CallClient,
@@ -70,7 +70,7 @@
 }
 
 impl Upstreams {
-    /// Calls in the name of this life of an instance.
+    /// Creates a client whose call IDs begin with the instance's name and incarnation.
     pub fn new(name: InstanceName, incarnation: Incarnation, input_sender: InputSender) -> reqwest::Result<Self> {
         Ok(Self {
             call_client: CallClient::new(name, incarnation),
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Begins a call. Its result comes as [`Event::CallEnded`].
+    /// Starts a call. Its result is sent to the engine as [`Event::CallEnded`].
     pub fn call(&mut self, call: Call) {
         self.reap_finished();
         let id = call.id;
@@ -89,14 +89,14 @@
         let input_sender = self.input_sender.clone();
         let task = self.tasks.spawn(async move {
             let result = call_client.call(&call).await;
-            // The engine is gone when this fails, and the result with it.
+            // Fails only if the engine has ended, in which case nobody needs the result.
             let _closed = input_sender.send_event(Event::CallEnded(id, result)).await;
         });
         self.in_flight.insert(id, task);
         metric::calls_running().set(self.in_flight.len() as f64);
     }
 
-    /// Ends a call at once by closing its connection.
+    /// Cancels a call by closing its connection.
     pub fn cancel(&mut self, id: CallId) {
         let Some(task) = self.in_flight.remove(&id) else {
             return;
@@ -106,14 +106,14 @@
         metric::calls_running().set(self.in_flight.len() as f64);
     }
 
-    /// Forgets a call whose result has come, and tells whether it was still wanted.
+    /// Removes a completed call. Returns whether its result is still expected, that is, whether it was not cancelled.
     pub fn ended(&mut self, id: CallId) -> bool {
         let is_expected = self.in_flight.remove(&id).is_some();
         metric::calls_running().set(self.in_flight.len() as f64);
         is_expected
     }
 
-    /// Asks for an upstream's health and load. The answer comes as [`Event::PollEnded`].
+    /// Polls an upstream's health and load. The result is sent to the engine as [`Event::PollEnded`].
     pub fn poll(&mut self, name: UpstreamName, address: SocketAddr) {
         self.reap_finished();
         let client = self.poll_client.clone();
@@ -130,10 +130,10 @@
     }
 }
 
-/// The result label of a call that was cancelled.
+/// Metric label of a cancelled call.
 const CANCELLED: &str = "cancelled";
 
-/// Makes single calls.
+/// Executes single calls.
 #[derive(Debug, Clone)]
 pub struct CallClient {
     name: InstanceName,
@@ -141,12 +141,12 @@
 }
 
 impl CallClient {
-    /// Calls in the name of this life of an instance.
+    /// Creates a client whose call IDs begin with the instance's name and incarnation.
     pub fn new(name: InstanceName, incarnation: Incarnation) -> Self {
         Self { name, incarnation }
     }
 
-    /// Makes a call. Dropping the future closes the connection.
+    /// Executes a call. Dropping the future closes the connection.
     pub async fn call(&self, call: &Call) -> CallResult {
         let started = Instant::now();
         let result = self.call_within(call, started + call.timeout).await;
@@ -156,7 +156,8 @@
     }
 
     async fn call_within(&self, call: &Call, deadline: Instant) -> CallResult {
-        // Connecting has a time of its own, because a deadline that passes meanwhile leaves nothing in doubt.
+        // Connecting has its own time limit: if the deadline passes before a connection is established, the request
+        // has certainly not run.
         let connecting = tokio::time::timeout(CONNECT_TIME.min(call.timeout), connect(call.address));
         let Ok(Ok(stream)) = connecting.await else {
             return CallResult::Unreachable;
@@ -180,7 +181,8 @@
                 Err(error) => connection_error(&error),
             }
         };
-        // What had arrived when the connection ended is still read, so its end ends nothing here.
+        // Data that arrived before the connection ended must still be read, so the end of the connection alone does not
+        // complete the call.
         let connection_driver = async {
             let _ended = connection.await;
             std::future::pending().await
@@ -217,7 +219,7 @@
     }
 }
 
-/// The two names that an answer must repeat.
+/// The two header values that an answer must echo.
 struct CallHeaders {
     request: String,
     call: String,
@@ -235,7 +237,7 @@
         header(response, REQUEST_HEADER) == Some(&self.request) && header(response, CALL_HEADER) == Some(&self.call)
     }
 
-    /// Whether the response names another request or call. One that names none is not contradicted.
+    /// Whether the response names another request or call. A response without these headers does not.
     fn is_contradicted_by(&self, response: &Response<Incoming>) -> bool {
         let differs = |name, own: &str| header(response, name).is_some_and(|value| value != own);
         differs(REQUEST_HEADER, &self.request) || differs(CALL_HEADER, &self.call)
@@ -246,9 +248,9 @@
     response.headers().get(name)?.to_str().ok()
 }
 
-/// The call failed on its connection, and the request may have been sent.
+/// The result of a connection error after which the request may have been sent.
 fn connection_error(error: &hyper::Error) -> CallResult {
-    log::debug!("upstreams: a call failed: {error}, {:?}", error.source());
+    log::debug!("upstreams: call failed: {error}, {:?}", error.source());
     CallResult::Failed
 }
 
@@ -267,7 +269,7 @@
     if !call_headers.is_echoed_by(&response) {
         return CallResult::Mismatched;
     }
-    // A body that is cut off or too long is none.
+    // A truncated or oversized body is treated as a mismatch.
     match Limited::new(response.into_body(), MAX_ANSWER_LEN).collect().await {
         Ok(body) => CallResult::Answered(body.to_bytes().into()),
         Err(_) => CallResult::Mismatched,
--- a/crates/jayquayd/tests/admin.rs
+++ b/crates/jayquayd/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' endpoints under connections that ask for nothing.
+//! The admin endpoints under connections that send no request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Longer than any step of a test takes, unless it hangs.
+/// Longer than any step of a test takes unless it hangs.
 const TEST_TIMEOUT: Duration = Duration::from_mins(1);
-/// More connections than are served at a time.
+/// More connections than may be open at a time.
 const IDLE_CONNECTIONS: usize = 100;
 
 async fn start() -> (SocketAddr, InputQueues) {
@@ -39,12 +39,12 @@
     (address, queues)
 }
 
-/// Asks for the metrics, which this process does not have, and tells whether there was an answer.
+/// Requests the metrics, which this process does not have, and returns whether there was a response.
 async fn is_answered(address: SocketAddr) -> bool {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = b"GET /metrics HTTP/1.1\r\nhost: jayquay\r\nconnection: close\r\n\r\n";
     let mut answer = Vec::new();
-    // A connection that is refused is closed, which either of these may find out.
+    // A refused connection is closed, which shows on the write or on the read.
     if stream.write_all(request).await.is_err() || stream.read_to_end(&mut answer).await.is_err() {
         return false;
     }
@@ -59,7 +59,7 @@
     for _ in 0..IDLE_CONNECTIONS {
         idle.push(TcpStream::connect(address).await.unwrap());
     }
-    assert!(!is_answered(address).await, "there was room for yet another connection");
+    assert!(!is_answered(address).await, "a connection over the limit was answered");
     drop(idle);
     let answered = async {
         while !is_answered(address).await {
@@ -67,7 +67,7 @@
         }
     };
     let answered = tokio::time::timeout(TEST_TIMEOUT, answered).await;
-    assert!(answered.is_ok(), "the room was not given back");
+    assert!(answered.is_ok(), "the slots were not released");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/jayquayd/tests/feed.rs
+++ b/crates/jayquayd/tests/feed.rs
@@ -1,4 +1,4 @@
-//! How often an instance reads the platform's list.
+//! How often an instance reads the platform's instance list.
 
 use jayquayd::feed::DesiredState;
 use jayquayd::feed::PlatformSync;
@@ -17,7 +17,7 @@
 use units::Incarnation;
 use units::Millis;
 
-/// How often the test itself reads the list.
+/// Number of times that the test itself reads the list.
 const OTHER_READS: u64 = 50;
 
 async fn start() -> (Handle, Client) {
@@ -28,10 +28,10 @@
     (platform, client)
 }
 
-/// Waits until the feed tells that the platform answered, or did not.
+/// Waits for the next report on whether the platform is reachable.
 async fn next_reachability(queues: &mut InputQueues) -> bool {
     loop {
-        let input = queues.control.recv().await.expect("the feed runs");
+        let input = queues.control.recv().await.expect("the task is running");
         if let Input::Event(Event::PlatformReachable(is_reachable)) = input {
             return is_reachable;
         }
@@ -50,12 +50,12 @@
     let (desired, desired_receiver) = watch::channel(DesiredState::default());
     let sync = PlatformSync::new(client.clone(), input_sender, desired_receiver);
     let reading = tokio::spawn(sync.sync_list("north".parse().expect("a name")));
-    // What failed is tried again.
+    // A failed read is repeated.
     assert!(!next_reachability(&mut queues).await);
     platform.behave(Behaviour::default()).await;
     while !next_reachability(&mut queues).await {}
     let first = platform.counts().lists;
-    // Another wish than that to watch wakes it, and it reads nothing in the time that others read often.
+    // A change other than of `watching` wakes the task, but it reads nothing while the test reads the list many times.
     desired.send_modify(|desired| desired.leaving = true);
     for _ in 0..OTHER_READS {
         client.list().await.expect("the platform serves");
@@ -65,7 +65,7 @@
     desired.send_modify(|desired| desired.watching = true);
     assert!(next_reachability(&mut queues).await);
     assert_eq!(platform.counts().lists, first + 1);
-    // A watcher goes on.
+    // A watcher keeps reading.
     assert!(next_reachability(&mut queues).await);
     assert!(platform.counts().lists >= first + 2);
     reading.abort();
@@ -82,7 +82,7 @@
     let (_desired, desired_receiver) = watch::channel(watching);
     let sync = PlatformSync::new(client.clone(), input_sender, desired_receiver);
     let reading = tokio::spawn(sync.sync_list("north".parse().expect("a name")));
-    // Nobody is on the list at first.
+    // The list is empty at first.
     assert!(next_reachability(&mut queues).await);
     let other = Listed::Entry {
         name: "entry-2".parse().expect("a name"),
@@ -97,7 +97,7 @@
     let before = platform.counts().lists;
     let found = vec![other];
     loop {
-        let input = queues.control.recv().await.expect("the feed runs");
+        let input = queues.control.recv().await.expect("the task is running");
         if matches!(&input, Input::Event(Event::InstanceList(list)) if *list == found) {
             break;
         }
--- a/crates/jayquayd/tests/handshake.rs
+++ b/crates/jayquayd/tests/handshake.rs
@@ -1,4 +1,4 @@
-//! Handshakes between instances, honest and not.
+//! Handshakes between instances, including impostors and replays.
 
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Keys of secrets, each named by one letter; the first is the current one.
+/// Keys for secrets that are each given by one letter; the first is the current one.
 fn keys(letters: &str) -> Keys {
     let mut secrets = letters
         .chars()
@@ -45,14 +45,14 @@
     Keys::new(&current, &previous)
 }
 
-/// Shakes hands between an initiator and an acceptor, and tells how it went for each.
+/// Performs a handshake between an initiator and an acceptor, each given by name and secrets, and checks both results.
 async fn check(initiator: (&str, &str), acceptor: (&str, &str), expected: (&str, &str)) {
     let (mut client, mut server) = connected_sockets().await;
     let client_own = identity(initiator.0);
     let server_own = identity(acceptor.0);
     let client_keys = keys(initiator.1);
     let server_keys = keys(acceptor.1);
-    // The side that fails hangs up, as the daemon does.
+    // The side that fails closes the connection, as the daemon does.
     let client = async move { handshake::initiate(&mut client, &client_own, &client_keys).await };
     let server = async move { handshake::accept(&mut server, &server_own, &server_keys).await };
     let (client, server) = tokio::join!(client, server);
@@ -88,7 +88,7 @@
         let _hello = receive(&mut server).await;
         send(&mut server, &handshake::encode(&Hello::new(identity("two")))).await;
         let proof = receive(&mut server).await;
-        // It knows no secret, and sends the initiator's own proof back.
+        // The impostor has no secret, and sends the initiator's own proof back.
         send(&mut server, &proof).await;
     };
     let own = identity("one");
--- a/crates/jayquayd/tests/limits.rs
+++ b/crates/jayquayd/tests/limits.rs
@@ -13,12 +13,12 @@
 use tokio::net::UdpSocket;
 use units::Time;
 
-/// Nothing is gained back, so that no test depends on how fast it runs.
+/// A rate without refill, so that no test depends on how fast it runs.
 fn without_refill(burst: u32) -> Rate {
     Rate { per_second: 0, burst }
 }
 
-/// Sends so many datagrams of so many bytes from each of so many sources, and expects so many to pass.
+/// Sends `count` datagrams of `len` bytes from each of the sources, and expects `passed` of them to reach the engine.
 async fn check(limits: Limits, sources: usize, count: usize, len: usize, passed: usize) {
     let recorder = PrometheusBuilder::new().build_recorder();
     let metrics = recorder.handle();
@@ -33,7 +33,8 @@
         for _ in 0..count {
             source.send_to(&vec![0; len], address).await.unwrap();
         }
-        // The next source begins when all of this one's have come, so that the socket's buffer is never full.
+        // The next source starts once all datagrams of this one were received, so that the socket's buffer is never
+        // full.
         let expected = format!("jayquay_datagrams_received_total {}", sent * count);
         while !metrics.render().contains(&expected) {
             tokio::task::yield_now().await;
--- a/crates/jayquayd/tests/metrics.rs
+++ b/crates/jayquayd/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The page of metrics, the names in the program, and what a recorder renders.
+//! Metric names, compared with the documentation, and their rendering by a recorder.
 
 use std::collections::BTreeSet;
 
--- a/crates/jayquayd/tests/pages.rs
+++ b/crates/jayquayd/tests/pages.rs
@@ -1,4 +1,4 @@
-//! What the operators' page says, held against the program.
+//! The operators' documentation, compared with the example settings and the defaults.
 
 const PAGE: &str = include_str!("../../../docs/OPERATING.md");
 const EXAMPLE: &str = include_str!("../../../examples/settings.yaml");
@@ -28,7 +28,7 @@
         } else {
             format!("`{name}`")
         };
-        assert!(PAGE.contains(&field), "{field} is not explained");
+        assert!(PAGE.contains(&field), "{field} is not documented");
         seen += 1;
     }
     assert!(seen >= 18, "only {seen} fields were found in the example");
--- a/crates/jayquayd/tests/process.rs
+++ b/crates/jayquayd/tests/process.rs
@@ -1,4 +1,4 @@
-//! The binary as a process: what it prints, how it ends, and what it says of wrong settings.
+//! The binary as a process: its output, its exit codes, and its messages about invalid settings.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -30,7 +30,7 @@
     command
 }
 
-/// Ends the process when a test fails.
+/// Kills the process on drop, also when a test fails.
 struct KillOnDrop(Child);
 
 impl Drop for KillOnDrop {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Runs a process until it has printed its addresses, sends it a signal, and returns its exit code.
+/// Starts a process, sends it a signal once it has printed its addresses, and returns its exit code.
 fn exit_code_after(signal: &str) -> Option<i32> {
     let settings = settings_file(&format!("{signal}.yaml"), VALID);
     let child = command(&settings).stdout(Stdio::piped()).spawn().unwrap();
@@ -115,7 +115,8 @@
     assert_eq!(output.status.code(), Some(0), "{errors}");
 }
 
-/// What a process that can reach no platform says until it says `text`, or has complained of the platform three times.
+/// The log lines of a process that cannot reach its platform, up to one that contains `text` or the third warning about
+/// the platform.
 fn read_log_until(running: &mut KillOnDrop, text: &str) -> Vec<String> {
     let stderr = BufReader::new(running.0.stderr.take().unwrap());
     let mut lines = Vec::new();
@@ -177,7 +178,7 @@
     for bytes in [b"no packet".to_vec(), wire::encode_packet(&forged)] {
         socket.send_to(&bytes, addresses.callers).unwrap();
     }
-    // Reads the log until the line comes. The process goes on writing, so this does not wait for its end.
+    // Reads the log up to the expected line, and not to its end, because the process keeps running.
     let log = BufReader::new(running.0.stderr.take().unwrap()).lines();
     let expected = "unusable packets so far: 1 malformed, 1 with a bad token, 0 of another service";
     assert!(log.map_while(Result::ok).any(|line| line.contains(expected)));
--- a/crates/jayquayd/tests/sessions.rs
+++ b/crates/jayquayd/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions over loopback between tables that stand for two instances.
+//! Sessions over loopback between the session tables of several instances.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,10 +29,10 @@
 use units::Revision;
 use wire::Frame;
 
-/// Longer than any step of a test takes, unless it hangs.
+/// Longer than any step of a test takes unless it hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Speaks WebSocket on a connection to an instance, as a stranger would.
+/// Opens a WebSocket on a connection to an instance, without the handshake between instances.
 async fn open_websocket(tcp: TcpStream, address: SocketAddr) -> WebSocketStream<TcpStream> {
     let url = format!("ws://{address}/");
     let (ws, _) = tokio_tungstenite::client_async(url, tcp).await.unwrap();
@@ -80,11 +80,11 @@
         self.sessions.send(&to.name, to.address, Stamp(number), frame)
     }
 
-    /// The next frame or loss, in words.
+    /// Describes the next received frame or loss.
     async fn next(&mut self) -> String {
         loop {
             let input = tokio::time::timeout(TEST_TIMEOUT, self.queues.control.recv()).await;
-            match input.expect("something comes in time").unwrap() {
+            match input.expect("an input arrives in time").unwrap() {
                 Input::Frame(arrival) => {
                     let Frame::Want(Some(revision)) = arrival.frame else {
                         panic!("unexpected: {arrival:?}");
@@ -105,11 +105,11 @@
         }
     }
 
-    /// The next frame or loss, while the other instance works and gets neither.
+    /// Like [`Self::next`], while `other` runs and must receive neither a frame nor a loss.
     async fn next_while_idle(&mut self, other: &mut Self) -> String {
         tokio::select! {
             next = self.next() => next,
-            heard = other.next() => panic!("the other one heard: {heard}"),
+            heard = other.next() => panic!("the other instance received: {heard}"),
         }
     }
 }
@@ -162,7 +162,7 @@
         assert!(one.send(&rejected, 10));
         assert_eq!(one.next().await, "lost two");
     }
-    // Another instance answers at the address that was known.
+    // Another instance now listens at the known address.
     let three = Instance::start("three", 3, "a", 8).await;
     rejected.address = three.address;
     assert!(one.send(&rejected, 10));
@@ -178,7 +178,7 @@
     assert!(one.send(&two, 10));
     assert_eq!(two.next().await, "one (1) sent 10 at 10");
     assert!(!one.send(&three, 11));
-    // The one that connects is hung up on, and told so.
+    // The instance that connects is disconnected and reports the loss.
     assert!(three.send(&one, 30));
     assert_eq!(three.next_while_idle(&mut one).await, "lost one");
     assert_eq!(one.sessions.established(), 1);
@@ -222,7 +222,7 @@
     assert_eq!(one.sessions.established(), 1);
     let frame = Frame::Want(Some(Revision(10)));
     assert!(one.sessions.send(&own.name, own.address, Stamp(10), frame));
-    // From here on the other side neither reads nor answers, and keeps its connection open.
+    // From here on the other side neither reads nor answers, but keeps its connection open.
     tokio::time::pause();
     assert_eq!(one.next().await, "lost two");
     assert_eq!(one.sessions.established(), 0);
@@ -234,13 +234,13 @@
     let mut one = Instance::start("one", 1, "a", 8).await;
     let tcp = TcpStream::connect(one.address).await.unwrap();
     let mut ws = open_websocket(tcp, one.address).await;
-    // More than a handshake may hold, less than a frame may.
+    // Longer than a handshake message may be, but shorter than a frame may be.
     let frame = Message::binary(vec![0; 1_000_000]);
-    // The other side may hang up before everything is written.
+    // The other side may close the connection before everything is written.
     let _cut = ws.send(frame).await;
     let end = tokio::time::timeout(TEST_TIMEOUT, ws.next())
         .await
-        .expect("it ends in time");
+        .expect("the connection ends in time");
     assert!(!matches!(end, Some(Ok(Message::Binary(_)))), "{end:?}");
     assert!(one.queues.control.is_empty());
     assert_eq!(one.sessions.established(), 0);
@@ -255,11 +255,11 @@
     for _ in 0..MAX_HANDSHAKES + 10 {
         silent_connections.push(TcpStream::connect(one.address).await.unwrap());
     }
-    // Those over the limit are hung up on at once, the others when their time is over.
+    // Connections over the limit are closed at once, the others when their handshake times out.
     for connection in &mut silent_connections {
         let mut buffer = [0; 16];
         let read = tokio::time::timeout(TEST_TIMEOUT, connection.read(&mut buffer)).await;
-        let read = read.expect("it ends in time");
+        let read = read.expect("the connection ends in time");
         assert_eq!(read.unwrap_or(0), 0);
     }
     assert!(two.send(&one, 10));
--- a/crates/jayquayd/tests/summary.rs
+++ b/crates/jayquayd/tests/summary.rs
@@ -1,4 +1,4 @@
-//! A zone's summary at the platform: what it tells, and what it costs.
+//! The summary of a zone at the platform: its contents and the number of calls it takes.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     (platform, client)
 }
 
-/// What `name` tells of itself: it knows one more instance of its zone, and one of another zone.
+/// The status of instance `name`, whose members are `a` and `b` in its own zone and `c` in another zone.
 fn status(name: &str, refused: u64) -> Status {
     let member = |name: &str, zone: &str, revision: u64| json!({"name": name, "incarnation": 1, "zone": zone, "state": "Alive", "revision": revision, "digest": "0a"});
     let upstream = |name: &str, state: &str| {
@@ -39,7 +39,7 @@
         "hops_exceeded": 0, "opened": 0, "answered": 0,
         "refused": [{"verdict": "NotRun", "reason": "Overload", "count": refused}]
     });
-    serde_json::from_value(status).expect("the status is whole")
+    serde_json::from_value(status).expect("the status is complete")
 }
 
 fn at(seconds: u64) -> Time {
@@ -52,7 +52,7 @@
         name: "north".to_owned(),
     };
     let object = platform.object(&key)?;
-    let summary = serde_json::from_value(object.value).expect("it is a summary");
+    let summary = serde_json::from_value(object.value).expect("the stored value is a summary");
     Some((object.writer, summary))
 }
 
@@ -64,12 +64,12 @@
         .await;
     assert_eq!(stored_summary(&platform), None);
     SummaryWriter::new(client).write_if_due(at(100), &status("a", 4)).await;
-    let (writer, summary) = stored_summary(&platform).expect("the first one writes");
+    let (writer, summary) = stored_summary(&platform).expect("the first instance writes");
     let in_force = json!([
         {"revision": 2, "digest": "0a", "instances": ["b"]},
         {"revision": 3, "digest": "0a", "instances": ["a"]}
     ]);
-    let value = serde_json::to_value(summary).expect("it has a JSON form");
+    let value = serde_json::to_value(summary).expect("a summary can be encoded as JSON");
     assert_eq!((writer.as_str(), &value["in_force"]), ("a", &in_force));
     assert_eq!(
         value["upstreams"],
@@ -88,13 +88,13 @@
     assert_eq!(
         platform.counts().taken,
         10,
-        "one in ten seconds while it changes all the time"
+        "one write in ten seconds while the summary keeps changing"
     );
     for second in 100..200 {
         writer.write_if_due(at(second), &status("a", 90)).await;
     }
-    assert_eq!(platform.counts().taken, 10, "none while nothing changes");
-    // A new life of the writer finds that what stands there is right.
+    assert_eq!(platform.counts().taken, 10, "no write without a change");
+    // After a restart, the writer reads the stored summary and finds it up to date.
     SummaryWriter::new(client).write_if_due(at(200), &status("a", 90)).await;
     assert_eq!((platform.counts().taken, platform.counts().reads), (10, 2));
 }
@@ -106,7 +106,7 @@
     let mut other = SummaryWriter::new(client);
     one.write_if_due(at(0), &status("a", 1)).await;
     other.write_if_due(at(0), &status("a", 2)).await;
-    // The version that the first one knows is no longer the newest.
+    // The version known to the first writer is no longer the newest.
     one.write_if_due(at(10), &status("a", 3)).await;
     let refused = |platform: &Handle| stored_summary(platform).map(|(_, summary)| summary.refused[0].count);
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(2), 1));
@@ -126,7 +126,7 @@
     for second in 0..20 {
         writer.write_if_due(at(second), &status("a", 1)).await;
     }
-    // The write took effect; the second look reads that, and nothing is written again.
+    // The write took effect; the next check reads the stored summary and writes nothing.
     assert_eq!((platform.counts().writes, platform.counts().taken), (1, 1));
     let unavailable = Behaviour {
         unavailable: true,
--- a/crates/jayquayd/tests/timeline.rs
+++ b/crates/jayquayd/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The ring of the last events, and the stamps that order those of several processes.
+//! The timeline buffer, and the hybrid timestamps that order the events of several processes.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use units::Revision;
 use units::Time;
 
-/// Keeps `count` records in a ring of `capacity`, and tells the first and last number of a page and its length.
+/// Pushes `count` records into a buffer of `capacity`, and describes a page: its first and last number and its length.
 fn check(capacity: usize, count: u64, since: u64) -> String {
     let mut buffer = TimelineBuffer::new("one".parse().unwrap(), Incarnation(1), capacity);
     for number in 1..=count {
--- a/crates/jayquayd/tests/upstreams.rs
+++ b/crates/jayquayd/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! Calls to an upstream that answers as a case tells, byte for byte.
+//! Calls to a test upstream whose response each case gives byte for byte.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -21,7 +21,7 @@
 use units::Incarnation;
 use units::RequestSeq;
 
-/// Longer than any step of a test takes, unless it hangs.
+/// Longer than any step of a test takes unless it hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 const ECHO: &str = "x-jayquay-request: {request}\r\nx-jayquay-call: {call}\r\n";
 
@@ -61,7 +61,7 @@
     &line[name.len() + 2..]
 }
 
-/// Answers one request by `template`, and closes the connection.
+/// Makes a call to an upstream that responds with `template` and closes the connection, and checks the result.
 async fn check(template: &str, expected: CallResult) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -126,7 +126,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
-        // Taken and closed at once, so that the request may or may not have been sent.
+        // Closing the connection at once leaves open whether the request was sent.
         let (stream, _) = listener.accept().await.unwrap();
         drop(stream);
     });
@@ -150,7 +150,7 @@
             .replace("{call}", header(&request, "x-jayquay-call"));
         let answer = format!("HTTP/1.1 200 OK\r\nconnection: keep-alive\r\n{echo}content-length: 0\r\n\r\n");
         first.write_all(answer.as_bytes()).await.unwrap();
-        // A second request on the kept connection would never be answered, and this would wait for ever.
+        // If the second request came on the first connection, this accept would never return.
         let (mut second, _) = listener.accept().await.unwrap();
         read_request(&mut second).await;
     });
@@ -208,7 +208,7 @@
     let mut upstreams = Upstreams::new("entry-1".parse().unwrap(), Incarnation(9), input_sender).unwrap();
     upstreams.poll("north-1".parse().unwrap(), address);
     let Some(Input::Event(Event::PollEnded(_, Ok(report)))) = queues.control.recv().await else {
-        panic!("no report came");
+        panic!("no report was received");
     };
     let seen = (
         report.incarnation,
@@ -221,7 +221,8 @@
     server.await.unwrap();
 }
 
-/// A listener that nobody takes connections from, and those that fill its queue, so that the system answers no other.
+/// A listener that accepts no connections, and the connections that fill its backlog, so that the system answers no
+/// further ones.
 async fn listener_with_full_backlog() -> (TcpListener, Vec<Pin<Box<impl Future>>>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -235,7 +236,7 @@
         is_backlog_full = polled.is_err();
         connecting.push(stream);
     }
-    assert!(is_backlog_full, "the queue never filled");
+    assert!(is_backlog_full, "the backlog never filled up");
     (listener, connecting)
 }
 
--- a/crates/jayquayd/tests/whole/crash.rs
+++ b/crates/jayquayd/tests/whole/crash.rs
@@ -1,4 +1,4 @@
-//! Holds over a fabric that loses, doubles and reorders packets, while instances crash and others join.
+//! `hold` requests over a fabric that loses, duplicates and reorders packets, while instances crash and others join.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -15,14 +15,14 @@
 use crate::fleet::Fleet;
 use crate::fleet::wait_until;
 
-/// How many callers there are.
+/// Number of callers.
 const CALLER_COUNT: usize = 8;
-/// How many holds end before, between and after the crashes, at least.
+/// Minimum number of `hold` requests completed before, between and after the crashes.
 const MIN_HOLDS_PER_PHASE: usize = 200;
-/// How long callers wait for an answer.
+/// Deadline for each request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What became of a hold: `None` if it was answered.
+/// Request bodies with their outcomes: `None` if the request was answered.
 type Outcomes = Vec<(Vec<u8>, Option<Verdict>)>;
 
 #[tokio::test]
@@ -64,7 +64,7 @@
     let (outcomes, ()) = tokio::join!(futures_util::future::join_all(callers), crashes);
     let outcomes: Outcomes = outcomes.into_iter().flatten().collect();
     check_outcomes(&fleet, &outcomes);
-    // A machine that stalls for seconds may get one more owner taken for dead. Every flow goes on all the same.
+    // On a machine that stalls for seconds, one more owner may be declared dead. Every flow must still recover.
     for client in &clients {
         let kind: units::KindName = "hold".parse().unwrap();
         wait_until(async || {
@@ -96,7 +96,7 @@
     outcomes
 }
 
-/// Compares what callers were told with what ran.
+/// Compares the outcomes reported to callers with the requests that ran.
 fn check_outcomes(fleet: &Fleet, outcomes: &Outcomes) {
     let mut runs: HashMap<String, u32> = HashMap::new();
     for run in fleet.upstreams.iter().flat_map(standin::upstream::Handle::runs) {
@@ -115,9 +115,9 @@
             }
         }
     }
-    println!("{} holds, {in_doubt} in doubt", outcomes.len());
+    println!("{} requests, {in_doubt} in doubt", outcomes.len());
     assert!(
         in_doubt <= 2 * CALLER_COUNT,
-        "a crash leaves at most one hold of each caller in doubt"
+        "a crash leaves at most one request of each caller in doubt"
     );
 }
--- a/crates/jayquayd/tests/whole/fleet.rs
+++ b/crates/jayquayd/tests/whole/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet in one process: real sockets, stand-ins for platform, upstreams and fabric.
+//! A small fleet in one process, with real sockets and stand-ins for the platform, the upstreams and the fabric.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 use config::Settings;
 use jayquayd::Handle;
 
-/// Longer than any step of a test takes, unless it hangs.
+/// Longer than any step of a test takes unless it hangs.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long callers wait for an answer.
+/// Deadline for each request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a condition is looked at.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stand-ins and the instances among them.
+/// The stand-ins and the instances connected to them.
 #[derive(Debug)]
 pub struct Fleet {
     pub platform: standin::platform::Handle,
@@ -24,12 +24,12 @@
 }
 
 impl Fleet {
-    /// Starts stand-ins with two upstreams of one service. The document is not written yet.
+    /// Starts the stand-ins, with two upstreams of one service and without a document.
     pub async fn new() -> Self {
         Self::with(|_| {}).await
     }
 
-    /// Starts stand-ins with two upstreams of one service, changed in some way.
+    /// Like [`Self::new`], with the options of the upstreams modified by `change`.
     pub async fn with(change: impl Fn(&mut standin::upstream::Options)) -> Self {
         let platform = standin::platform::start(standin::platform::Options::default())
             .await
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Writes a document that names the upstreams.
+    /// Writes a document with the two upstreams.
     pub fn put_document(&self, revision: u64) {
         let service = self.fabric.services()[0];
         let upstreams = [self.upstreams[0].address(), self.upstreams[1].address()];
@@ -74,7 +74,7 @@
         self.platform.put_document(text);
     }
 
-    /// The settings of an instance. Each secret is named by one letter; the first is the current one.
+    /// The settings of an instance. Each secret is given by one letter; the first is the current one.
     pub fn settings(&self, name: &str, secrets: &str) -> Settings {
         let mut secrets = secrets
             .chars()
@@ -96,17 +96,17 @@
         config::parse_settings(&text).unwrap()
     }
 
-    /// Starts an instance that the fabric does not know yet.
+    /// Starts an instance that receives no packets from the fabric.
     pub async fn start(&self, name: &str, secrets: &str) -> Handle {
         jayquayd::start(&self.settings(name, secrets), None).await.unwrap()
     }
 
-    /// Starts an instance, waits until it is ready, and hands it packets.
+    /// Starts an instance, waits until it is ready, and adds it to the fabric.
     pub async fn join(&mut self, name: &str, secrets: &str) {
         self.join_with(&self.settings(name, secrets)).await;
     }
 
-    /// Starts an instance with these settings, waits until it is ready, and hands it packets.
+    /// Starts an instance with the given settings, waits until it is ready, and adds it to the fabric.
     pub async fn join_with(&mut self, settings: &Settings) {
         let handle = jayquayd::start(settings, None).await.unwrap();
         wait_until(async || readiness(&handle).await == "ready").await;
@@ -114,17 +114,17 @@
         self.update_fabric();
     }
 
-    /// Stops an instance in the planned way, and takes it from the fabric.
+    /// Starts a planned stop of an instance, removes it from the fabric, and waits for its end.
     pub async fn leave(&mut self, index: usize) -> jayquayd::End {
         let mut handle = self.instances.remove(index);
         handle.stop().await;
         self.update_fabric();
         tokio::time::timeout(TEST_TIMEOUT, handle.ended())
             .await
-            .expect("it stops in time")
+            .expect("the instance stops in time")
     }
 
-    /// The index of the service's home, which owns the flows that were opened last.
+    /// The index of the service's home, which owns the most recently opened flows.
     pub async fn home(&self) -> usize {
         for (index, handle) in self.instances.iter().enumerate() {
             let status = handle.status().await.unwrap();
@@ -133,10 +133,10 @@
                 return index;
             }
         }
-        panic!("no instance is home of the service");
+        panic!("no instance is the home of the service");
     }
 
-    /// Ends an instance at once, and takes it from the fabric.
+    /// Ends an instance immediately, and removes it from the fabric.
     pub fn crash(&mut self, index: usize) {
         drop(self.instances.remove(index));
         self.update_fabric();
@@ -155,14 +155,14 @@
             .unwrap()
     }
 
-    /// How often each request ran, the most.
+    /// The highest number of times that any request ran.
     pub fn max_runs(&self) -> u32 {
         let runs = self.upstreams.iter().flat_map(standin::upstream::Handle::runs);
         runs.map(|run| run.runs).max().unwrap_or(0)
     }
 }
 
-/// Sends so many holds, and expects an answer to each.
+/// Sends `count` requests of kind `hold`, and expects an answer to each.
 pub async fn send_holds(client: &Client, count: usize) {
     for number in 0..count {
         let body = format!("room {number}").into_bytes();
@@ -171,7 +171,7 @@
     }
 }
 
-/// The state that `/ready` names, and whether its status code agrees.
+/// The state returned by `/ready`. Checks that the status code agrees with it.
 pub async fn readiness(handle: &Handle) -> String {
     let url = format!("http://{}/ready", handle.addresses().admin);
     let response = reqwest::get(url).await.unwrap();
--- a/crates/jayquayd/tests/whole/limits.rs
+++ b/crates/jayquayd/tests/whole/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of a whole instance, each tested by exceeding it, with packets made by hand.
+//! Limits of a running instance, each tested by exceeding it with hand-made packets.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 use crate::fleet::TEST_TIMEOUT;
 use crate::fleet::wait_until;
 
-/// A flow of which nothing is sent again and nothing is pulled by itself.
+/// A flow without automatic retransmission or pulls.
 struct Flow {
     socket: UdpSocket,
     instance: SocketAddr,
@@ -76,13 +76,13 @@
         self.socket.send_to(&bytes, self.instance).await.unwrap();
     }
 
-    /// Sends a packet, and takes the first reply that is more than a note that the request is known.
+    /// Sends a packet, and returns the first reply other than [`Reply::Accepted`].
     async fn request_reply(&self, packet: &Packet) -> Reply {
         self.send(packet).await;
         let mut buffer = [0; wire::MAX_PACKET_LEN];
         loop {
             let received = tokio::time::timeout(TEST_TIMEOUT, self.socket.recv(&mut buffer)).await;
-            let len = received.expect("a reply comes in time").unwrap();
+            let len = received.expect("a reply arrives in time").unwrap();
             let reply = wire::decode_reply(&buffer[..len]).unwrap();
             if !matches!(reply, Reply::Accepted(_)) {
                 return reply;
@@ -113,7 +113,7 @@
 
 #[tokio::test]
 async fn flows_are_limited() {
-    // One caller's address may have as many ledgers as are free besides, which is half of four.
+    // One caller's address may have as many ledgers as remain free, which is half of four.
     let fleet = fleet(5, 100, |settings| settings.limits.flows = 4).await;
     let flows = [
         Flow::open(&fleet).await,
--- a/crates/jayquayd/tests/whole/main.rs
+++ b/crates/jayquayd/tests/whole/main.rs
@@ -1,4 +1,4 @@
-//! Whole instances over real sockets: the path of a request, readiness, planned stops, secrets and outages.
+//! Complete instances over real sockets: requests, readiness, planned stops, rotation of secrets, and outages.
 
 mod crash;
 mod fleet;
@@ -64,7 +64,7 @@
     for handle in &fleet.instances {
         assert_eq!(readiness(handle).await, "ready");
     }
-    // With the secret that the others hold as well, it meets them.
+    // With the secret of the others among its own, an instance is accepted.
     let accepted = fleet.start("four", "ba").await;
     wait_until(async || readiness(&accepted).await == "ready").await;
 }
@@ -102,7 +102,7 @@
     fleet.join("one", "a").await;
     fleet.join("two", "a").await;
     let client = fleet.open().await;
-    // First all accept the new secret, then all use it, then none accepts the old one.
+    // First all instances accept the new secret, then all use it, then none accepts the old one.
     for (round, secrets) in ["ab", "ba", "b"].iter().enumerate() {
         for name in ["one", "two"] {
             fleet.join(&format!("{name}-{round}"), secrets).await;
--- a/crates/jayquayd/tests/whole/outage.rs
+++ b/crates/jayquayd/tests/whole/outage.rs
@@ -1,4 +1,4 @@
-//! A fleet while the platform misbehaves: what is in force stays so, newcomers learn it, and requests go on.
+//! Platform faults: the document in force is kept, new instances learn it from their peers, and requests are served.
 
 use caller::Client;
 use jayquayd::Handle;
@@ -21,7 +21,7 @@
     }
 }
 
-/// An instance that knows a peer from its settings.
+/// Starts an instance that has a peer in its settings.
 async fn new_instance(fleet: &Fleet) -> Handle {
     let mut settings = fleet.settings("three", "a");
     settings.peers = vec![config::Seed {
@@ -32,7 +32,7 @@
     jayquayd::start(&settings, None).await.unwrap()
 }
 
-/// The revisions that came into force at an instance, in their order.
+/// The revisions that came into force at an instance, in order.
 async fn applied_revisions(handle: &Handle) -> Vec<u64> {
     let url = format!("http://{}/timeline", handle.addresses().admin);
     let lines = reqwest::get(url).await.unwrap().text().await.unwrap();
@@ -57,7 +57,7 @@
     fleet
 }
 
-/// Ends the platform's faults, brings revision 3 into force, and checks that no instance ever stepped down.
+/// Ends the platform's faults, brings revision 3 into force, and checks that no instance ever reverted to an older one.
 async fn recover(fleet: &Fleet, client: &Client) {
     fleet.platform.behave(Behaviour::default()).await;
     fleet.put_document(3);
@@ -73,7 +73,8 @@
     }
 }
 
-/// Lets the platform misbehave like this, while requests go on and a newcomer learns the document from its peers.
+/// Checks that requests are answered and a new instance learns the document from its peers while the platform has the
+/// given fault.
 async fn check_fault(fault: &str) {
     let mut fleet = fleet().await;
     fleet.platform.behave(serde_json::from_str(fault).unwrap()).await;
@@ -99,7 +100,7 @@
     let new_instance = new_instance(&fleet).await;
     fleet.instances.push(new_instance);
     wait_for_revision(&fleet, 2).await;
-    // Only now does the newcomer's own read come back, with revision 1.
+    // Only now does the new instance's own read return, with revision 1.
     fault.stalled = false;
     fleet.platform.behave(fault).await;
     wait_until(async || readiness(&fleet.instances[2]).await == "ready").await;
@@ -141,11 +142,11 @@
 #[tokio::test]
 async fn a_watcher_keeps_polling_through_a_long_outage() {
     let fleet = fleet().await;
-    // Going down cuts the watches that wait; refusals afterwards are counted.
+    // `down` ends pending watches; the refused watches that follow are counted.
     for fault in [r#"{"down": true}"#, r#"{"unavailable": true}"#] {
         fleet.platform.behave(serde_json::from_str(fault).unwrap()).await;
     }
     let before = fleet.platform.counts().watches;
-    // Two watchers whose pauses kept doubling would ask a dozen times in as long as this waits.
+    // Two watchers with unbounded exponential backoff would send about a dozen watches within the time limit.
     wait_until(async || fleet.platform.counts().watches >= before + 20).await;
 }
--- a/crates/jayquayd/tests/whole/startup.rs
+++ b/crates/jayquayd/tests/whole/startup.rs
@@ -1,4 +1,4 @@
-//! Instances that start together, before any of them stands on the platform's list.
+//! Instances that start together, before any of them is on the platform's list.
 
 use standin::platform::Behaviour;
 use units::Millis;
@@ -15,7 +15,7 @@
         ..Behaviour::default()
     };
     fleet.platform.behave(lagging).await;
-    // Each is alone in its zone, so that no watcher finds the others in its zone's list.
+    // Each instance is alone in its zone, so no watcher finds the others in the list of its own zone.
     for (name, zone) in [("one", "zone-a"), ("two", "zone-b"), ("three", "zone-c")] {
         let mut settings = fleet.settings(name, "a");
         settings.zone = zone.parse().unwrap();
