--- a/crates/jayquay/src/demo/judge.rs
+++ b/crates/jayquay/src/demo/judge.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use jayquayd::End;
+use jayquayd::ExitReason;
 use serde::Serialize;
 use standin::upstream::expected_answer;
 use units::Bytes;
@@ -99,7 +99,7 @@
         Invariant::judge(
             "a planned stop ends by itself and leaves nothing in doubt",
             world.replaced,
-            |end| *end == End::Stopped(0),
+            |end| *end == ExitReason::Stopped(0),
         ),
         Invariant::judge(
             "a leaving upstream gets no new work after 3 s",
--- a/crates/jayquay/src/demo/world.rs
+++ b/crates/jayquay/src/demo/world.rs
@@ -11,7 +11,7 @@
 use config::Listen;
 use config::Secrets;
 use config::Settings;
-use jayquayd::End;
+use jayquayd::ExitReason;
 use node::Stage;
 use standin::fabric;
 use standin::platform;
@@ -103,7 +103,7 @@
     instances: Vec<Instance>,
     started: usize,
     /// How the replaced instance ended.
-    pub replaced: Option<End>,
+    pub replaced: Option<ExitReason>,
     /// The upstream that drains.
     pub draining: Option<usize>,
 }
--- a/crates/jayquayd/src/admin.rs
+++ b/crates/jayquayd/src/admin.rs
@@ -144,7 +144,7 @@
     let mut tasks = JoinSet::new();
     loop {
         while tasks.try_join_next().is_some() {}
-        let (tcp, from) = accept::next(&listener, "admin").await;
+        let (tcp, from) = accept::accept_next(&listener, "admin").await;
         let Ok(permit) = Arc::clone(&slots).try_acquire_owned() else {
             if let Some(suppressed) = throttle.allow() {
                 log::warn!("admin: too many connections, refused {from}{suppressed}");
@@ -217,8 +217,8 @@
 
 /// Returns one JSON object per line, oldest first. A client continues from the last sequence number it received.
 async fn timeline(State(context): State<Context>, Query(query): Query<TimelineQuery>) -> Response {
-    let queried = tokio::time::timeout(ENGINE_TIMEOUT, context.input_sender.timeline(query.since)).await;
-    let Ok(Some(page)) = queried else {
+    let result = tokio::time::timeout(ENGINE_TIMEOUT, context.input_sender.timeline(query.since)).await;
+    let Ok(Some(page)) = result else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
     let mut lines = String::new();
--- a/crates/jayquayd/src/daemon.rs
+++ b/crates/jayquayd/src/daemon.rs
@@ -25,8 +25,8 @@
 use crate::callers;
 use crate::clock::Clock;
 use crate::engine::Components;
-use crate::engine::End;
 use crate::engine::Engine;
+use crate::engine::ExitReason;
 use crate::feed::DesiredState;
 use crate::feed::PlatformSync;
 use crate::input::InputQueues;
@@ -70,7 +70,7 @@
     addresses: Addresses,
     incarnation: Incarnation,
     input_sender: InputSender,
-    running: JoinSet<End>,
+    engine_task: JoinSet<ExitReason>,
 }
 
 impl Handle {
@@ -96,10 +96,10 @@
     }
 
     /// Waits for the instance to end.
-    pub async fn ended(&mut self) -> End {
-        match self.running.join_next().await {
-            Some(Ok(end)) => end,
-            Some(Err(_)) | None => End::Abandoned,
+    pub async fn ended(&mut self) -> ExitReason {
+        match self.engine_task.join_next().await {
+            Some(Ok(exit_reason)) => exit_reason,
+            Some(Err(_)) | None => ExitReason::EngineFailed,
         }
     }
 }
@@ -161,21 +161,21 @@
         metrics,
     };
     tasks.spawn(admin::serve(sockets.admin, context));
-    let mut running = JoinSet::new();
-    running.spawn(supervise(engine, tasks));
+    let mut engine_task = JoinSet::new();
+    engine_task.spawn(supervise(engine, tasks));
     Ok(Handle {
         addresses,
         incarnation,
         input_sender,
-        running,
+        engine_task,
     })
 }
 
 /// Runs the engine, then aborts all other tasks.
-async fn supervise(engine: Engine, tasks: JoinSet<()>) -> End {
-    let end = engine.run().await;
+async fn supervise(engine: Engine, tasks: JoinSet<()>) -> ExitReason {
+    let exit_reason = engine.run().await;
     drop(tasks);
-    end
+    exit_reason
 }
 
 fn build_engine(
--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -37,13 +37,13 @@
 
 /// The reason for which the engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ExitReason {
     /// The planned stop completed, with this many requests left in doubt.
     Stopped(u32),
     /// The planned stop exceeded its time limit, with this many requests still in progress.
-    Overdue(usize),
+    StopTimedOut(usize),
     /// All senders of inputs are gone.
-    Abandoned,
+    EngineFailed,
 }
 
 /// The components that execute the node's actions.
@@ -70,11 +70,11 @@
     queues: InputQueues,
     components: Components,
     stop_within: Duration,
-    stop_by: Option<tokio::time::Instant>,
+    stop_deadline: Option<tokio::time::Instant>,
     /// Instances to which frames were lost, reported to the node in the next batch.
     lost_peers: Vec<InstanceName>,
     actions: Vec<Action>,
-    end: Option<End>,
+    exit_reason: Option<ExitReason>,
     in_doubt: u32,
     unusable_packets: gauges::UnusablePacketLog,
 }
@@ -89,17 +89,17 @@
             queues,
             components,
             stop_within,
-            stop_by: None,
+            stop_deadline: None,
             lost_peers: Vec::new(),
             actions: Vec::new(),
-            end: None,
+            exit_reason: None,
             in_doubt: 0,
             unusable_packets: gauges::UnusablePacketLog::default(),
         }
     }
 
     /// Runs until a planned stop completes or exceeds its time limit.
-    pub async fn run(mut self) -> End {
+    pub async fn run(mut self) -> ExitReason {
         let mut inputs = Vec::with_capacity(BATCH_LEN);
         let mut datagrams = Vec::with_capacity(BATCH_LEN);
         let mut ticker = tokio::time::interval(node::MAX_TICK_INTERVAL);
@@ -107,14 +107,14 @@
         let mut gauge_ticker = tokio::time::interval(gauges::UPDATE_INTERVAL);
         gauge_ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let stop_by = self
-                .stop_by
+            let stop_deadline = self
+                .stop_deadline
                 .unwrap_or_else(|| tokio::time::Instant::now() + NO_DEADLINE);
             // `select!` polls the branches in random order, so no queue can starve another one or the ticks.
             tokio::select! {
                 count = self.queues.control.recv_many(&mut inputs, BATCH_LEN) => {
                     if count == 0 {
-                        return End::Abandoned;
+                        return ExitReason::EngineFailed;
                     }
                 }
                 Some(datagram) = self.queues.datagrams.recv() => {
@@ -123,12 +123,12 @@
                 }
                 _ = ticker.tick() => self.handle_event(Event::Tick),
                 _ = gauge_ticker.tick() => self.update_gauges(),
-                () = tokio::time::sleep_until(stop_by) => return End::Overdue(self.node.status(self.clock.now()).requests),
+                () = tokio::time::sleep_until(stop_deadline) => return ExitReason::StopTimedOut(self.node.status(self.clock.now()).requests),
             }
             self.handle_batch(&mut inputs, &mut datagrams);
-            if let Some(end) = self.end {
+            if let Some(exit_reason) = self.exit_reason {
                 self.flush().await;
-                return end;
+                return exit_reason;
             }
         }
     }
@@ -150,7 +150,7 @@
     }
 
     fn handle_batch(&mut self, inputs: &mut Vec<Input>, datagrams: &mut Vec<Datagram>) {
-        let began = Instant::now();
+        let started = Instant::now();
         for name in std::mem::take(&mut self.lost_peers) {
             self.handle_event(Event::SessionLost(name));
         }
@@ -160,12 +160,12 @@
         for datagram in datagrams.drain(..) {
             self.handle_event(Event::Datagram(datagram.from, datagram.bytes));
         }
-        metric::batch_seconds().record(began.elapsed());
+        metric::batch_seconds().record(started.elapsed());
     }
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Event(Event::CallEnded(id, _)) if !self.components.upstreams.ended(id) => {}
+            Input::Event(Event::CallEnded(id, _)) if !self.components.upstreams.complete(id) => {}
             Input::Event(Event::Stop) => self.begin_stop(),
             Input::Event(event) => self.handle_event(event),
             Input::Frame(received) => self.handle_frame(received),
@@ -194,11 +194,11 @@
     }
 
     fn begin_stop(&mut self) {
-        if self.stop_by.is_some() {
+        if self.stop_deadline.is_some() {
             return;
         }
         log::info!("daemon: planned stop started");
-        self.stop_by = Some(tokio::time::Instant::now() + self.stop_within + STOP_GRACE);
+        self.stop_deadline = Some(tokio::time::Instant::now() + self.stop_within + STOP_GRACE);
         self.components.desired.send_modify(|desired| desired.leaving = true);
         self.handle_event(Event::Stop);
     }
@@ -230,7 +230,7 @@
                 .desired
                 .send_modify(|desired| desired.watching = watching),
             Action::Record(record) => self.record_event(record),
-            Action::Stopped => self.end = Some(End::Stopped(self.in_doubt)),
+            Action::Stopped => self.exit_reason = Some(ExitReason::Stopped(self.in_doubt)),
         }
     }
 
@@ -256,19 +256,22 @@
 
     /// Waits, up to a time limit, until the sessions have sent their queued frames.
     async fn flush(&mut self) {
-        let mut open = self.components.sessions.release_all();
-        let ends = async {
-            while !open.is_empty() {
+        let mut open_sessions = self.components.sessions.release_all();
+        let all_ended = async {
+            while !open_sessions.is_empty() {
                 let Some(input) = self.queues.control.recv().await else {
                     return;
                 };
                 if let Input::Session(SessionEvent::Ended { id, .. }) = input {
-                    open.remove(&id);
+                    open_sessions.remove(&id);
                 }
             }
         };
-        if tokio::time::timeout(FLUSH_TIMEOUT, ends).await.is_err() {
-            log::warn!("daemon: {} sessions ended with frames still queued", open.len());
+        if tokio::time::timeout(FLUSH_TIMEOUT, all_ended).await.is_err() {
+            log::warn!(
+                "daemon: {} sessions ended with frames still queued",
+                open_sessions.len()
+            );
         }
     }
 }
--- a/crates/jayquayd/src/feed.rs
+++ b/crates/jayquayd/src/feed.rs
@@ -177,7 +177,7 @@
                 self.desired.changed().await.map_err(|_| Closed)?;
                 continue;
             }
-            let began = Instant::now();
+            let started = Instant::now();
             let result = if watching && has_read {
                 self.client.watch(known, WATCH_TIME).await
             } else {
@@ -194,7 +194,7 @@
                 // While there is no document, only watchers keep reading often.
                 delay = match (is_newer, watching) {
                     (true, _) => Duration::ZERO,
-                    (false, true) => jittered(MIN_READ_INTERVAL.saturating_sub(began.elapsed())),
+                    (false, true) => jittered(MIN_READ_INTERVAL.saturating_sub(started.elapsed())),
                     (false, false) => no_document_backoff.next_delay(),
                 };
             }
--- a/crates/jayquayd/src/lib.rs
+++ b/crates/jayquayd/src/lib.rs
@@ -27,4 +27,4 @@
 pub use daemon::Handle;
 pub use daemon::StartError;
 pub use daemon::start;
-pub use engine::End;
+pub use engine::ExitReason;
--- a/crates/jayquayd/src/main.rs
+++ b/crates/jayquayd/src/main.rs
@@ -18,7 +18,7 @@
 use env_logger::Env;
 use env_logger::Target;
 use jayquayd::Addresses;
-use jayquayd::End;
+use jayquayd::ExitReason;
 use jayquayd::Handle;
 use jayquayd::StartError;
 use jayquayd::forward;
@@ -224,12 +224,12 @@
     let mut handle = jayquayd::start(settings, Some(metrics)).await?;
     print_addresses(handle.addresses())?;
     log::info!("daemon: {} ({}) started", settings.name, handle.incarnation());
-    let end = tokio::select! {
-        end = handle.ended() => end,
+    let exit_reason = tokio::select! {
+        exit_reason = handle.ended() => exit_reason,
         _ = terminate.recv() => stop(&mut handle).await,
         _ = interrupt.recv() => stop(&mut handle).await,
     };
-    Ok(exit_code(end))
+    Ok(exit_code(exit_reason))
 }
 
 fn install_recorder() -> Result<PrometheusHandle, RunError> {
@@ -257,26 +257,26 @@
     stdout.flush()
 }
 
-async fn stop(handle: &mut Handle) -> End {
+async fn stop(handle: &mut Handle) -> ExitReason {
     handle.stop().await;
     handle.ended().await
 }
 
-fn exit_code(end: End) -> ExitCode {
-    match end {
-        End::Stopped(0) => {
+fn exit_code(exit_reason: ExitReason) -> ExitCode {
+    match exit_reason {
+        ExitReason::Stopped(0) => {
             log::info!("daemon: stopped");
             ExitCode::SUCCESS
         }
-        End::Stopped(left) => {
-            log::error!("daemon: stopped, {left} requests left in doubt");
+        ExitReason::Stopped(remaining) => {
+            log::error!("daemon: stopped, {remaining} requests left in doubt");
             ExitCode::from(EXIT_FAILURE)
         }
-        End::Overdue(left) => {
-            log::error!("daemon: the planned stop exceeded its time limit, {left} requests left in progress");
+        ExitReason::StopTimedOut(remaining) => {
+            log::error!("daemon: the planned stop exceeded its time limit, {remaining} requests left in progress");
             ExitCode::from(EXIT_FAILURE)
         }
-        End::Abandoned => {
+        ExitReason::EngineFailed => {
             log::error!("daemon: the engine ended unexpectedly");
             ExitCode::from(EXIT_FAILURE)
         }
--- a/crates/jayquayd/src/poll.rs
+++ b/crates/jayquayd/src/poll.rs
@@ -47,9 +47,9 @@
 }
 
 /// Fetches the report of the upstream at `address`.
-pub(crate) async fn report(client: &Client, address: SocketAddr) -> Result<UpstreamReport, PollError> {
-    let health = get::<Health>(client, address, "health");
-    let load = get::<Load>(client, address, "load");
+pub(crate) async fn fetch_report(client: &Client, address: SocketAddr) -> Result<UpstreamReport, PollError> {
+    let health = get_json::<Health>(client, address, "health");
+    let load = get_json::<Load>(client, address, "load");
     let (health, load) = tokio::try_join!(health, load)?;
     Ok(UpstreamReport {
         incarnation: health.incarnation,
@@ -60,18 +60,18 @@
     })
 }
 
-async fn get<T: DeserializeOwned>(client: &Client, address: SocketAddr, path: &str) -> Result<T, PollError> {
+async fn get_json<T: DeserializeOwned>(client: &Client, address: SocketAddr, path: &str) -> Result<T, PollError> {
     let url = format!("http://{address}/{path}");
     let response = client.get(url).send().await.map_err(|_| PollError)?;
     if response.status() != StatusCode::OK {
         return Err(PollError);
     }
-    let bytes = body(response, MAX_REPORT_LEN).await.ok_or(PollError)?;
+    let bytes = read_body(response, MAX_REPORT_LEN).await.ok_or(PollError)?;
     serde_json::from_slice(&bytes).map_err(|_| PollError)
 }
 
 /// Reads a body. Returns `None` if it is truncated or longer than `max_len`.
-async fn body(mut response: Response, max_len: usize) -> Option<Vec<u8>> {
+async fn read_body(mut response: Response, max_len: usize) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     while let Some(chunk) = response.chunk().await.ok()? {
         if bytes.len() + chunk.len() > max_len {
--- a/crates/jayquayd/src/sessions.rs
+++ b/crates/jayquayd/src/sessions.rs
@@ -187,7 +187,7 @@
         }
         self.failures.remove(&peer.name);
         let peer_sessions = self.peers.entry(peer.name.clone()).or_default();
-        let newest = peer_sessions.newest();
+        let newest = peer_sessions.newest_incarnation();
         if newest > Some(peer.incarnation) {
             metric::sessions_failed("old_life").increment(1);
             return None;
@@ -203,7 +203,7 @@
     fn on_authenticated(&mut self, id: SessionId, peer: Peer) -> Option<InstanceName> {
         self.failures.remove(&peer.name);
         let peer_sessions = self.peers.get_mut(&peer.name)?;
-        if peer_sessions.newest() > Some(peer.incarnation) {
+        if peer_sessions.newest_incarnation() > Some(peer.incarnation) {
             peer_sessions.remove(id);
             metric::sessions_failed("old_life").increment(1);
             return Some(peer.name);
--- a/crates/jayquayd/src/sessions/listener.rs
+++ b/crates/jayquayd/src/sessions/listener.rs
@@ -84,7 +84,7 @@
     let mut tasks = JoinSet::new();
     loop {
         while tasks.try_join_next().is_some() {}
-        let (tcp, from) = accept::next(&listener, "sessions").await;
+        let (tcp, from) = accept::accept_next(&listener, "sessions").await;
         let Some(slot) = slots.acquire(from.ip()) else {
             metric::sessions_failed("busy").increment(1);
             continue;
@@ -124,10 +124,10 @@
     if context.input_sender.send(Input::Session(accepted)).await.is_err() || admitted.await.is_err() {
         return;
     }
-    let end = session::run(connection.ws, Side::Acceptor, &peer, &mut queue, &context.input_sender).await;
+    let reason = session::run(connection.ws, Side::Acceptor, &peer, &mut queue, &context.input_sender).await;
     let ended = SessionEvent::Ended {
         id,
-        lost: session::record_end(&peer, end, &mut queue),
+        lost: session::record_end(&peer, reason, &mut queue),
         name: peer.name,
     };
     let _closed = context.input_sender.send(Input::Session(ended)).await;
--- a/crates/jayquayd/src/sessions/outgoing.rs
+++ b/crates/jayquayd/src/sessions/outgoing.rs
@@ -92,7 +92,7 @@
         if context.input_sender.send(Input::Session(event)).await.is_err() {
             return true;
         }
-        let end = session::run(connection.ws, Side::Initiator, &peer, queue, &context.input_sender).await;
-        session::record_end(&peer, end, queue)
+        let reason = session::run(connection.ws, Side::Initiator, &peer, queue, &context.input_sender).await;
+        session::record_end(&peer, reason, queue)
     }
 }
--- a/crates/jayquayd/src/sessions/peer_sessions.rs
+++ b/crates/jayquayd/src/sessions/peer_sessions.rs
@@ -27,7 +27,7 @@
 }
 
 impl PeerSessions {
-    pub(super) fn newest(&self) -> Option<Incarnation> {
+    pub(super) fn newest_incarnation(&self) -> Option<Incarnation> {
         let sessions = [&self.active, &self.secondary];
         sessions
             .into_iter()
--- a/crates/jayquayd/src/sessions/session.rs
+++ b/crates/jayquayd/src/sessions/session.rs
@@ -56,7 +56,7 @@
 
 /// The reason for which a session ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum EndReason {
     /// This side closed the session after it was idle.
     Idle,
     /// The peer closed the session after it was idle.
@@ -71,7 +71,7 @@
     Replaced,
 }
 
-impl End {
+impl EndReason {
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::Idle | Self::ClosedByPeer => "idle",
@@ -147,7 +147,7 @@
     peer: &Peer,
     queue: &mut mpsc::Receiver<QueuedFrame>,
     input_sender: &InputSender,
-) -> End
+) -> EndReason
 where
     W: Stream<Item = tungstenite::Result<Message>> + Sink<Message, Error = tungstenite::Error>,
 {
@@ -158,31 +158,31 @@
     tokio::pin!(reading);
     // Messages that have already arrived take precedence over an expired timer, for example after the process was
     // suspended.
-    let end = tokio::select! {
+    let reason = tokio::select! {
         biased;
-        end = &mut reading => end,
-        end = writing => end,
+        reason = &mut reading => reason,
+        reason = writing => reason,
     };
-    if end == End::Idle {
+    if reason == EndReason::Idle {
         // Still receives frames that the peer sent before it saw the close.
         let _late = tokio::time::timeout(CLOSE_TIMEOUT, reading).await;
     }
-    end
+    reason
 }
 
-async fn read<R>(stream: &mut R, peer: &Peer, input_sender: &InputSender, activity: &Activity) -> End
+async fn read<R>(stream: &mut R, peer: &Peer, input_sender: &InputSender, activity: &Activity) -> EndReason
 where
     R: Stream<Item = tungstenite::Result<Message>> + Unpin,
 {
     loop {
         let Some(Ok(message)) = stream.next().await else {
-            return End::Closed;
+            return EndReason::Closed;
         };
         activity.note_heard();
         let bytes = match message {
             Message::Binary(bytes) => bytes,
-            Message::Close(Some(frame)) if frame.code == CloseCode::Normal => return End::ClosedByPeer,
-            Message::Close(_) => return End::Closed,
+            Message::Close(Some(frame)) if frame.code == CloseCode::Normal => return EndReason::ClosedByPeer,
+            Message::Close(_) => return EndReason::Closed,
             _ => continue,
         };
         activity.note_received();
@@ -190,7 +190,7 @@
         metric::frame_bytes_received().increment(bytes.len() as u64);
         // Reserving bytes before decoding the frame also bounds the memory of queued frames.
         let Ok(permit) = input_sender.reserve_bytes(bytes.len()).await else {
-            return End::Replaced;
+            return EndReason::Replaced;
         };
         let Some((stamp, frame)) = decode(&bytes) else {
             metric::frames_unread().increment(1);
@@ -203,12 +203,12 @@
             permit,
         };
         if input_sender.send(Input::Frame(received)).await.is_err() {
-            return End::Replaced;
+            return EndReason::Replaced;
         }
     }
 }
 
-async fn write<W>(sink: &mut W, side: Side, queue: &mut mpsc::Receiver<QueuedFrame>, activity: &Activity) -> End
+async fn write<W>(sink: &mut W, side: Side, queue: &mut mpsc::Receiver<QueuedFrame>, activity: &Activity) -> EndReason
 where
     W: Sink<Message, Error = tungstenite::Error> + Unpin,
 {
@@ -221,12 +221,12 @@
             _ = check.tick() => None,
         };
         let sent = match count {
-            Some(0) => return End::Replaced,
+            Some(0) => return EndReason::Replaced,
             Some(_) => {
                 activity.note_sent();
                 send_all(sink, &mut batch).await
             }
-            None if activity.silent_for() > PEER_TIMEOUT => return End::Silent,
+            None if activity.silent_for() > PEER_TIMEOUT => return EndReason::Silent,
             None if activity.silent_for() > PING_AFTER && !has_pinged => {
                 has_pinged = true;
                 flush_one(sink, Message::Ping(Bytes::new())).await
@@ -237,20 +237,20 @@
                     reason: "idle".into(),
                 };
                 let _closing = flush_one(sink, Message::Close(Some(close))).await;
-                return End::Idle;
+                return EndReason::Idle;
             }
             None => {
                 has_pinged &= activity.silent_for() > PING_AFTER;
                 Ok(())
             }
         };
-        if let Err(end) = sent {
-            return end;
+        if let Err(reason) = sent {
+            return reason;
         }
     }
 }
 
-async fn send_all<W>(sink: &mut W, batch: &mut Vec<QueuedFrame>) -> Result<(), End>
+async fn send_all<W>(sink: &mut W, batch: &mut Vec<QueuedFrame>) -> Result<(), EndReason>
 where
     W: Sink<Message, Error = tungstenite::Error> + Unpin,
 {
@@ -275,18 +275,18 @@
     with_flush_timeout(sending).await
 }
 
-async fn flush_one<W>(sink: &mut W, message: Message) -> Result<(), End>
+async fn flush_one<W>(sink: &mut W, message: Message) -> Result<(), EndReason>
 where
     W: Sink<Message, Error = tungstenite::Error> + Unpin,
 {
     with_flush_timeout(sink.send(message)).await
 }
 
-async fn with_flush_timeout(sending: impl Future<Output = tungstenite::Result<()>>) -> Result<(), End> {
+async fn with_flush_timeout(sending: impl Future<Output = tungstenite::Result<()>>) -> Result<(), EndReason> {
     match tokio::time::timeout(FLUSH_TIMEOUT, sending).await {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(_)) => Err(End::Closed),
-        Err(_) => Err(End::Stalled),
+        Ok(Err(_)) => Err(EndReason::Closed),
+        Err(_) => Err(EndReason::Stalled),
     }
 }
 
@@ -303,10 +303,10 @@
 }
 
 /// Counts and logs the end of a session. Returns whether frames may have been lost.
-pub(super) fn record_end(peer: &Peer, end: End, queue: &mut mpsc::Receiver<QueuedFrame>) -> bool {
-    metric::sessions_ended(end.as_str()).increment(1);
-    log::debug!("sessions: session with {} ended: {}", peer.name, end.as_str());
+pub(super) fn record_end(peer: &Peer, reason: EndReason, queue: &mut mpsc::Receiver<QueuedFrame>) -> bool {
+    metric::sessions_ended(reason.as_str()).increment(1);
+    log::debug!("sessions: session with {} ended: {}", peer.name, reason.as_str());
     queue.close();
     let is_empty = queue.try_recv().is_err();
-    !(end.is_graceful() && is_empty)
+    !(reason.is_graceful() && is_empty)
 }
--- a/crates/jayquayd/src/upstreams.rs
+++ b/crates/jayquayd/src/upstreams.rs
@@ -107,7 +107,7 @@
     }
 
     /// Removes a completed call. Returns whether its result is still expected, that is, whether it was not cancelled.
-    pub fn ended(&mut self, id: CallId) -> bool {
+    pub fn complete(&mut self, id: CallId) -> bool {
         let is_expected = self.in_flight.remove(&id).is_some();
         metric::calls_running().set(self.in_flight.len() as f64);
         is_expected
@@ -119,7 +119,7 @@
         let client = self.poll_client.clone();
         let input_sender = self.input_sender.clone();
         self.tasks.spawn(async move {
-            let report = poll::report(&client, address).await;
+            let report = poll::fetch_report(&client, address).await;
             metric::polls(if report.is_ok() { "ok" } else { "failed" }).increment(1);
             let _closed = input_sender.send_event(Event::PollEnded(name, report)).await;
         });
@@ -150,7 +150,7 @@
     pub async fn call(&self, call: &Call) -> CallResult {
         let started = Instant::now();
         let result = self.call_within(call, started + call.timeout).await;
-        metric::calls(label(&result)).increment(1);
+        metric::calls(result_label(&result)).increment(1);
         metric::call_seconds().record(started.elapsed());
         result
     }
@@ -168,7 +168,7 @@
 
     async fn exchange(&self, call: &Call, stream: TcpStream) -> CallResult {
         let call_headers = CallHeaders::new(call, &self.name, self.incarnation);
-        let Ok(request) = request(call, &call_headers) else {
+        let Ok(request) = build_request(call, &call_headers) else {
             return CallResult::Failed;
         };
         let (mut sender, connection) = match http1::handshake(TokioIo::new(stream)).await {
@@ -200,7 +200,7 @@
     Ok(stream)
 }
 
-fn request(call: &Call, call_headers: &CallHeaders) -> http::Result<Request<Full<Bytes>>> {
+fn build_request(call: &Call, call_headers: &CallHeaders) -> http::Result<Request<Full<Bytes>>> {
     Request::post("/run")
         .header(HOST, call.address.to_string())
         .header(REQUEST_HEADER, &call_headers.request)
@@ -239,7 +239,7 @@
 
     /// Whether the response names another request or call. A response without these headers does not.
     fn is_contradicted_by(&self, response: &Response<Incoming>) -> bool {
-        let differs = |name, own: &str| header(response, name).is_some_and(|value| value != own);
+        let differs = |name, expected: &str| header(response, name).is_some_and(|value| value != expected);
         differs(REQUEST_HEADER, &self.request) || differs(CALL_HEADER, &self.call)
     }
 }
@@ -276,7 +276,7 @@
     }
 }
 
-fn label(result: &CallResult) -> &'static str {
+fn result_label(result: &CallResult) -> &'static str {
     match result {
         CallResult::Answered(_) => "answered",
         CallResult::Shed => "shed",
--- a/crates/jayquayd/tests/whole/fleet.rs
+++ b/crates/jayquayd/tests/whole/fleet.rs
@@ -115,7 +115,7 @@
     }
 
     /// Starts a planned stop of an instance, removes it from the fabric, and waits for its end.
-    pub async fn leave(&mut self, index: usize) -> jayquayd::End {
+    pub async fn leave(&mut self, index: usize) -> jayquayd::ExitReason {
         let mut handle = self.instances.remove(index);
         handle.stop().await;
         self.update_fabric();
--- a/crates/jayquayd/tests/whole/main.rs
+++ b/crates/jayquayd/tests/whole/main.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-use jayquayd::End;
+use jayquayd::ExitReason;
 use jayquayd::summary::Summary;
 
 use crate::fleet::Fleet;
@@ -48,7 +48,7 @@
     fleet.platform.behave(down).await;
     wait_until(async || readiness(&one).await == "cut-off").await;
     one.stop().await;
-    assert_eq!(one.ended().await, End::Stopped(0));
+    assert_eq!(one.ended().await, ExitReason::Stopped(0));
     assert!(one.status().await.is_none());
 }
 
@@ -86,7 +86,7 @@
     let replacing = async {
         for name in ["four", "five", "six"] {
             fleet.join(name, "a").await;
-            assert_eq!(fleet.leave(0).await, End::Stopped(0));
+            assert_eq!(fleet.leave(0).await, ExitReason::Stopped(0));
         }
         replaced.store(true, Ordering::Relaxed);
     };
@@ -107,7 +107,7 @@
         for name in ["one", "two"] {
             fleet.join(&format!("{name}-{round}"), secrets).await;
             send_holds(&client, 10).await;
-            assert_eq!(fleet.leave(0).await, End::Stopped(0));
+            assert_eq!(fleet.leave(0).await, ExitReason::Stopped(0));
             send_holds(&client, 10).await;
         }
     }
