--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -42,7 +42,7 @@
     Stopped(u32),
     /// The planned stop exceeded its time limit, with this many requests still in progress.
     StopTimedOut(usize),
-    /// All senders of inputs are gone.
+    /// The engine task panicked, or all senders of inputs are gone.
     EngineFailed,
 }
 
--- a/crates/jayquayd/src/main.rs
+++ b/crates/jayquayd/src/main.rs
@@ -159,7 +159,7 @@
     let _ignored = writeln!(io::stderr(), "{text}");
 }
 
-/// Initializes the logger without module paths, since each line begins with the name of its part.
+/// Initialises the logger without module paths, since each line begins with the name of its part.
 fn init_log(target: Target) {
     let env = Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
--- a/crates/jayquayd/src/upstreams.rs
+++ b/crates/jayquayd/src/upstreams.rs
@@ -70,7 +70,7 @@
 }
 
 impl Upstreams {
-    /// Creates a client whose call IDs begin with the instance's name and incarnation.
+    /// Prepares for calls whose IDs begin with the instance's name and incarnation.
     pub fn new(name: InstanceName, incarnation: Incarnation, input_sender: InputSender) -> reqwest::Result<Self> {
         Ok(Self {
             call_client: CallClient::new(name, incarnation),
