--- a/crates/jayquayd/src/bucket.rs
+++ b/crates/jayquayd/src/bucket.rs
@@ -1,40 +1,40 @@
-//! Token buckets: how often something may happen, per source and in all, in bounded memory.
+//! Token buckets for rate limits, in total and per source, in bounded memory.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use units::Time;
 
-/// How often something may happen.
+/// A rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rate {
-    /// How often per second, in the long run.
+    /// Sustained number of events per second.
     pub per_second: u32,
-    /// How often at once.
+    /// Maximum number of events at once.
     pub burst: u32,
 }
 
-/// One token bucket.
+/// A token bucket.
 #[derive(Debug, Clone, Copy)]
 pub struct Bucket {
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Time) -> Self {
         Self {
             tokens: rate.burst.into(),
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes a token if there is one, and tells whether there was.
-    pub fn take(&mut self, rate: Rate, now: Time) -> bool {
-        let gained = now.since(self.filled).as_secs_f64() * f64::from(rate.per_second);
-        self.tokens = (self.tokens + gained).min(rate.burst.into());
-        self.filled = now;
+    /// Takes a token if one is available. Returns whether it was.
+    pub fn try_take(&mut self, rate: Rate, now: Time) -> bool {
+        let refill = now.since(self.refilled_at).as_secs_f64() * f64::from(rate.per_second);
+        self.tokens = (self.tokens + refill).min(rate.burst.into());
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             return false;
         }
@@ -43,51 +43,51 @@
     }
 }
 
-/// A bucket per source, for at most so many sources.
+/// One token bucket per source, for at most `capacity` sources.
 ///
-/// Sources are held in two generations. When the younger one is half of the capacity, the older one is let go, so
-/// that each step takes constant time. A source that is let go starts again with a full bucket.
+/// Sources are kept in two generations. When the young generation reaches half of the capacity, it replaces the old
+/// one, so that each operation takes constant time. An evicted source starts again with a full bucket.
 #[derive(Debug)]
-pub struct Table {
+pub struct SourceBuckets {
     rate: Rate,
     capacity: usize,
-    young: HashMap<SocketAddr, Bucket>,
-    old: HashMap<SocketAddr, Bucket>,
+    young_generation: HashMap<SocketAddr, Bucket>,
+    old_generation: HashMap<SocketAddr, Bucket>,
 }
 
-impl Table {
-    /// An empty table.
+impl SourceBuckets {
+    /// Creates an empty table.
     pub fn new(rate: Rate, capacity: usize) -> Self {
         Self {
             rate,
             capacity,
-            young: HashMap::new(),
-            old: HashMap::new(),
+            young_generation: HashMap::new(),
+            old_generation: HashMap::new(),
         }
     }
 
-    /// Takes a token of `source` if it has one, and tells whether it had.
-    pub fn take(&mut self, source: SocketAddr, now: Time) -> bool {
+    /// Takes a token from the bucket of `source` if one is available. Returns whether it was.
+    pub fn try_take(&mut self, source: SocketAddr, now: Time) -> bool {
         let rate = self.rate;
-        if let Some(bucket) = self.young.get_mut(&source) {
-            return bucket.take(rate, now);
+        if let Some(bucket) = self.young_generation.get_mut(&source) {
+            return bucket.try_take(rate, now);
         }
-        if self.young.len() >= self.capacity / 2 {
-            self.old = std::mem::take(&mut self.young);
+        if self.young_generation.len() >= self.capacity / 2 {
+            self.old_generation = std::mem::take(&mut self.young_generation);
         }
-        let bucket = self.old.remove(&source);
+        let bucket = self.old_generation.remove(&source);
         let mut bucket = bucket.unwrap_or_else(|| Bucket::new(rate, now));
-        let taken = bucket.take(rate, now);
-        self.young.insert(source, bucket);
-        taken
+        let is_taken = bucket.try_take(rate, now);
+        self.young_generation.insert(source, bucket);
+        is_taken
     }
 
-    /// How many sources are held.
+    /// Number of sources tracked.
     pub fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.young_generation.len() + self.old_generation.len()
     }
 
-    /// Whether no source is held.
+    /// Whether no source is tracked.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/jayquayd/src/lib.rs
+++ b/crates/jayquayd/src/lib.rs
@@ -1,17 +1,17 @@
-//! The daemon around a node: it owns the sockets, the sessions, the calls and the clock, and decides nothing about
-//! requests. Everything that the node must judge reaches it as an event, and what it wants done is carried out here.
+//! The daemon around a [`node::Node`]: it owns the sockets, sessions, upstream calls and the clock. All decisions about
+//! requests are made by the node, which receives events and returns actions that are executed here.
 
 pub mod admin;
 pub mod bucket;
 pub mod callers;
-pub mod change;
 pub mod clock;
 pub mod daemon;
 pub mod engine;
 pub mod feed;
 pub mod forward;
-pub mod intake;
+pub mod input;
 pub mod metric;
+pub mod session_event;
 pub mod sessions;
 pub mod summary;
 pub mod timeline;
@@ -27,4 +27,4 @@
 pub use daemon::Handle;
 pub use daemon::StartError;
 pub use daemon::start;
-pub use engine::End;
+pub use engine::ExitReason;
--- a/crates/jayquayd/src/main.rs
+++ b/crates/jayquayd/src/main.rs
@@ -1,6 +1,6 @@
-//! `jayquayd`: an entry instance as a process.
+//! `jayquayd`: runs an instance as a process.
 //!
-//! It prints one line of JSON with its addresses once it listens, and ends by itself after SIGTERM or SIGINT.
+//! Prints its addresses as one line of JSON once it listens, and performs a planned stop on SIGTERM or SIGINT.
 
 use std::fmt;
 use std::fs;
@@ -18,7 +18,7 @@
 use env_logger::Env;
 use env_logger::Target;
 use jayquayd::Addresses;
-use jayquayd::End;
+use jayquayd::ExitReason;
 use jayquayd::Handle;
 use jayquayd::StartError;
 use jayquayd::forward;
@@ -34,41 +34,41 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// Something failed while the process ran.
-const FAILED: u8 = 1;
-/// The command line or the settings are wrong.
-const USAGE: u8 = 2;
+/// Exit code for a failure at run time.
+const EXIT_FAILURE: u8 = 1;
+/// Exit code for an invalid command line or invalid settings.
+const EXIT_USAGE: u8 = 2;
 
-/// The buckets of histograms, in seconds.
-const SECONDS: &[f64] = &[
+/// Upper bounds of the histogram buckets, in seconds.
+const HISTOGRAM_BUCKETS: &[f64] = &[
     0.0001, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
-/// How often the recorder tidies its histograms.
-const UPKEEP_TIME: Duration = Duration::from_secs(5);
+/// Interval of the metrics recorder's upkeep, which drains its histograms.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs an entry instance.
+/// Runs an instance.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version, footer("Example: jayquayd --settings instance.yaml"))]
 struct Options {
     /// The instance's settings, a YAML file
     #[bpaf(argument("FILE"))]
     settings: PathBuf,
-    /// Forward flows without reading them: the settings are those of the flow mode
+    /// Forward flows without reading their contents, with the settings of the flow mode
     flows: bool,
-    /// Check the settings and end
+    /// Check the settings and exit
     check: bool,
 }
 
-/// Why the process could not run.
+/// An error that prevents the process from running.
 #[derive(Debug)]
 enum RunError {
     /// The metrics recorder could not be installed.
     Metrics(BuildError),
-    /// Signals could not be caught, or the addresses not be printed.
+    /// A signal handler could not be installed, or the addresses could not be printed.
     Io(io::Error),
-    /// The daemon did not start.
+    /// The daemon could not be started.
     Start(StartError),
-    /// The flow mode did not start.
+    /// The flow mode failed.
     Forward(forward::RunError),
 }
 
@@ -110,7 +110,7 @@
 fn main() -> ExitCode {
     let options = match options().run_inner(Args::current_args()) {
         Ok(options) => options,
-        Err(failure) => return explain(failure),
+        Err(failure) => return report_parse_failure(failure),
     };
     if options.flows {
         let queue = Queue::start(io::stdout());
@@ -123,8 +123,8 @@
     let settings = match read_settings(&options.settings) {
         Ok(settings) => settings,
         Err(text) => {
-            complain(&text);
-            return ExitCode::from(USAGE);
+            print_error(&text);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if options.check {
@@ -133,33 +133,33 @@
     match run(&settings) {
         Ok(code) => code,
         Err(error) => {
-            complain(&error.to_string());
-            ExitCode::from(FAILED)
+            print_error(&error.to_string());
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-/// Prints the help that the arguments ask for, or says what is wrong with them.
-fn explain(failure: ParseFailure) -> ExitCode {
+/// Prints the requested help or completion to stdout, or the parse error to stderr.
+fn report_parse_failure(failure: ParseFailure) -> ExitCode {
     let text = match failure {
         ParseFailure::Stdout(help, full) => help.monochrome(full),
         ParseFailure::Completion(completion) => completion,
         ParseFailure::Stderr(message) => {
-            complain(&message.monochrome(true));
-            return ExitCode::from(USAGE);
+            print_error(&message.monochrome(true));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
-    // A reader that has gone, as `head` does, is no failure.
-    let _unread = writeln!(io::stdout(), "{text}");
+    // A closed pipe, as with `head`, is not a failure.
+    let _ignored = writeln!(io::stdout(), "{text}");
     ExitCode::SUCCESS
 }
 
-/// Writes a line to stderr. Where nobody reads it, the exit code still tells.
-fn complain(text: &str) {
-    let _unread = writeln!(io::stderr(), "{text}");
+/// Writes a line to stderr. A write error is ignored because the exit code reports the failure as well.
+fn print_error(text: &str) {
+    let _ignored = writeln!(io::stderr(), "{text}");
 }
 
-/// Each line begins with the name of its part, so that the module's path is left out.
+/// Initialises the logger without module paths, since each line begins with the name of its part.
 fn init_log(target: Target) {
     let env = Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
@@ -178,21 +178,21 @@
     })
 }
 
-/// Runs the flow mode. One thread does all: its work is a few microseconds a packet, and a second thread would only
-/// add switches between the two.
+/// Runs the flow mode on a single thread: a packet takes a few microseconds, and a second thread would only add context
+/// switches.
 fn forward(options: &Options) -> ExitCode {
     let text = match fs::read_to_string(&options.settings) {
         Ok(text) => text,
         Err(error) => {
-            complain(&format!("{}: {error}", options.settings.display()));
-            return ExitCode::from(USAGE);
+            print_error(&format!("{}: {error}", options.settings.display()));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     let settings = match forward::settings::parse(&text) {
         Ok(settings) => settings,
         Err(error) => {
-            complain(&format!("{}: {error}", options.settings.display()));
-            return ExitCode::from(USAGE);
+            print_error(&format!("{}: {error}", options.settings.display()));
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     if options.check {
@@ -201,8 +201,8 @@
     match forward_until_stopped(&settings, &options.settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            complain(&error.to_string());
-            ExitCode::from(FAILED)
+            print_error(&error.to_string());
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
@@ -217,31 +217,34 @@
 #[tokio::main]
 async fn run(settings: &Settings) -> Result<ExitCode, RunError> {
     let metrics = install_recorder()?;
-    // Signals are caught from before the first line on, so that whoever reads it may stop the process at once.
+    // Signal handlers are installed before the addresses are printed, so that a reader of that line may stop the
+    // process at once.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut handle = jayquayd::start(settings, Some(metrics)).await?;
     print_addresses(handle.addresses())?;
     log::info!("daemon: {} ({}) started", settings.name, handle.incarnation());
-    let end = tokio::select! {
-        end = handle.ended() => end,
+    let exit_reason = tokio::select! {
+        exit_reason = handle.ended() => exit_reason,
         _ = terminate.recv() => stop(&mut handle).await,
         _ = interrupt.recv() => stop(&mut handle).await,
     };
-    Ok(report(end))
+    Ok(exit_code(exit_reason))
 }
 
 fn install_recorder() -> Result<PrometheusHandle, RunError> {
-    let handle = PrometheusBuilder::new().set_buckets(SECONDS)?.install_recorder()?;
+    let handle = PrometheusBuilder::new()
+        .set_buckets(HISTOGRAM_BUCKETS)?
+        .install_recorder()?;
     metric::describe();
     forward::metric::describe();
     adapter::metric::describe();
-    let kept = handle.clone();
+    let upkeep_handle = handle.clone();
     tokio::spawn(async move {
-        let mut upkeep = tokio::time::interval(UPKEEP_TIME);
+        let mut upkeep = tokio::time::interval(UPKEEP_INTERVAL);
         loop {
             upkeep.tick().await;
-            kept.run_upkeep();
+            upkeep_handle.run_upkeep();
         }
     });
     Ok(handle)
@@ -254,28 +257,28 @@
     stdout.flush()
 }
 
-async fn stop(handle: &mut Handle) -> End {
+async fn stop(handle: &mut Handle) -> ExitReason {
     handle.stop().await;
     handle.ended().await
 }
 
-fn report(end: End) -> ExitCode {
-    match end {
-        End::Stopped(0) => {
+fn exit_code(exit_reason: ExitReason) -> ExitCode {
+    match exit_reason {
+        ExitReason::Stopped(0) => {
             log::info!("daemon: stopped");
             ExitCode::SUCCESS
         }
-        End::Stopped(left) => {
-            log::error!("daemon: stopped, {left} requests left in doubt");
-            ExitCode::from(FAILED)
+        ExitReason::Stopped(remaining) => {
+            log::error!("daemon: stopped, {remaining} requests left in doubt");
+            ExitCode::from(EXIT_FAILURE)
         }
-        End::Overdue(left) => {
-            log::error!("daemon: the planned stop did not end within its bound, {left} requests left in progress");
-            ExitCode::from(FAILED)
+        ExitReason::StopTimedOut(remaining) => {
+            log::error!("daemon: the planned stop exceeded its time limit, {remaining} requests left in progress");
+            ExitCode::from(EXIT_FAILURE)
         }
-        End::Abandoned => {
-            log::error!("daemon: the engine ended by itself");
-            ExitCode::from(FAILED)
+        ExitReason::EngineFailed => {
+            log::error!("daemon: the engine ended unexpectedly");
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/crates/jayquayd/src/summary.rs
+++ b/crates/jayquayd/src/summary.rs
@@ -1,8 +1,8 @@
-//! A small summary of an availability zone, kept at the platform for those who can reach no instance.
+//! A small summary of an availability zone, stored at the platform for clients that cannot reach any instance.
 //!
-//! The first live instance of the zone by name writes it, when it has changed and not too often. Two that differ on who
-//! that is write over the version that they know, so that neither undoes what it has not seen: nothing is decided by a
-//! summary.
+//! The live instance of the zone with the lowest name writes it when it has changed, at a limited rate. Each write
+//! names the version that it replaces, so that two instances that disagree on which of them is the writer do not
+//! overwrite a version they have not seen. No decision depends on a summary.
 
 mod content;
 mod keeper;
@@ -11,6 +11,6 @@
 pub use self::content::Member;
 pub use self::content::Summary;
 pub use self::content::Upstream;
-pub use self::keeper::Keeper;
+pub use self::keeper::SummaryWriter;
 pub use self::keeper::WRITE_EVERY;
-pub use self::keeper::keep;
+pub use self::keeper::run;
