--- a/crates/apply/src/refusal.rs
+++ b/crates/apply/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a document was not applied, or why that is not known.
+//! The reasons why a document was not applied, or why the outcome is unknown.
 
 use std::fmt;
 
@@ -9,38 +9,38 @@
 
 use crate::Base;
 
-/// Why a document was not applied, or why that is not known.
+/// The reason why a document was not applied, or why the outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The document does not follow the revision that was reviewed.
-    Revision {
+    /// The revision of the document is not the successor of the reviewed one.
+    WrongRevision {
         /// The revision that was reviewed.
         from: Revision,
         /// The revision that the document states.
-        says: Revision,
+        stated: Revision,
     },
-    /// The platform does not know the revision that was reviewed.
-    Unknown {
+    /// The reviewed revision is newer than any that the platform knows.
+    UnknownRevision {
         /// The revision that was reviewed.
         from: Revision,
-        /// The newest one that the platform knows.
+        /// The newest revision that the platform knows.
         newest: Revision,
     },
-    /// Another document was written first. Nothing was changed.
-    Raced(Box<Race>),
-    /// The platform did not do its part. Nothing was changed.
+    /// Another document was written as this revision first. Nothing was changed.
+    Conflict(Box<Conflict>),
+    /// A call to the platform failed. Nothing was changed.
     Platform(platform::Error),
-    /// The write was sent, and whether it took effect could not be found out.
+    /// The write was sent, but whether it took effect could not be determined.
     InDoubt {
-        /// The revision that the write would make.
+        /// The revision that the write would create.
         revision: Revision,
-        /// Why it could not be found out.
+        /// Why the outcome could not be determined.
         cause: platform::Error,
     },
 }
 
 impl From<platform::Error> for Refusal {
-    /// For calls before anything was written.
+    /// Converts the error of a call that precedes the write.
     fn from(error: platform::Error) -> Self {
         Self::Platform(error)
     }
@@ -49,22 +49,22 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Revision { from, says } => {
-                let makes = from.next();
+            Self::WrongRevision { from, stated } => {
+                let expected = from.next();
                 write!(
                     f,
-                    "nothing was changed: the document states revision {says}, but what follows "
+                    "nothing was changed: the document states revision {stated}, but what follows "
                 )?;
-                write!(f, "revision {from} is revision {makes}")
+                write!(f, "revision {from} is revision {expected}")
             }
-            Self::Unknown { from, newest } => {
+            Self::UnknownRevision { from, newest } => {
                 write!(
                     f,
                     "nothing was changed: the platform knows no revision {from}, its newest is {newest}; "
                 )?;
                 f.write_str("if you have seen it, a replica lags, so try again")
             }
-            Self::Raced(race) => race.fmt(f),
+            Self::Conflict(conflict) => conflict.fmt(f),
             Self::Platform(error) => write!(f, "nothing was changed: {error}"),
             Self::InDoubt { revision, cause } => {
                 write!(f, "it is not known whether revision {revision} was made: {cause}; ")?;
@@ -76,22 +76,22 @@
 
 impl std::error::Error for Refusal {}
 
-/// A document that was written first.
+/// A conflict with another document that was written first.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Race {
-    /// The revision that both wanted to make.
+pub struct Conflict {
+    /// The revision that both documents claim.
     pub revision: Revision,
-    /// Who wrote it.
+    /// Who wrote the winning document.
     pub writer: String,
-    /// Who changed what and why, if the winner's document passes the checks.
+    /// The change record of the winning document, if that is valid.
     pub change: Option<Change>,
-    /// What the winner changed.
-    pub won: Vec<Difference>,
-    /// What the loser's document would change in the winner's.
-    pub left: Vec<Difference>,
+    /// What the winning document changed.
+    pub winner_changes: Vec<Difference>,
+    /// What the refused document would change in the winning one.
+    pub remaining: Vec<Difference>,
 }
 
-impl fmt::Display for Race {
+impl fmt::Display for Conflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let revision = self.revision;
         write!(
@@ -104,14 +104,14 @@
             write!(f, ", approved by {approver}, because: {reason}")?;
         }
         write!(f, "\nThat revision changed:")?;
-        list(f, &self.won)?;
+        write_differences(f, &self.winner_changes)?;
         write!(f, "\nYour document would change in it:")?;
-        list(f, &self.left)?;
+        write_differences(f, &self.remaining)?;
         write!(f, "\nReview again from revision {revision}.")
     }
 }
 
-fn list(f: &mut fmt::Formatter<'_>, differences: &[Difference]) -> fmt::Result {
+fn write_differences(f: &mut fmt::Formatter<'_>, differences: &[Difference]) -> fmt::Result {
     if differences.is_empty() {
         return f.write_str("\n  nothing");
     }
@@ -121,20 +121,20 @@
     Ok(())
 }
 
-/// Tells the loser who won and what differs.
-pub(crate) fn raced(base: &Base, document: &Document, winner: &platform::Document) -> Refusal {
-    let won = Base::of(&winner.text);
-    let left = won.differences(document);
-    let mut race = Race {
+/// Returns the refusal of `document`, with the winner and the differences.
+pub(crate) fn conflict(base: &Base, document: &Document, winner: &platform::Document) -> Refusal {
+    let won = Base::parse(&winner.text);
+    let remaining = won.differences(document);
+    let mut conflict = Conflict {
         revision: winner.revision,
         writer: winner.writer.clone(),
         change: None,
-        won: Vec::new(),
-        left,
+        winner_changes: Vec::new(),
+        remaining,
     };
     if let Base::Checked(won) = won {
-        race.won = base.differences(&won);
-        race.change = Some(won.change);
+        conflict.winner_changes = base.differences(&won);
+        conflict.change = Some(won.change);
     }
-    Refusal::Raced(Box::new(race))
+    Refusal::Conflict(Box::new(conflict))
 }
--- a/crates/apply/src/write.rs
+++ b/crates/apply/src/write.rs
@@ -1,4 +1,4 @@
-//! The write itself, and finding out what became of it when its answer was lost.
+//! Writes a document, and determines the outcome if the platform's response was lost.
 
 use std::time::Duration;
 
@@ -13,43 +13,44 @@
 use crate::Refusal;
 use crate::refusal;
 
-/// How long to go on reading back a write in doubt.
+/// How often and at which intervals to read back a write whose outcome is in doubt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
-    /// How often it is tried.
-    pub tries: u32,
-    /// How long to wait before the second try. Each further wait is twice as long.
-    pub first_wait: Duration,
+pub struct RetryPolicy {
+    /// The number of attempts.
+    pub attempts: u32,
+    /// The delay before the second attempt. It doubles after each further attempt.
+    pub initial_delay: Duration,
 }
 
-impl Default for Patience {
-    /// Some six seconds, on top of the platform's own timeouts.
+impl Default for RetryPolicy {
+    /// About six seconds of delays, in addition to the timeouts of the platform calls.
     fn default() -> Self {
         Self {
-            tries: 6,
-            first_wait: Duration::from_millis(200),
+            attempts: 6,
+            initial_delay: Duration::from_millis(200),
         }
     }
 }
 
-/// Nonces lie below this, so that every JSON reader keeps them exact.
-const NONCE_END: u64 = 1 << 53;
+/// The exclusive upper bound of nonces: every JSON parser represents integers below it exactly.
+const NONCE_LIMIT: u64 = 1 << 53;
 
-/// A document came into force at the platform. If that was read back, a later one may be in force by now.
+/// A document was applied at the platform. If that was read back, a later one may already be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Applied {
-    /// The revision that was made.
+    /// The revision of the document.
     pub revision: Revision,
-    /// Whether the platform's answer was lost, and what it had done was read back.
+    /// Whether the outcome was read back from the platform, because the response was lost or the document had been
+    /// applied before.
     pub read_back: bool,
 }
 
-/// Carries out a plan.
+/// Executes a plan.
 ///
-/// The write is sent again only under its own nonce and condition, so that it never takes effect twice.
-pub async fn apply(client: &Client, plan: &Plan, patience: Patience) -> Result<Applied, Refusal> {
+/// Retries send the same write, with the same nonce and base revision, so that it never takes effect twice.
+pub async fn apply(client: &Client, plan: &Plan, policy: RetryPolicy) -> Result<Applied, Refusal> {
     let revision = plan.document.revision;
-    if plan.made.is_some() {
+    if plan.applied.is_some() {
         let read_back = true;
         return Ok(Applied { revision, read_back });
     }
@@ -57,42 +58,42 @@
         base: plan.from,
         text: plan.document.text.clone(),
         writer: plan.document.change.author.clone(),
-        nonce: Nonce(rand::random_range(1..NONCE_END)),
+        nonce: Nonce(rand::random_range(1..NONCE_LIMIT)),
     };
     match client.write(&write).await {
         Ok(revision) => Ok(Applied {
             revision,
             read_back: false,
         }),
-        Err(cause @ Error::InDoubt(_)) => settle(client, plan, &write, patience, cause).await,
-        Err(error @ Error::Conflict { .. }) => Err(lost(client, plan, error).await),
+        Err(cause @ Error::InDoubt(_)) => resolve_in_doubt(client, plan, &write, policy, cause).await,
+        Err(error @ Error::Conflict { .. }) => Err(conflict_refusal(client, plan, error).await),
         Err(error) => Err(Refusal::Platform(error)),
     }
 }
 
-/// Reads back what became of a write, and sends it again while neither it nor another one has made the revision.
-async fn settle(
+/// Reads back the outcome of a write, and sends it again while no write has created the revision.
+async fn resolve_in_doubt(
     client: &Client,
     plan: &Plan,
     write: &DocumentWrite,
-    patience: Patience,
-    first: Error,
+    policy: RetryPolicy,
+    initial_cause: Error,
 ) -> Result<Applied, Refusal> {
     let revision = write.revision();
-    let mut cause = first;
-    let mut wait = patience.first_wait;
-    for attempt in 0..patience.tries {
+    let mut cause = initial_cause;
+    let mut delay = policy.initial_delay;
+    for attempt in 0..policy.attempts {
         if attempt > 0 {
-            tokio::time::sleep(wait).await;
-            wait *= 2;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
-        log::info!("apply: reading back revision {revision}, {cause}");
+        log::info!("apply: reading back revision {revision}: {cause}");
         match client.resolve_write(write).await {
             Ok(WriteOutcome::Applied(revision)) => {
                 let read_back = true;
                 return Ok(Applied { revision, read_back });
             }
-            Ok(WriteOutcome::Conflict(winner)) => return Err(refusal::raced(&plan.base, &plan.document, &winner)),
+            Ok(WriteOutcome::Conflict(winner)) => return Err(refusal::conflict(&plan.base, &plan.document, &winner)),
             Ok(WriteOutcome::Undecided) => {}
             Err(error) => {
                 cause = error;
@@ -110,10 +111,10 @@
     Err(Refusal::InDoubt { revision, cause })
 }
 
-/// Tells who won, as far as the platform tells.
-async fn lost(client: &Client, plan: &Plan, error: Error) -> Refusal {
+/// Returns a refusal that names the winner, or the platform's error if the winner cannot be read.
+async fn conflict_refusal(client: &Client, plan: &Plan, error: Error) -> Refusal {
     match client.revision(plan.document.revision).await {
-        Ok(Some(winner)) => refusal::raced(&plan.base, &plan.document, &winner),
+        Ok(Some(winner)) => refusal::conflict(&plan.base, &plan.document, &winner),
         Ok(None) | Err(_) => Refusal::Platform(error),
     }
 }
--- a/crates/config/src/unique.rs
+++ b/crates/config/src/unique.rs
@@ -1,52 +1,54 @@
-//! Values that may stand only once in a text.
+//! Detection of values that may occur only once in a text.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::Fault;
-use crate::Field;
+use crate::FieldPath;
 use crate::Position;
+use crate::ProblemKind;
 use crate::cursor::Cursor;
 use crate::cursor::Report;
 
-/// The values seen so far, and where each stands.
+/// The values seen so far, each with the location of its first occurrence.
 #[derive(Debug)]
-pub(crate) struct Unique<T> {
-    seen: BTreeMap<T, Place>,
+pub(crate) struct UniqueValues<T> {
+    locations: BTreeMap<T, Location>,
 }
 
-/// Where a value stands.
+/// The location of a value.
 #[derive(Debug)]
-struct Place {
-    field: Field,
+struct Location {
+    field: FieldPath,
     position: Position,
 }
 
-impl<T> Default for Unique<T> {
+impl<T> Default for UniqueValues<T> {
     fn default() -> Self {
-        Self { seen: BTreeMap::new() }
+        Self {
+            locations: BTreeMap::new(),
+        }
     }
 }
 
-impl<T: Ord + Clone + fmt::Display> Unique<T> {
-    /// Notes a problem if `value`, which stands at `cursor`, has been seen before.
+impl<T: Ord + Clone + fmt::Display> UniqueValues<T> {
+    /// Records `value`, read at `cursor`, or reports a problem if it was seen before.
     pub(crate) fn add(&mut self, value: &T, cursor: &Cursor<'_>, report: &mut Report) {
-        if let Some(first) = self.seen.get(value) {
-            let fault = Fault::Taken(value.to_string(), first.field.clone(), first.position);
-            cursor.note(report, fault);
+        if let Some(first) = self.locations.get(value) {
+            let kind = ProblemKind::Duplicate(value.to_string(), first.field.clone(), first.position);
+            cursor.add_problem(report, kind);
             return;
         }
         let field = cursor.field().clone();
         let position = cursor.position();
-        self.seen.insert(value.clone(), Place { field, position });
+        self.locations.insert(value.clone(), Location { field, position });
     }
 
     pub(crate) fn contains(&self, value: &T) -> bool {
-        self.seen.contains_key(value)
+        self.locations.contains_key(value)
     }
 
-    /// The values in their order.
+    /// Returns the values in sorted order.
     pub(crate) fn values(&self) -> impl Iterator<Item = &T> {
-        self.seen.keys()
+        self.locations.keys()
     }
 }
--- a/crates/console/src/page/form.rs
+++ b/crates/console/src/page/form.rs
@@ -1,6 +1,6 @@
-//! Inputs, and the problems that stand at them.
+//! Form inputs with their problems.
 
-use config::Field;
+use config::FieldPath;
 use maud::Markup;
 use maud::html;
 
@@ -14,7 +14,7 @@
 /// The name of the buttons.
 pub const BUTTON_FIELD: &str = "button";
 
-/// A form that posts to `path`. It carries the token and the version of the draft that it shows.
+/// Returns a form that posts to `path`, with the token and the version of the draft that it shows.
 pub fn form(view: &View<'_>, path: &str, content: &Markup) -> Markup {
     html! {
         form method="post" action=(path) novalidate autocomplete="off" {
@@ -25,8 +25,8 @@
     }
 }
 
-/// A line of text with a visible label.
-pub fn labelled(view: &View<'_>, field: &Field, label: &str, hint: &str, value: &str) -> Markup {
+/// Returns a text input with a visible label.
+pub fn labelled_text(view: &View<'_>, field: &FieldPath, label: &str, hint: &str, value: &str) -> Markup {
     html! {
         div.line {
             label for=(field) { (label) }
@@ -36,18 +36,18 @@
     }
 }
 
-/// A line of text whose label is the heading of its column.
-pub fn text(view: &View<'_>, field: &Field, label: &str, value: &str) -> Markup {
-    let faulty = view.at(field).next().is_some();
+/// Returns a text input that is labelled by its column heading.
+pub fn text(view: &View<'_>, field: &FieldPath, label: &str, value: &str) -> Markup {
+    let invalid = view.problems_at(field).next().is_some();
     html! {
         input type="text" id=(field) name=(field) value=(value) aria-label=(label) spellcheck="false"
-            aria-invalid=[faulty.then_some("true")] aria-describedby=[faulty.then(|| note_id(field))];
-        (faults(view, field))
+            aria-invalid=[invalid.then_some("true")] aria-describedby=[invalid.then(|| problems_id(field))];
+        (field_problems(view, field))
     }
 }
 
-/// A choice with a visible label.
-pub fn labelled_choice(view: &View<'_>, field: &Field, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
+/// Returns a selection with a visible label.
+pub fn labelled_choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
     html! {
         div.line {
             label for=(field) { (label) }
@@ -56,60 +56,61 @@
     }
 }
 
-/// One of the values of a choice.
+/// One option of a selection.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice<'a> {
     /// The value in the document.
     pub value: &'a str,
-    /// What the operator reads.
+    /// The text shown to the operator.
     pub text: &'a str,
 }
 
-/// A choice whose label is the heading of its column. A value that is none of the choices stays, as a further one.
-pub fn choice(view: &View<'_>, field: &Field, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
-    let faulty = view.at(field).next().is_some();
+/// Returns a selection that is labelled by its column heading. A value that is not among the choices is kept as an
+/// additional option.
+pub fn choice(view: &View<'_>, field: &FieldPath, label: &str, choices: &[Choice<'_>], value: &str) -> Markup {
+    let invalid = view.problems_at(field).next().is_some();
     let known = choices.iter().any(|choice| choice.value == value);
     html! {
         select id=(field) name=(field) aria-label=(label)
-            aria-invalid=[faulty.then_some("true")] aria-describedby=[faulty.then(|| note_id(field))] {
+            aria-invalid=[invalid.then_some("true")] aria-describedby=[invalid.then(|| problems_id(field))] {
             @if !known { option value=(value) selected { (value) } }
             @for choice in choices {
                 option value=(choice.value) selected[choice.value == value] { (choice.text) }
             }
         }
-        (faults(view, field))
+        (field_problems(view, field))
     }
 }
 
-/// The problems that stand at a field.
-pub fn faults(view: &View<'_>, field: &Field) -> Markup {
-    let faults: Vec<_> = view.at(field).collect();
+/// Returns the list of problems of a field.
+pub fn field_problems(view: &View<'_>, field: &FieldPath) -> Markup {
+    let problems: Vec<_> = view.problems_at(field).collect();
     html! {
-        @if !faults.is_empty() {
-            ul.faults id=(note_id(field)) {
-                @for problem in faults { li { (problem.fault) } }
+        @if !problems.is_empty() {
+            ul.faults id=(problems_id(field)) {
+                @for problem in problems { li { (problem.kind) } }
             }
         }
     }
 }
 
-/// The button that keeps what was typed. It comes first in its form, so that the enter key presses it.
+/// Returns the save button. It comes first in its form, so that the enter key activates it.
 pub fn save() -> Markup {
     html! { button.main name=(BUTTON_FIELD) value="save" { "Save draft" } }
 }
 
-/// A button that adds an item to a list.
-pub fn add(list: &Field, text: &str) -> Markup {
+/// Returns a button that adds an item to a list.
+pub fn add(list: &FieldPath, text: &str) -> Markup {
     html! { button name=(BUTTON_FIELD) value={ "add " (list) } { (text) } }
 }
 
-/// A button that removes an item from a list.
-pub fn remove(item: &Field, name: &str) -> Markup {
+/// Returns a button that removes an item from a list.
+pub fn remove(item: &FieldPath, name: &str) -> Markup {
     html! {
         button.remove name=(BUTTON_FIELD) value={ "remove " (item) } aria-label={ "Remove " (name) } { "Remove" }
     }
 }
 
-fn note_id(field: &Field) -> String {
+fn problems_id(field: &FieldPath) -> String {
     format!("{field}.faults")
 }
--- a/crates/console/src/page/zones.rs
+++ b/crates/console/src/page/zones.rs
@@ -10,7 +10,7 @@
 use super::form;
 use super::layout;
 
-/// The page of the availability zones.
+/// Returns the page of the availability zones.
 pub fn zones(view: &View<'_>) -> Markup {
     let list = draft::zones_field();
     let content = html! {
@@ -29,7 +29,7 @@
                 }
             }
         }
-        (form::faults(view, &list))
+        (form::field_problems(view, &list))
         (form::add(&list, "Add zone"))
     };
     let content = html! {
--- a/crates/jayquayd/examples/fleet.rs
+++ b/crates/jayquayd/examples/fleet.rs
@@ -1,7 +1,8 @@
-//! What instances cost while nothing is asked of them: `cargo run --release -p jayquayd --example fleet`.
+//! Measures the cost of idle instances: `cargo run --release -p jayquayd --example fleet`.
 //!
-//! All instances of a run share this process and loopback, with a stand-in for the platform. Processor time and memory are the
-//! process's, divided by the instances, less what it takes with none; control bytes are what the instances' sessions count.
+//! All instances of a run share this process and loopback, with a stand-in for the platform. Processor time and memory
+//! are those of the process divided by the number of instances; memory excludes what the process uses before the
+//! instances start. Control bytes are the frame bytes counted by the sessions.
 
 use std::fs;
 use std::time::Duration;
@@ -18,12 +19,12 @@
 static ALLOCATOR: MiMalloc = MiMalloc;
 
 const DOCUMENT: &str = include_str!("../../../examples/verblijfnet.yaml");
-const FLEETS: [usize; 3] = [9, 32, 64];
-/// How long a fleet gets to meet.
-const SETTLE: Duration = Duration::from_mins(1);
-/// How long it is measured.
-const SPAN: Duration = Duration::from_secs(20);
-/// The system's clock ticks in a second, as in `/proc/self/stat`.
+const FLEET_SIZES: [usize; 3] = [9, 32, 64];
+/// Time for the instances to connect to each other before the measurement.
+const SETTLE_TIME: Duration = Duration::from_mins(1);
+/// Duration of the measurement.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(20);
+/// Clock ticks per second in `/proc/self/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_KB: u64 = 4;
 
@@ -33,20 +34,20 @@
         .install_recorder()
         .expect("there is no other recorder");
     println!("instances  cpu % each  memory KB each  control B/s each  platform calls/s in all");
-    for count in FLEETS {
+    for count in FLEET_SIZES {
         measure(count, &recorder).await;
     }
 }
 
-/// What is read before and after a span.
-struct Reading {
+/// The values read at the start and the end of a measurement.
+struct Sample {
     at: Instant,
     cpu: f64,
     sent: f64,
     calls: f64,
 }
 
-impl Reading {
+impl Sample {
     fn now(recorder: &PrometheusHandle) -> Self {
         let text = recorder.render();
         Self {
@@ -69,18 +70,18 @@
     for index in 0..count {
         fleet.push(start(index, platform.address()).await);
     }
-    tokio::time::sleep(SETTLE).await;
-    let first = Reading::now(recorder);
-    tokio::time::sleep(SPAN).await;
-    let last = Reading::now(recorder);
+    tokio::time::sleep(SETTLE_TIME).await;
+    let first = Sample::now(recorder);
+    tokio::time::sleep(MEASUREMENT_TIME).await;
+    let last = Sample::now(recorder);
     let memory = resident_kb().saturating_sub(before) / count as u64;
-    let span = (last.at - first.at).as_secs_f64();
-    let each = |total: f64| total / span / count as f64;
+    let elapsed = (last.at - first.at).as_secs_f64();
+    let each = |total: f64| total / elapsed / count as f64;
     println!(
         "{count:>9}  {:>10.3}  {memory:>14}  {:>16.0}  {:>23.2}",
         100.0 * each(last.cpu - first.cpu),
         each(last.sent - first.sent),
-        (last.calls - first.calls) / span,
+        (last.calls - first.calls) / elapsed,
     );
 }
 
@@ -99,10 +100,10 @@
     jayquayd::start(&settings, None).await.expect("loopback has free ports")
 }
 
-/// The processor time of this process so far.
+/// Processor time used by this process so far, in seconds.
 fn cpu_seconds() -> f64 {
-    let stat = fs::read_to_string("/proc/self/stat").expect("Linux has it");
-    // The name in parentheses may hold spaces; what follows it does not.
+    let stat = fs::read_to_string("/proc/self/stat").expect("Linux provides this file");
+    // The process name in parentheses may contain spaces; the fields after it do not.
     let (_, fields) = stat.rsplit_once(')').expect("the name is in parentheses");
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |index: usize| fields[index].parse::<f64>().expect("a number");
@@ -110,7 +111,7 @@
 }
 
 fn resident_kb() -> u64 {
-    let statm = fs::read_to_string("/proc/self/statm").expect("Linux has it");
+    let statm = fs::read_to_string("/proc/self/statm").expect("Linux provides this file");
     let pages = statm
         .split_whitespace()
         .nth(1)
@@ -118,7 +119,7 @@
     pages.expect("a number") * PAGE_KB
 }
 
-/// A counter's sum over all its labels.
+/// The sum of a counter over all labels.
 fn counter(text: &str, name: &str) -> f64 {
     let lines = text.lines().filter(|line| line.starts_with(name));
     lines
--- a/crates/jayquayd/src/daemon.rs
+++ b/crates/jayquayd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them.
+//! Builds the components of an instance and runs them.
 
 use std::fmt;
 use std::io;
@@ -24,87 +24,87 @@
 use crate::bucket::Rate;
 use crate::callers;
 use crate::clock::Clock;
-use crate::engine::End;
+use crate::engine::Components;
 use crate::engine::Engine;
-use crate::engine::Parts;
-use crate::feed::Feed;
-use crate::feed::Wish;
-use crate::intake::Intake;
-use crate::intake::Queues;
+use crate::engine::ExitReason;
+use crate::feed::DesiredState;
+use crate::feed::PlatformSync;
+use crate::input::InputQueues;
+use crate::input::InputSender;
 use crate::sessions;
 use crate::sessions::Sessions;
 use crate::sessions::handshake::Identity;
 use crate::sessions::handshake::Keys;
 use crate::summary;
-use crate::timeline::Ring;
+use crate::timeline::TimelineBuffer;
 use crate::upstreams::Upstreams;
 
-/// How many entries of the time line are kept.
-const TIMELINE_LEN: usize = 20_000;
-/// How many sources of datagrams are told apart.
-const SOURCES: usize = 65_536;
+/// Maximum number of timeline entries kept.
+const TIMELINE_CAPACITY: usize = 20_000;
+/// Maximum number of source addresses with a rate limit of their own.
+const MAX_SOURCES: usize = 65_536;
 
-/// Why a process could not start.
+/// An error that prevents an instance from starting.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address could not be listened at.
+    /// A socket could not be bound to an address.
     Listen(SocketAddr, io::Error),
-    /// The HTTP client could not be made.
+    /// The HTTP client could not be created.
     Client(reqwest::Error),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listen(address, error) => write!(f, "cannot listen at {address}: {error}"),
-            Self::Client(error) => write!(f, "cannot make an HTTP client: {error}"),
+            Self::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
+            Self::Client(error) => write!(f, "cannot create the HTTP client: {error}"),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// A running instance. Dropping it ends it at once, as a crash would.
+/// A running instance. Dropping the handle ends the instance immediately, like a crash.
 #[derive(Debug)]
 pub struct Handle {
     addresses: Addresses,
     incarnation: Incarnation,
-    intake: Intake,
-    running: JoinSet<End>,
+    input_sender: InputSender,
+    engine_task: JoinSet<ExitReason>,
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The addresses at which the instance listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Its life.
+    /// The incarnation of the instance.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     pub async fn stop(&self) {
-        // An engine that is gone needs no stop.
-        let _closed = self.intake.event(Event::Stop).await;
+        // Fails only if the engine has already ended.
+        let _closed = self.input_sender.send_event(Event::Stop).await;
     }
 
-    /// What the node tells of itself, unless it has ended.
+    /// The status of the node, or `None` if the engine has ended.
     pub async fn status(&self) -> Option<node::Status> {
-        self.intake.status().await
+        self.input_sender.status().await
     }
 
-    /// Waits until it has ended.
-    pub async fn ended(&mut self) -> End {
-        match self.running.join_next().await {
-            Some(Ok(end)) => end,
-            Some(Err(_)) | None => End::Abandoned,
+    /// Waits for the instance to end.
+    pub async fn ended(&mut self) -> ExitReason {
+        match self.engine_task.join_next().await {
+            Some(Ok(exit_reason)) => exit_reason,
+            Some(Err(_)) | None => ExitReason::EngineFailed,
         }
     }
 }
 
-/// The sockets of a process.
+/// The listening sockets of an instance.
 struct Sockets {
     callers: UdpSocket,
     instances: TcpListener,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Starts an instance. `metrics` renders the metrics, if a recorder is installed.
+/// Starts an instance. `metrics` renders the metrics for `/metrics`, if a recorder is installed.
 pub async fn start(settings: &Settings, metrics: Option<PrometheusHandle>) -> Result<Handle, StartError> {
     let clock = Clock::start();
     let incarnation = clock.incarnation();
@@ -147,86 +147,87 @@
         zone: settings.zone.clone(),
         address: settings.advertise.instances.unwrap_or(addresses.instances),
     };
-    let (intake, queues) = Intake::new();
+    let (input_sender, queues) = InputSender::new();
     let mut tasks = JoinSet::new();
-    let context = session_context(settings, own, &intake);
-    let engine = assemble(settings, &context, clock, sockets.callers, queues, &mut tasks)?;
-    let meetings = Arc::clone(&context.meetings);
+    let context = session_context(settings, own, &input_sender);
+    let engine = build_engine(settings, &context, clock, sockets.callers, queues, &mut tasks)?;
+    let handshake_history = Arc::clone(&context.handshake_history);
     tasks.spawn(sessions::listen(sockets.instances, context));
     let context = admin::Context {
-        meetings,
-        intake: intake.clone(),
+        handshake_history,
+        input_sender: input_sender.clone(),
         clock,
         addresses,
         metrics,
     };
     tasks.spawn(admin::serve(sockets.admin, context));
-    let mut running = JoinSet::new();
-    running.spawn(supervise(engine, tasks));
+    let mut engine_task = JoinSet::new();
+    engine_task.spawn(supervise(engine, tasks));
     Ok(Handle {
         addresses,
         incarnation,
-        intake,
-        running,
+        input_sender,
+        engine_task,
     })
 }
 
-/// Runs the engine. The other parts end with it.
-async fn supervise(engine: Engine, tasks: JoinSet<()>) -> End {
-    let end = engine.run().await;
+/// Runs the engine, then aborts all other tasks.
+async fn supervise(engine: Engine, tasks: JoinSet<()>) -> ExitReason {
+    let exit_reason = engine.run().await;
     drop(tasks);
-    end
+    exit_reason
 }
 
-fn assemble(
+fn build_engine(
     settings: &Settings,
     context: &sessions::Context,
     clock: Clock,
     socket: UdpSocket,
-    queues: Queues,
+    queues: InputQueues,
     tasks: &mut JoinSet<()>,
 ) -> Result<Engine, StartError> {
-    let sessions::Context { own, intake, .. } = context;
-    let (receiver, replier) = callers::split(socket, clock, caller_limits(settings));
-    tasks.spawn(receiver.run(intake.clone()));
-    let (wish, wished) = watch::channel(Wish::default());
-    feed(settings, own, clock, intake, &wished, tasks);
-    let upstreams = Upstreams::new(own.name.clone(), own.incarnation, intake.clone()).map_err(StartError::Client)?;
-    let parts = Parts {
-        replier,
+    let sessions::Context { own, input_sender, .. } = context;
+    let (receiver, reply_sender) = callers::split(socket, clock, caller_limits(settings));
+    tasks.spawn(receiver.run(input_sender.clone()));
+    let (desired, desired_receiver) = watch::channel(DesiredState::default());
+    spawn_platform_tasks(settings, own, clock, input_sender, &desired_receiver, tasks);
+    let upstreams =
+        Upstreams::new(own.name.clone(), own.incarnation, input_sender.clone()).map_err(StartError::Client)?;
+    let components = Components {
+        reply_sender,
         sessions: Sessions::new(context.clone(), settings.limits.sessions as usize),
         upstreams,
-        wish,
-        ring: Ring::new(own.name.clone(), own.incarnation, TIMELINE_LEN),
+        desired,
+        timeline: TimelineBuffer::new(own.name.clone(), own.incarnation, TIMELINE_CAPACITY),
     };
-    let node = Node::new(setup(settings, own), clock.now());
-    Ok(Engine::new(node, clock, queues, parts, settings.stop_within))
+    let node = Node::new(node_config(settings, own), clock.now());
+    Ok(Engine::new(node, clock, queues, components, settings.stop_within))
 }
 
-fn feed(
+fn spawn_platform_tasks(
     settings: &Settings,
     own: &Identity,
     clock: Clock,
-    intake: &Intake,
-    wish: &watch::Receiver<Wish>,
+    input_sender: &InputSender,
+    desired: &watch::Receiver<DesiredState>,
     tasks: &mut JoinSet<()>,
 ) {
     let client = Client::new(platform::Options::new(settings.platform.clone()));
-    tasks.spawn(summary::keep(client.clone(), clock, intake.clone()));
-    let feed = Feed::new(client, intake.clone(), wish.clone());
+    tasks.spawn(summary::run(client.clone(), clock, input_sender.clone()));
+    let sync = PlatformSync::new(client, input_sender.clone(), desired.clone());
     let entry = Listed::Entry {
         name: own.name.clone(),
         incarnation: own.incarnation,
         zone: own.zone.clone(),
         address: own.address,
-        admin: admin_address(settings),
+        admin: reachable_admin_address(settings),
         leaving: false,
     };
-    // Each of these ends only when the engine is gone.
-    let document = feed.clone().read_document();
-    let list = feed.clone().read_list(own.zone.clone());
-    let peers = feed.clone().name_peers(seeds(settings));
-    let entry = feed.keep_entry(entry);
+    // Each of these ends only once the engine has ended.
+    let document = sync.clone().sync_document();
+    let list = sync.clone().sync_list(own.zone.clone());
+    let peers = sync.clone().announce_peers(configured_peers(settings));
+    let entry = sync.maintain_entry(entry);
     tasks.spawn(async {
         let _closed = document.await;
     });
@@ -241,15 +242,16 @@
     });
 }
 
-/// Where operators on other hosts reach this instance, if they do.
-fn admin_address(settings: &Settings) -> Option<SocketAddr> {
+/// The admin address that is reachable from other hosts, if any.
+fn reachable_admin_address(settings: &Settings) -> Option<SocketAddr> {
     let listen = settings.listen.admin;
-    let is_reached = !listen.ip().is_loopback() && !listen.ip().is_unspecified() && listen.port() != 0;
-    settings.advertise.admin.or(is_reached.then_some(listen))
+    let is_reachable = !listen.ip().is_loopback() && !listen.ip().is_unspecified() && listen.port() != 0;
+    settings.advertise.admin.or(is_reachable.then_some(listen))
 }
 
-/// The instances in the settings. Their lives are unknown, so that any life that is heard of is newer.
-fn seeds(settings: &Settings) -> Vec<Listed> {
+/// The peers named in the settings. Their incarnations are unknown, so they get the lowest one, which any observed
+/// incarnation supersedes.
+fn configured_peers(settings: &Settings) -> Vec<Listed> {
     let entries = settings.peers.iter().map(|seed| Listed::Entry {
         name: seed.name.clone(),
         incarnation: Incarnation::default(),
@@ -261,17 +263,17 @@
     entries.collect()
 }
 
-fn session_context(settings: &Settings, own: Identity, intake: &Intake) -> sessions::Context {
+fn session_context(settings: &Settings, own: Identity, input_sender: &InputSender) -> sessions::Context {
     sessions::Context {
         own,
         keys: Keys::new(&settings.secrets.current, &settings.secrets.previous),
-        intake: intake.clone(),
-        meetings: Arc::default(),
+        input_sender: input_sender.clone(),
+        handshake_history: Arc::default(),
     }
 }
 
 fn caller_limits(settings: &Settings) -> callers::Limits {
-    // What comes within one second may come at once.
+    // A burst may be as large as the packets allowed in one second.
     let rate = |per_second| Rate {
         per_second,
         burst: per_second,
@@ -279,11 +281,11 @@
     callers::Limits {
         per_source: rate(settings.limits.packets_per_second),
         total: rate(settings.limits.total_packets_per_second),
-        sources: SOURCES,
+        max_sources: MAX_SOURCES,
     }
 }
 
-fn setup(settings: &Settings, own: &Identity) -> NodeConfig {
+fn node_config(settings: &Settings, own: &Identity) -> NodeConfig {
     let secrets = &settings.secrets;
     NodeConfig {
         name: own.name.clone(),
--- a/crates/jayquayd/src/forward/run.rs
+++ b/crates/jayquayd/src/forward/run.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of the flow mode together and runs them.
+//! Starts and supervises the tasks of the flow mode.
 
 use std::fmt;
 use std::io;
@@ -31,22 +31,22 @@
 use super::store;
 use crate::clock::Clock;
 
-/// How often flows that are silent are forgotten.
-const TICK: Duration = Duration::from_secs(1);
+/// Interval at which idle flows are expired.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a process in flow mode could not run.
+/// Error that prevents a process in flow mode from running.
 #[derive(Debug)]
 pub enum RunError {
-    /// An address could not be listened at.
+    /// The process could not listen on an address.
     Listen(SocketAddr, io::Error),
-    /// Signals could not be caught, or a socket failed.
+    /// A signal handler could not be installed, or a socket failed.
     Io(io::Error),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Listen(address, error) => write!(f, "cannot listen at {address}: {error}"),
+            Self::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
             Self::Io(error) => error.fmt(f),
         }
     }
@@ -60,33 +60,34 @@
     }
 }
 
-/// Runs until SIGTERM or SIGINT, and then until this instance is no longer used.
+/// Runs until SIGTERM or SIGINT, then keeps forwarding until traffic has moved away from this instance or the grace
+/// period ends.
 pub async fn run(settings: &Settings, path: &Path, metrics: PrometheusHandle) -> Result<(), RunError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let hangup = signal(SignalKind::hangup())?;
     let (changes, current) = watch::channel(settings.clone());
     tokio::spawn(reload::run(path.to_owned(), hangup, changes));
-    let shared = share(settings);
+    let shared = create_shared(settings);
     let listen = settings.listen;
     let packets = bind_udp(listen.packets).await?;
     let ready = http::bind(listen.ready).map_err(|error| RunError::Listen(listen.ready, error))?;
     let peers_http = http::bind(listen.peers).map_err(|error| RunError::Listen(listen.peers, error))?;
-    let (ends, gate) = check::ways();
+    let (check_channels, peer_channels) = check::channels();
     let peers = Peers::new(
         bind_udp(listen.peers).await?,
         shared.clone(),
         current.clone(),
         listen.advertised.port(),
-        gate,
+        peer_channels,
     );
     tokio::spawn(store::run(current.clone(), shared.clone()));
-    tokio::spawn(check::run(current.clone(), shared.clone(), ends));
+    tokio::spawn(check::run(current.clone(), shared.clone(), check_channels));
     tokio::spawn(http::serve_ready(ready, shared.clone()));
     let context = Context {
         shared: shared.clone(),
         metrics,
-        answers: Arc::default(),
+        responses: Arc::default(),
     };
     tokio::spawn(http::serve_peers(peers_http, context));
     tokio::spawn(peers.run());
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-fn share(settings: &Settings) -> Shared {
+fn create_shared(settings: &Settings) -> Shared {
     let clock = Clock::start();
     let core = Core::new(Options {
         zone: settings.zone.clone(),
@@ -131,7 +132,7 @@
 }
 
 async fn tick(shared: Shared) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
         let now = shared.now();
--- a/crates/jayquayd/src/throttle.rs
+++ b/crates/jayquayd/src/throttle.rs
@@ -1,4 +1,4 @@
-//! Log lines at a limited rate: what strangers can cause must not fill the log.
+//! Rate limits for log lines, so that untrusted peers cannot flood the log.
 
 use std::fmt;
 use std::sync::atomic::AtomicU64;
@@ -6,55 +6,55 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long one line keeps further ones away.
-const QUIET: Duration = Duration::from_secs(5);
+/// Minimum interval between two lines.
+const MIN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many lines were held back since the last one, to be put at a line's end.
+/// Number of lines suppressed since the last one, to be appended to a line.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct HeldBack(u64);
+pub(crate) struct Suppressed(u64);
 
-impl fmt::Display for HeldBack {
+impl fmt::Display for Suppressed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             0 => Ok(()),
-            count => write!(f, " ({count} lines like this held back)"),
+            count => write!(f, " ({count} similar lines suppressed)"),
         }
     }
 }
 
-/// Lets one line through per [`QUIET`], and counts those it held back.
+/// Allows one line per [`MIN_INTERVAL`], and counts the suppressed ones.
 #[derive(Debug)]
-pub(crate) struct Throttle {
+pub(crate) struct LogThrottle {
     start: Instant,
     next_ms: AtomicU64,
-    held_back: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-impl Default for Throttle {
+impl Default for LogThrottle {
     fn default() -> Self {
         Self {
             start: Instant::now(),
             next_ms: AtomicU64::new(0),
-            held_back: AtomicU64::new(0),
+            suppressed: AtomicU64::new(0),
         }
     }
 }
 
-impl Throttle {
-    /// Whether a line may be written now, and how many were held back since the last one.
-    pub(crate) fn pass(&self) -> Option<HeldBack> {
+impl LogThrottle {
+    /// Returns the number of lines suppressed since the last one if a line may be written now.
+    pub(crate) fn allow(&self) -> Option<Suppressed> {
         let now = u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX);
         let next = self.next_ms.load(Ordering::Relaxed);
-        let quiet = u64::try_from(QUIET.as_millis()).unwrap_or(u64::MAX);
-        let won = now >= next
+        let interval = u64::try_from(MIN_INTERVAL.as_millis()).unwrap_or(u64::MAX);
+        let is_allowed = now >= next
             && self
                 .next_ms
-                .compare_exchange(next, now + quiet, Ordering::Relaxed, Ordering::Relaxed)
+                .compare_exchange(next, now + interval, Ordering::Relaxed, Ordering::Relaxed)
                 .is_ok();
-        if !won {
-            self.held_back.fetch_add(1, Ordering::Relaxed);
+        if !is_allowed {
+            self.suppressed.fetch_add(1, Ordering::Relaxed);
             return None;
         }
-        Some(HeldBack(self.held_back.swap(0, Ordering::Relaxed)))
+        Some(Suppressed(self.suppressed.swap(0, Ordering::Relaxed)))
     }
 }
--- a/crates/jayquayd/tests/handshake.rs
+++ b/crates/jayquayd/tests/handshake.rs
@@ -1,4 +1,4 @@
-//! Handshakes between instances, honest and not.
+//! Handshakes between instances, including impostors and replays.
 
 use futures_util::SinkExt;
 use futures_util::StreamExt;
@@ -19,7 +19,7 @@
 
 type Socket = WebSocketStream<DuplexStream>;
 
-async fn pair() -> (Socket, Socket) {
+async fn connected_sockets() -> (Socket, Socket) {
     let (client, server) = tokio::io::duplex(64 * 1_024);
     let client = WebSocketStream::from_raw_socket(client, Role::Client, None).await;
     let server = WebSocketStream::from_raw_socket(server, Role::Server, None).await;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Keys of secrets, each named by one letter; the first is the current one.
+/// Keys for secrets that are each given by one letter; the first is the current one.
 fn keys(letters: &str) -> Keys {
     let mut secrets = letters
         .chars()
@@ -45,24 +45,24 @@
     Keys::new(&current, &previous)
 }
 
-/// Shakes hands between an initiator and an acceptor, and tells how it went for each.
+/// Performs a handshake between an initiator and an acceptor, each given by name and secrets, and checks both results.
 async fn check(initiator: (&str, &str), acceptor: (&str, &str), expected: (&str, &str)) {
-    let (mut client, mut server) = pair().await;
+    let (mut client, mut server) = connected_sockets().await;
     let client_own = identity(initiator.0);
     let server_own = identity(acceptor.0);
     let client_keys = keys(initiator.1);
     let server_keys = keys(acceptor.1);
-    // The side that fails hangs up, as the daemon does.
+    // The side that fails closes the connection, as the daemon does.
     let client = async move { handshake::initiate(&mut client, &client_own, &client_keys).await };
     let server = async move { handshake::accept(&mut server, &server_own, &server_keys).await };
     let (client, server) = tokio::join!(client, server);
     assert_eq!(
-        (words(client), words(server)),
+        (describe(client), describe(server)),
         (expected.0.to_owned(), expected.1.to_owned())
     );
 }
 
-fn words(result: Result<Identity, Error>) -> String {
+fn describe(result: Result<Identity, Error>) -> String {
     match result {
         Ok(identity) => format!("met {}", identity.name),
         Err(error) => error.to_string(),
@@ -83,18 +83,18 @@
 
 #[tokio::test]
 async fn an_impostor_that_is_connected_to_is_refused() {
-    let (mut client, mut server) = pair().await;
+    let (mut client, mut server) = connected_sockets().await;
     let impostor = async move {
         let _hello = receive(&mut server).await;
         send(&mut server, &handshake::encode(&Hello::new(identity("two")))).await;
         let proof = receive(&mut server).await;
-        // It knows no secret, and sends the initiator's own proof back.
+        // The impostor has no secret, and sends the initiator's own proof back.
         send(&mut server, &proof).await;
     };
     let own = identity("one");
     let keys = keys("a");
     let (result, ()) = tokio::join!(handshake::initiate(&mut client, &own, &keys), impostor);
-    assert_eq!(result, Err(Error::Stranger));
+    assert_eq!(result, Err(Error::NoCommonSecret));
 }
 
 #[tokio::test]
@@ -102,25 +102,25 @@
     let own = identity("two");
     let keys = keys("a");
     let hello = handshake::encode(&Hello::new(identity("one")));
-    let (mut client, mut server) = pair().await;
-    let honest = async {
+    let (mut client, mut server) = connected_sockets().await;
+    let legitimate = async {
         send(&mut client, &hello).await;
         let other = receive(&mut client).await;
         let proof = handshake::encode(&Transcript::new(&hello, &other).proof(&keys, Side::Initiator));
         send(&mut client, &proof).await;
         proof
     };
-    let (recorded, met) = tokio::join!(honest, handshake::accept(&mut server, &own, &keys));
+    let (recorded, met) = tokio::join!(legitimate, handshake::accept(&mut server, &own, &keys));
     assert_eq!(met, Ok(identity("one")));
 
-    let (mut client, mut server) = pair().await;
+    let (mut client, mut server) = connected_sockets().await;
     let replay = async {
         send(&mut client, &hello).await;
         receive(&mut client).await;
         send(&mut client, &recorded).await;
     };
     let ((), result) = tokio::join!(replay, handshake::accept(&mut server, &own, &keys));
-    assert_eq!(result, Err(Error::Stranger));
+    assert_eq!(result, Err(Error::NoCommonSecret));
 }
 
 #[tokio::test]
@@ -134,7 +134,7 @@
         (handshake::encode(&older), Error::Version),
     ];
     for (message, expected) in cases {
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_sockets().await;
         send(&mut client, &message).await;
         let result = handshake::accept(&mut server, &identity("two"), &keys("a")).await;
         assert_eq!(result, Err(expected));
--- a/crates/jayquayd/tests/summary.rs
+++ b/crates/jayquayd/tests/summary.rs
@@ -1,9 +1,9 @@
-//! A zone's summary at the platform: what it tells, and what it costs.
+//! The summary of a zone at the platform: its contents and the number of calls it takes.
 
 use std::time::Duration;
 
-use jayquayd::summary::Keeper;
 use jayquayd::summary::Summary;
+use jayquayd::summary::SummaryWriter;
 use node::Status;
 use platform::Client;
 use platform::Options;
@@ -23,7 +23,7 @@
     (platform, client)
 }
 
-/// What `name` tells of itself: it knows one more instance of its zone, and one of another zone.
+/// The status of instance `name`, whose members are `a` and `b` in its own zone and `c` in another zone.
 fn status(name: &str, refused: u64) -> Status {
     let member = |name: &str, zone: &str, revision: u64| json!({"name": name, "incarnation": 1, "zone": zone, "state": "Alive", "revision": revision, "digest": "0a"});
     let upstream = |name: &str, state: &str| {
@@ -39,35 +39,37 @@
         "hops_exceeded": 0, "opened": 0, "answered": 0,
         "refused": [{"verdict": "NotRun", "reason": "Overload", "count": refused}]
     });
-    serde_json::from_value(status).expect("the status is whole")
+    serde_json::from_value(status).expect("the status is complete")
 }
 
 fn at(seconds: u64) -> Time {
     Time::default() + Duration::from_secs(seconds)
 }
 
-fn written(platform: &Handle) -> Option<(String, Summary)> {
+fn stored_summary(platform: &Handle) -> Option<(String, Summary)> {
     let key = Key {
         kind: Kind::Status,
         name: "north".to_owned(),
     };
     let object = platform.object(&key)?;
-    let summary = serde_json::from_value(object.value).expect("it is a summary");
+    let summary = serde_json::from_value(object.value).expect("the stored value is a summary");
     Some((object.writer, summary))
 }
 
 #[tokio::test]
-async fn a_summary_tells_the_zone_and_is_written_by_its_first_instance() {
+async fn a_summary_describes_the_zone_and_is_written_by_its_first_instance() {
     let (platform, client) = start().await;
-    Keeper::new(client.clone()).look(at(100), &status("b", 0)).await;
-    assert_eq!(written(&platform), None);
-    Keeper::new(client).look(at(100), &status("a", 4)).await;
-    let (writer, summary) = written(&platform).expect("the first one writes");
+    SummaryWriter::new(client.clone())
+        .write_if_due(at(100), &status("b", 0))
+        .await;
+    assert_eq!(stored_summary(&platform), None);
+    SummaryWriter::new(client).write_if_due(at(100), &status("a", 4)).await;
+    let (writer, summary) = stored_summary(&platform).expect("the first instance writes");
     let in_force = json!([
         {"revision": 2, "digest": "0a", "instances": ["b"]},
         {"revision": 3, "digest": "0a", "instances": ["a"]}
     ]);
-    let value = serde_json::to_value(summary).expect("it has a JSON form");
+    let value = serde_json::to_value(summary).expect("a summary can be encoded as JSON");
     assert_eq!((writer.as_str(), &value["in_force"]), ("a", &in_force));
     assert_eq!(
         value["upstreams"],
@@ -77,54 +79,54 @@
 }
 
 #[tokio::test]
-async fn writes_are_few_and_none_if_nothing_changed() {
+async fn writes_are_rate_limited_and_skipped_without_changes() {
     let (platform, client) = start().await;
-    let mut keeper = Keeper::new(client.clone());
+    let mut writer = SummaryWriter::new(client.clone());
     for second in 0..100 {
-        keeper.look(at(second), &status("a", second)).await;
+        writer.write_if_due(at(second), &status("a", second)).await;
     }
     assert_eq!(
         platform.counts().taken,
         10,
-        "one in ten seconds while it changes all the time"
+        "one write in ten seconds while the summary keeps changing"
     );
     for second in 100..200 {
-        keeper.look(at(second), &status("a", 90)).await;
+        writer.write_if_due(at(second), &status("a", 90)).await;
     }
-    assert_eq!(platform.counts().taken, 10, "none while nothing changes");
-    // A new life of the writer finds that what stands there is right.
-    Keeper::new(client).look(at(200), &status("a", 90)).await;
+    assert_eq!(platform.counts().taken, 10, "no write without a change");
+    // After a restart, the writer reads the stored summary and finds it up to date.
+    SummaryWriter::new(client).write_if_due(at(200), &status("a", 90)).await;
     assert_eq!((platform.counts().taken, platform.counts().reads), (10, 2));
 }
 
 #[tokio::test]
-async fn two_writers_do_not_write_over_what_they_have_not_seen() {
+async fn two_writers_do_not_overwrite_versions_they_have_not_read() {
     let (platform, client) = start().await;
-    let mut one = Keeper::new(client.clone());
-    let mut other = Keeper::new(client);
-    one.look(at(0), &status("a", 1)).await;
-    other.look(at(0), &status("a", 2)).await;
-    // The version that the first one knows is no longer the newest.
-    one.look(at(10), &status("a", 3)).await;
-    let refused = |platform: &Handle| written(platform).map(|(_, summary)| summary.refused[0].count);
+    let mut one = SummaryWriter::new(client.clone());
+    let mut other = SummaryWriter::new(client);
+    one.write_if_due(at(0), &status("a", 1)).await;
+    other.write_if_due(at(0), &status("a", 2)).await;
+    // The version known to the first writer is no longer the newest.
+    one.write_if_due(at(10), &status("a", 3)).await;
+    let refused = |platform: &Handle| stored_summary(platform).map(|(_, summary)| summary.refused[0].count);
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(2), 1));
-    one.look(at(20), &status("a", 3)).await;
+    one.write_if_due(at(20), &status("a", 3)).await;
     assert_eq!((refused(&platform), platform.counts().conflicts), (Some(3), 1));
 }
 
 #[tokio::test]
-async fn a_lost_answer_and_an_outage_cost_no_more() {
+async fn a_lost_answer_and_an_outage_cause_no_extra_calls() {
     let (platform, client) = start().await;
-    let mut keeper = Keeper::new(client);
+    let mut writer = SummaryWriter::new(client);
     let lost = Behaviour {
         lose_answers: 1,
         ..Behaviour::default()
     };
     platform.behave(lost).await;
     for second in 0..20 {
-        keeper.look(at(second), &status("a", 1)).await;
+        writer.write_if_due(at(second), &status("a", 1)).await;
     }
-    // The write took effect; the second look reads that, and nothing is written again.
+    // The write took effect; the next check reads the stored summary and writes nothing.
     assert_eq!((platform.counts().writes, platform.counts().taken), (1, 1));
     let unavailable = Behaviour {
         unavailable: true,
@@ -132,11 +134,11 @@
     };
     platform.behave(unavailable).await;
     for second in 20..120 {
-        keeper.look(at(second), &status("a", 2)).await;
+        writer.write_if_due(at(second), &status("a", 2)).await;
     }
     let counts = platform.counts();
     assert!(counts.reads + counts.writes <= 13, "{counts:?}");
     platform.behave(Behaviour::default()).await;
-    keeper.look(at(130), &status("a", 2)).await;
+    writer.write_if_due(at(130), &status("a", 2)).await;
     assert_eq!(platform.counts().taken, 2);
 }
