--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -1,10 +1,11 @@
-//! Outcomes of attempts (handshakes and requests) at an upstream, inferred from the client's packets alone, and
-//! detection of upstreams at which more attempts fail than chance explains.
+//! Outcomes of attempts (handshakes and requests) at an upstream, inferred from the client's packets alone because the
+//! upstream's packets do not pass through the balancer, and detection of upstreams at which more attempts fail than
+//! chance explains.
 //!
-//! A silent upstream shows through retransmissions, which another module handles. An upstream that fails while it
-//! still responds causes no retransmissions: it resets connections, accepts requests but never answers them, or
-//! answers with an error. In the client's packets this appears as an opening packet that nothing follows, a request
-//! whose response the client never acknowledges, or a response far shorter than is usual for the route.
+//! An upstream that sends no packets at all causes retransmissions, which `health` handles. An upstream that fails
+//! while its TCP stack still responds causes none: it resets connections, accepts requests but never answers them, or
+//! answers with an error. In the client's packets this appears as the first packet of a handshake with nothing after
+//! it, a request whose response the client never acknowledges, or a response far shorter than is usual for the route.
 
 use std::time::Duration;
 
@@ -15,27 +16,28 @@
 use crate::decaying_count::DecayingCount;
 use crate::upstream::UpstreamId;
 
-/// The decay time constant of a service's baseline failure ratio.
+/// The time constant of the exponential decay in a [`Tally`], whether of a service or of one of its upstreams.
 const BASELINE_SPAN: Duration = Duration::from_secs(2);
 /// The lower limit of the baseline failure ratio. It covers packet loss, clients that disconnect, and responses that
 /// are short by nature.
 const MIN_BASELINE: f64 = 0.03;
-/// The number of prior attempts, assumed to fail at the baseline lower limit, so that one failure among a few attempts
-/// does not raise the baseline.
+/// The number of pseudo-attempts that are added to the counted ones and assumed to fail at `MIN_BASELINE` (a Bayesian
+/// prior), so that one failure among a few attempts raises the baseline only slightly.
 const PRIOR_ATTEMPTS: f64 = 20.0;
-/// The upper limit of the baseline failure ratio. Above it the cause is common to all upstreams, so no upstream is
-/// blamed.
+/// The upper limit of the baseline failure ratio. If more attempts than this fail at the other upstreams, the cause is
+/// usually common to all of them. At the limit, the evidence against an upstream grows only while more than about 61 %
+/// of its attempts fail.
 const MAX_BASELINE: f64 = 0.4;
-/// The failure ratio that the test assumes for a failing upstream: at least the first value, and at least the second
-/// as a multiple of the baseline.
+/// The minimum failure ratio that the CUSUM test in [`Evidence`] assumes for a failing upstream.
 const MIN_FAILING: f64 = 0.3;
+/// The minimum failure ratio that the test assumes for a failing upstream, as a multiple of the baseline.
 const FAILING_FACTOR: f64 = 2.0;
-/// The detection threshold, as a log-likelihood ratio. It bounds false positives: an upstream whose failure ratio
-/// equals the baseline is detected at most once in a million attempts. At an actual failure ratio of half a percent, a
-/// sixth of the assumed minimum, none of fourteen upstreams was detected in a million attempts.
+/// The detection threshold, as a log-likelihood ratio: ln(10^6). It bounds false positives: an upstream whose failure
+/// ratio equals the baseline is detected at most once in a million attempts. At an actual failure ratio of half a
+/// percent, a sixth of `MIN_BASELINE`, none of fourteen upstreams was detected in a million attempts.
 const DETECTION_THRESHOLD: f64 = 13.8;
 
-/// The decay time constant of the rate of attempts at an upstream.
+/// The time constant of the exponential decay in the rate of attempts at an upstream.
 const RATE_SPAN: Duration = Duration::from_secs(10);
 
 /// The outcome of an attempt.
@@ -43,8 +45,8 @@
 pub enum Outcome {
     /// The flow was established, or the request was answered as usual.
     Good,
-    /// Nothing followed an opening packet, neither the end of the handshake nor a retransmission: the client received
-    /// a reset.
+    /// Nothing followed the first packet of a handshake, neither the end of the handshake nor a retransmission. Most
+    /// likely the client received a reset.
     Refused,
     /// The upstream accepted a request, but the client has not received the start of a response long after responses
     /// usually arrive.
@@ -69,7 +71,7 @@
     }
 }
 
-/// Decaying counts of recent attempts and failures.
+/// Exponentially decaying counts of recent attempts and failures, of a service or of one upstream.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Tally {
     tried: DecayingCount,
@@ -84,8 +86,9 @@
         }
     }
 
-    /// The failure ratio of the upstreams other than the one whose tally is `own`. Where there are only a few
-    /// upstreams, the failures of one would otherwise raise its own baseline.
+    /// The baseline failure ratio for the upstream whose tally is `own`, where `self` is the tally of its service: the
+    /// failure ratio of the other upstreams, weighted with the prior and clamped. Where there are only a few upstreams,
+    /// the failures of one would otherwise raise its own baseline.
     pub(crate) fn baseline_without(&self, own: &Self, now: Time) -> f64 {
         let tried = self.tried.value(BASELINE_SPAN, now) - own.tried.value(BASELINE_SPAN, now);
         let failed = self.failed.value(BASELINE_SPAN, now) - own.failed.value(BASELINE_SPAN, now);
@@ -94,23 +97,27 @@
     }
 }
 
-/// A report of failed attempts at one upstream, sent to the instance that aggregates them.
+/// A report of failed attempts at one upstream, sent to each of the few instances that aggregate them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureReport {
     /// The upstream.
     pub upstream: UpstreamId,
     /// The number of failed attempts since the last report.
     pub failed: u16,
-    /// The number of completed attempts per ten seconds, successful or not.
+    /// The number of attempts with a known outcome per ten seconds, successful or not.
     pub tried_in_ten: u16,
 }
 
-/// Attempts at one upstream, observed here and by the instances that report to this one.
+/// Attempts at one upstream that this instance observed and, if it aggregates the failure reports for the upstream, the
+/// evidence from those reports.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct AttemptRecord {
+    /// The decaying count of attempts, for the rate.
     tries: DecayingCount,
+    /// When the outcome of an attempt was first recorded.
     since: Option<Time>,
-    /// The attempts at this upstream that are included in the tally of its service.
+    /// The attempts at this upstream that are included in the tally of its service: all but those made while the
+    /// upstream was ejected. The caller updates it together with the service's tally.
     pub(crate) tally: Tally,
     /// Failures that have not been reported yet.
     unreported: u16,
@@ -118,6 +125,7 @@
 }
 
 impl AttemptRecord {
+    /// Adds an attempt to the rate and, if it failed, to the next report, but not to the tally.
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
         self.since.get_or_insert(now);
         self.tries.add(1, RATE_SPAN, now);
@@ -126,17 +134,20 @@
         }
     }
 
-    /// The rate of completed attempts at this instance, per second.
+    /// The rate, per second, of attempts whose outcome this instance recorded.
     pub(crate) fn rate(&self, now: Time) -> f64 {
         let Some(since) = self.since else {
             return 0.0;
         };
+        // Soon after the first attempt, the decaying count covers less than the full time constant. The lower limit of
+        // one second keeps the first few attempts from showing as a high rate.
         let age = now.since(since).as_secs_f64() / RATE_SPAN.as_secs_f64();
         let seen = RATE_SPAN.as_secs_f64() * (1.0 - (-age).exp());
         self.tries.value(RATE_SPAN, now) / seen.max(1.0)
     }
 
-    /// The report for the aggregating instance, if an attempt has failed since the last report.
+    /// Takes the report for the aggregating instances, if an attempt has failed since the last call. Resets the number
+    /// of unreported failures.
     pub(crate) fn report(&mut self, upstream: UpstreamId, now: Time) -> Option<FailureReport> {
         let failed = std::mem::take(&mut self.unreported);
         let tried_in_ten = (self.rate(now) * RATE_SPAN.as_secs_f64()).round();
@@ -147,8 +158,9 @@
         })
     }
 
-    /// Adds a report from one of `instances` instances that each see a similar share of the traffic to the upstream.
-    /// Returns whether the upstream fails more often than chance explains, given the failure ratio `baseline`.
+    /// Adds a report from one of `instances` instances that each see a similar share of the traffic to the upstream, so
+    /// the total rate is estimated as `instances` times the mean of the local and the reported rate. Returns
+    /// whether the upstream fails more often than chance explains, given the failure ratio `baseline`.
     pub(crate) fn add_report(&mut self, report: &FailureReport, instances: u32, baseline: f64, now: Time) -> bool {
         let reported_rate = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
         let rate = f64::midpoint(self.rate(now), reported_rate) * f64::from(instances.max(1));
@@ -156,7 +168,7 @@
         self.evidence.score >= DETECTION_THRESHOLD
     }
 
-    /// Discards the evidence after it has been acted on.
+    /// Discards the evidence, when the upstream is ejected.
     pub(crate) fn clear_evidence(&mut self) {
         self.evidence = Evidence::default();
     }
@@ -167,10 +179,12 @@
 #[derive(Debug, Default, Clone, Copy)]
 struct Evidence {
     score: f64,
+    /// When the score was last updated.
     at: Time,
 }
 
 impl Evidence {
+    /// Adds `failed` failures, and the successes estimated from `rate` (attempts per second) since the last update.
     fn add(&mut self, failed: u16, rate: f64, baseline: f64, now: Time) {
         let failing = (baseline * FAILING_FACTOR).max(MIN_FAILING);
         let failure_weight = (failing / baseline).ln();
