--- a/crates/balance/src/target.rs
+++ b/crates/balance/src/target.rs
@@ -1,4 +1,4 @@
-//! The state of one upstream: its slots, its load over time, and whether it may get new requests.
+//! One upstream as its pool sees it: its slots, its load over time, and whether it may get new requests.
 
 use std::time::Duration;
 
@@ -15,40 +15,46 @@
 use crate::health::Health;
 use crate::health::HealthState;
 
-/// The time constant of the smoothed utilisation, in seconds.
+/// The smoothing time of the utilisation, in seconds: a value that lasts for this long gets half the weight. The decay
+/// is hyperbolic, not exponential.
 const UTILISATION_WINDOW: f64 = 5.0;
-/// The share of requests that an upstream gets at the beginning of its slow start, relative to its usual share.
+/// The slow-start factor at the beginning of a slow start. The load of an upstream is divided by this factor, which
+/// grows linearly to 1.
 const SLOW_START_MIN_SHARE: f64 = 0.1;
-/// During slow start, an upstream may use up to this many times its share of its slots when the others are busy.
+/// During slow start, an upstream may use its number of slots times the slow-start factor times this value, at most all
+/// of its slots. So it starts at 40 % of them, which leaves headroom for times when the other upstreams are busy.
 const SLOW_START_HEADROOM: f64 = 4.0;
-/// The weight of one report in the smoothed number of slots that are in use by others.
+/// The weight of one [`Report`] in the smoothed number of slots in use by requests that this pool did not place.
 const BUSY_ELSEWHERE_GAIN: f64 = 0.2;
 
-/// The state of one upstream in its pool.
+/// An upstream and what its pool knows about it.
 #[derive(Debug, Clone)]
 pub(crate) struct Target {
     pub(crate) name: UpstreamName,
     pub(crate) zone: ZoneName,
     pub(crate) slots: Slots,
     pub(crate) health: Health,
-    /// The number of slots that this pool has leased.
+    /// The number of slots that this pool has leased to requests.
     pub(crate) busy: u32,
     /// Whether the configuration document marks it as draining.
     draining: bool,
-    /// Whether it was announced to be draining, by itself or by others. Reset when it restarts.
+    /// Whether it is known to be draining from its own report, from the outcome of a call, or from the caller of the
+    /// pool. Reset when it restarts.
     drain_announced: bool,
     /// Whether the configuration document no longer lists it.
     removed: bool,
-    /// One entry for each slot of a call that failed fast: the slot stays reserved until a call of mean duration would have
-    /// ended.
+    /// One entry for each call that failed fast, after its lease was released: one slot stays reserved until a call of
+    /// mean duration would have ended.
     reserved_until: Vec<Time>,
-    /// It refused a request because of overload and gets no new ones until this time.
+    /// Until when it gets no new requests because it refused one due to overload.
     backoff_until: Time,
     /// When its slow start began, if it may still be in progress.
     slow_start_since: Option<Time>,
+    /// The smoothed utilisation at `utilisation_at`.
     utilisation: f64,
+    /// When `utilisation` was last updated.
     utilisation_at: Time,
-    /// The smoothed number of its slots that seem to be in use by others.
+    /// The smoothed estimate of its slots that are in use by requests that this pool did not place.
     busy_elsewhere: f64,
 }
 
@@ -90,12 +96,13 @@
         self.removed && self.busy == 0
     }
 
-    /// Stops new requests until it restarts.
+    /// Marks it as draining, so that it gets no new requests until it restarts.
     pub(crate) fn announce_drain(&mut self) {
         self.drain_announced = true;
     }
 
-    /// Discards what was learned about the previous process after a restart, and begins a slow start.
+    /// After a restart, discards the health, backoff, drain mark and `busy_elsewhere` of the previous process, and
+    /// begins a slow start. Leases, reservations and the smoothed utilisation remain.
     pub(crate) fn reset_after_restart(&mut self, now: Time) {
         self.drain_announced = false;
         self.health = Health::new();
@@ -104,7 +111,7 @@
         self.begin_slow_start(now);
     }
 
-    /// Begins the slow start at `started`.
+    /// Sets the time at which its slow start began, which may lie in the past.
     pub(crate) fn begin_slow_start(&mut self, started: Time) {
         self.slow_start_since = Some(started);
     }
@@ -114,7 +121,7 @@
         !self.draining && !self.drain_announced && !self.removed
     }
 
-    /// Whether it may get new requests. In `panic_mode` its health is ignored.
+    /// Whether it is in service and not ejected. In `panic_mode` its health is ignored.
     pub(crate) fn is_eligible(&self, panic_mode: bool) -> bool {
         let ejected = matches!(self.health.state, HealthState::Ejected(_));
         self.is_in_service() && (panic_mode || !ejected)
@@ -133,14 +140,14 @@
         (f64::from(slots) * share).ceil() as u32
     }
 
-    /// Whether it has a slot for a request now.
+    /// Whether it has a free slot for another request now.
     pub(crate) fn is_free(&self, slow_start: Duration, panic_mode: bool, now: Time) -> bool {
         let reserved = self.reserved_until.iter().filter(|until| **until > now).count();
         let used = self.busy + reserved as u32;
         now >= self.backoff_until && used < self.capacity(slow_start, panic_mode, now)
     }
 
-    /// Its share of the usual number of requests, which grows to 1 during slow start.
+    /// The slow-start factor: grows linearly from `SLOW_START_MIN_SHARE` to 1 during slow start, and is 1 otherwise.
     fn slow_start_share(&self, slow_start: Duration, now: Time) -> f64 {
         let Some(since) = self.slow_start_since else {
             return 1.0;
@@ -153,7 +160,8 @@
         SLOW_START_MIN_SHARE + (1.0 - SLOW_START_MIN_SHARE) * warm
     }
 
-    /// The load for comparison with other upstreams: current and recent utilisation, scaled up during slow start, plus the
+    /// The load score for comparison with other upstreams: the current utilisation, including by requests that
+    /// this pool did not place, plus the smoothed utilisation by this pool, both scaled up during slow start, plus the
     /// failure rate.
     pub(crate) fn load(&self, slow_start: Duration, now: Time) -> f64 {
         let slots = f64::from(self.slots.0.max(1));
@@ -181,18 +189,20 @@
         self.busy = self.busy.saturating_sub(1);
     }
 
+    /// Brings the smoothed utilisation up to date, and drops reservations that have expired.
     fn update_utilisation(&mut self, now: Time) {
         self.utilisation = self.utilisation(now);
         self.utilisation_at = now;
         self.reserved_until.retain(|until| *until > now);
     }
 
-    /// Keeps the slot of a call that failed fast reserved, so that failing fast does not attract more requests.
+    /// Reserves a slot after a call that failed fast, so that failing fast does not attract more requests.
     pub(crate) fn reserve_slot(&mut self, until: Time) {
         self.reserved_until.push(until);
     }
 
-    /// Stops new requests until the given time. It refused one because of overload, so others are using its slots.
+    /// Stops new requests until the given time, after it refused one because of overload: its slots must be in use by
+    /// requests that this pool did not place.
     pub(crate) fn back_off(&mut self, until: Time) {
         self.backoff_until = until;
     }
@@ -213,7 +223,8 @@
         let others = f64::from(report.busy.0) - f64::from(self.busy);
         self.busy_elsewhere += (others.max(0.0) - self.busy_elsewhere) * BUSY_ELSEWHERE_GAIN;
         if report.age >= slow_start {
-            // It is new to this pool only, for example because the service moved to a new home.
+            // It has run for longer than a slow start: its slow start has ended, or it is new to this pool only, for
+            // example because another instance now holds the pool of the service.
             self.slow_start_since = None;
         } else if self.slow_start_since.is_none() {
             self.begin_slow_start(crate::queue::time_before(now, report.age));
