--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,6 +1,8 @@
-//! Request handling at the owner of a flow.
+//! Request handling at the owner of a flow, the instance that keeps the ledger of the flow's requests.
 //!
-//! Only the owner starts requests of its flows, and only the owner may state that a request has not run.
+//! Only the owner starts calls to upstreams for requests of its flows, and only the owner may refuse a request with
+//! [`Verdict::NotRun`]. The home of a service is the instance that holds the queue and grants the slots of its
+//! upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,17 +39,17 @@
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
-/// How long to wait for the home's answer to a slot request before requesting the slot again.
+/// How long to wait for the home to grant or deny a slot request before sending the request again.
 const SLOT_REQUEST_RETRY: Duration = Duration::from_millis(400);
 
-/// Why a request may not start.
+/// Why a new request is refused before it starts.
 struct Rejection {
     reason: Reason,
     retry_after: Millis,
 }
 
 impl Node {
-    /// Handles a packet of a flow that this node owns.
+    /// Handles a packet of a flow that this instance owns.
     pub(crate) fn handle_owned_packet(&mut self, cx: &mut Context<'_>, claims: Claims, routed: &RoutedPacket) {
         let key = FlowKey {
             owner: claims.incarnation,
@@ -58,6 +60,7 @@
             Packet::Pull(pull) => self.handle_pull(cx, key, routed.caller, &pull),
             Packet::Done(done) => self.ledgers.forget_answer(key, done.seq),
             Packet::Close(_) => self.ledgers.close(key, cx.now),
+            // `route` has answered it already, because it carries no token.
             Packet::Open(_) => {}
         }
     }
@@ -71,9 +74,11 @@
         let is_new_flow = !self.ledgers.contains(key);
         let group = CallerGroup::of(routed.caller.ip(), self.seed);
         if is_new_flow && !self.ledgers.has_room(group, self.limits.flows) {
+            // Without a ledger, it is unknown whether an earlier copy of the request has run.
             let refusal = (Verdict::MayHaveRun, Reason::Limit);
             return self.reply_refused(cx, routed.caller, key, seq, refusal, RETRY_SOON, None);
         }
+        // Also records the arrival, and creates the ledger of a new flow.
         let known = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
             Lookup::New => None,
             Lookup::TooOld => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::TooOld)),
@@ -96,7 +101,7 @@
         }
     }
 
-    /// Replies to a request that has been received before.
+    /// Replies to a request that does not start now: it has been received before, is too old, or finds the ledger full.
     fn answer_duplicate(
         &mut self,
         cx: &mut Context<'_>,
@@ -126,6 +131,8 @@
         }
     }
 
+    /// Checks that the request's service and kind are known and that the limit of concurrent requests allows another.
+    /// Returns whether the request is idempotent.
     fn check_kind(&self, request: &Request) -> Result<bool, Rejection> {
         let rejection = |reason| Rejection {
             reason,
@@ -170,6 +177,7 @@
             deadline,
             avoid: Vec::new(),
             in_doubt: false,
+            // The home and the phase are set when the slot is requested.
             home: self.local.clone(),
             phase: Phase::Waiting(cx.now),
         };
@@ -181,7 +189,8 @@
         TicketId(self.last_ticket)
     }
 
-    /// Queues a request at the home of its service. Its ledger entry already refers to this ticket.
+    /// Stores the ticket of a request and requests a slot from the home of its service, or refuses the request if there
+    /// is no home. The ledger entry already refers to this ticket.
     pub(crate) fn start_ticket(&mut self, cx: &mut Context<'_>, id: TicketId, ticket: Ticket) {
         self.deadlines.insert((ticket.deadline, id));
         self.tickets.insert(id, ticket);
@@ -191,7 +200,8 @@
     /// Calls the upstream for which a slot was granted.
     pub(crate) fn call_upstream(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: &UpstreamName) {
         let Some(address) = self.upstream_address(id, upstream) else {
-            // This instance's document may be older than the home's. The slot is requested again later.
+            // The request no longer waits, or this instance's document is older than the home's. In the latter case
+            // `tick_owner` requests a slot again if the home is another instance.
             return self.release_slot(cx, id, Outcome::Unused, Duration::ZERO);
         };
         let Some(ticket) = self.tickets.get_mut(&id) else {
@@ -223,7 +233,8 @@
         }));
     }
 
-    /// The address at which to call an upstream, if the request still waits for a slot.
+    /// The address at which to call an upstream, if the request still waits for a slot and the current document lists
+    /// the service and the upstream.
     fn upstream_address(&self, id: TicketId, upstream: &UpstreamName) -> Option<SocketAddr> {
         let ticket = self.tickets.get(&id)?;
         if !matches!(ticket.phase, Phase::Waiting(_)) {
@@ -233,7 +244,6 @@
         service.upstream(upstream).map(|upstream| upstream.address)
     }
 
-    /// Handles the end of a call.
     pub(crate) fn handle_call_result(&mut self, cx: &mut Context<'_>, call: CallId, result: CallResult) {
         let Some(id) = self.calls.remove(&call) else {
             return;
@@ -247,6 +257,7 @@
         let outcome = outcome_of(&result);
         let flow = ticket.claims.flow;
         let seq = ticket.request.seq;
+        // No call is in progress any more. The time matters only if another slot is requested, which sets it again.
         ticket.phase = Phase::Waiting(cx.now);
         ticket.in_doubt |= outcome.verdict() == Verdict::MayHaveRun;
         cx.record(Record::Ended(upstream.clone(), flow, seq, outcome));
@@ -257,7 +268,8 @@
         }
     }
 
-    /// Requests another slot if the request may be retried, else refuses it.
+    /// Requests another slot if the request may be retried, or hands the request over if a planned stop has
+    /// handed the ledgers over. Refuses the request if it may not be retried.
     fn retry_or_refuse(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: UpstreamName, outcome: Outcome) {
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
@@ -294,7 +306,7 @@
         self.record_end(cx, key, seq, RequestState::Answered(Box::new(answer)));
     }
 
-    /// Refuses a request with a final verdict. No call of it may be in progress.
+    /// Refuses a request with a final verdict. A call of it must have ended, or been cancelled and marked in doubt.
     pub(crate) fn refuse_request(&mut self, cx: &mut Context<'_>, id: TicketId, reason: Reason, retry_after: Millis) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
@@ -308,7 +320,8 @@
         self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, granted);
     }
 
-    /// Records the end of a request in the ledger, or sends it to the successor if the ledger was handed over.
+    /// Records the final state of a request in the ledger, or sends that state to the successor if a planned stop has
+    /// handed the ledger over.
     fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
         if self.stop.has_handed_over() {
             return self.send_final_state(cx, key, seq, &state);
@@ -325,7 +338,8 @@
         Some(ticket)
     }
 
-    /// Aborts requests that are past their deadline, and repeats slot requests that the home has not answered.
+    /// Aborts requests that are past their deadline, and repeats slot requests that the home has neither granted nor
+    /// denied.
     pub(crate) fn tick_owner(&mut self, cx: &mut Context<'_>) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > cx.now {
@@ -349,6 +363,7 @@
         let Phase::Waiting(asked) = ticket.phase else {
             return false;
         };
+        // A slot request to the local home is a function call and cannot be lost.
         ticket.home != self.local && now.since(asked) > SLOT_REQUEST_RETRY
     }
 
