--- a/crates/flow/src/core/outliers.rs
+++ b/crates/flow/src/core/outliers.rs
@@ -172,7 +172,7 @@
         self.run_due_checks(now);
         let mut reports = Vec::new();
         for (id, health) in &mut self.health {
-            reports.extend(health.record.report(*id, now));
+            reports.extend(health.record.take_report(*id, now));
         }
         reports.sort_unstable_by_key(|report| (Reverse(report.failed), report.upstream));
         reports.truncate(MAX_REPORTS);
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -17,7 +17,7 @@
 use crate::upstream::UpstreamId;
 
 /// The time constant of the exponential decay in a [`Tally`], whether of a service or of one of its upstreams.
-const BASELINE_SPAN: Duration = Duration::from_secs(2);
+const TALLY_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// The lower limit of the baseline failure ratio. It covers packet loss, clients that disconnect, and responses that
 /// are short by nature.
 const MIN_BASELINE: f64 = 0.03;
@@ -29,16 +29,16 @@
 /// of its attempts fail.
 const MAX_BASELINE: f64 = 0.4;
 /// The minimum failure ratio that the CUSUM test in [`Evidence`] assumes for a failing upstream.
-const MIN_FAILING: f64 = 0.3;
+const MIN_FAILING_RATIO: f64 = 0.3;
 /// The minimum failure ratio that the test assumes for a failing upstream, as a multiple of the baseline.
-const FAILING_FACTOR: f64 = 2.0;
+const FAILING_RATIO_FACTOR: f64 = 2.0;
 /// The detection threshold, as a log-likelihood ratio: ln(10^6). It bounds false positives: an upstream whose failure
 /// ratio equals the baseline is detected at most once in a million attempts. At an actual failure ratio of half a
 /// percent, a sixth of `MIN_BASELINE`, none of fourteen upstreams was detected in a million attempts.
 const DETECTION_THRESHOLD: f64 = 13.8;
 
 /// The time constant of the exponential decay in the rate of attempts at an upstream.
-const RATE_SPAN: Duration = Duration::from_secs(10);
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(10);
 
 /// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -74,15 +74,15 @@
 /// Exponentially decaying counts of recent attempts and failures, of a service or of one upstream.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Tally {
-    tried: DecayingCount,
-    failed: DecayingCount,
+    attempts: DecayingCount,
+    failures: DecayingCount,
 }
 
 impl Tally {
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
-        self.tried.add(1, BASELINE_SPAN, now);
+        self.attempts.add(1, TALLY_TIME_CONSTANT, now);
         if outcome.is_failure() {
-            self.failed.add(1, BASELINE_SPAN, now);
+            self.failures.add(1, TALLY_TIME_CONSTANT, now);
         }
     }
 
@@ -90,10 +90,10 @@
     /// failure ratio of the other upstreams, weighted with the prior and clamped. Where there are only a few upstreams,
     /// the failures of one would otherwise raise its own baseline.
     pub(crate) fn baseline_without(&self, own: &Self, now: Time) -> f64 {
-        let tried = self.tried.value(BASELINE_SPAN, now) - own.tried.value(BASELINE_SPAN, now);
-        let failed = self.failed.value(BASELINE_SPAN, now) - own.failed.value(BASELINE_SPAN, now);
-        let share = (failed + PRIOR_ATTEMPTS * MIN_BASELINE) / (tried + PRIOR_ATTEMPTS);
-        share.clamp(MIN_BASELINE, MAX_BASELINE)
+        let attempts = self.attempts.value(TALLY_TIME_CONSTANT, now) - own.attempts.value(TALLY_TIME_CONSTANT, now);
+        let failures = self.failures.value(TALLY_TIME_CONSTANT, now) - own.failures.value(TALLY_TIME_CONSTANT, now);
+        let ratio = (failures + PRIOR_ATTEMPTS * MIN_BASELINE) / (attempts + PRIOR_ATTEMPTS);
+        ratio.clamp(MIN_BASELINE, MAX_BASELINE)
     }
 }
 
@@ -113,9 +113,9 @@
 #[derive(Debug, Default, Clone)]
 pub(crate) struct AttemptRecord {
     /// The decaying count of attempts, for the rate.
-    tries: DecayingCount,
+    attempts: DecayingCount,
     /// When the outcome of an attempt was first recorded.
-    since: Option<Time>,
+    first_attempt_at: Option<Time>,
     /// The attempts at this upstream that are included in the tally of its service: all but those made while the
     /// upstream was ejected. The caller updates it together with the service's tally.
     pub(crate) tally: Tally,
@@ -127,8 +127,8 @@
 impl AttemptRecord {
     /// Adds an attempt to the rate and, if it failed, to the next report, but not to the tally.
     pub(crate) fn add(&mut self, outcome: Outcome, now: Time) {
-        self.since.get_or_insert(now);
-        self.tries.add(1, RATE_SPAN, now);
+        self.first_attempt_at.get_or_insert(now);
+        self.attempts.add(1, RATE_TIME_CONSTANT, now);
         if outcome.is_failure() {
             self.unreported = self.unreported.saturating_add(1);
         }
@@ -136,21 +136,21 @@
 
     /// The rate, per second, of attempts whose outcome this instance recorded.
     pub(crate) fn rate(&self, now: Time) -> f64 {
-        let Some(since) = self.since else {
+        let Some(first_attempt_at) = self.first_attempt_at else {
             return 0.0;
         };
         // Soon after the first attempt, the decaying count covers less than the full time constant. The lower limit of
         // one second keeps the first few attempts from showing as a high rate.
-        let age = now.since(since).as_secs_f64() / RATE_SPAN.as_secs_f64();
-        let seen = RATE_SPAN.as_secs_f64() * (1.0 - (-age).exp());
-        self.tries.value(RATE_SPAN, now) / seen.max(1.0)
+        let relative_age = now.since(first_attempt_at).as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64();
+        let effective_window = RATE_TIME_CONSTANT.as_secs_f64() * (1.0 - (-relative_age).exp());
+        self.attempts.value(RATE_TIME_CONSTANT, now) / effective_window.max(1.0)
     }
 
     /// Takes the report for the aggregating instances, if an attempt has failed since the last call. Resets the number
     /// of unreported failures.
-    pub(crate) fn report(&mut self, upstream: UpstreamId, now: Time) -> Option<FailureReport> {
+    pub(crate) fn take_report(&mut self, upstream: UpstreamId, now: Time) -> Option<FailureReport> {
         let failed = std::mem::take(&mut self.unreported);
-        let tried_in_ten = (self.rate(now) * RATE_SPAN.as_secs_f64()).round();
+        let tried_in_ten = (self.rate(now) * RATE_TIME_CONSTANT.as_secs_f64()).round();
         (failed > 0).then_some(FailureReport {
             upstream,
             failed,
@@ -162,9 +162,9 @@
     /// the total rate is estimated as `instances` times the mean of the local and the reported rate. Returns
     /// whether the upstream fails more often than chance explains, given the failure ratio `baseline`.
     pub(crate) fn add_report(&mut self, report: &FailureReport, instances: u32, baseline: f64, now: Time) -> bool {
-        let reported_rate = f64::from(report.tried_in_ten) / RATE_SPAN.as_secs_f64();
+        let reported_rate = f64::from(report.tried_in_ten) / RATE_TIME_CONSTANT.as_secs_f64();
         let rate = f64::midpoint(self.rate(now), reported_rate) * f64::from(instances.max(1));
-        self.evidence.add(report.failed, rate, baseline, now);
+        self.evidence.update(report.failed, rate, baseline, now);
         self.evidence.score >= DETECTION_THRESHOLD
     }
 
@@ -180,18 +180,18 @@
 struct Evidence {
     score: f64,
     /// When the score was last updated.
-    at: Time,
+    updated_at: Time,
 }
 
 impl Evidence {
     /// Adds `failed` failures, and the successes estimated from `rate` (attempts per second) since the last update.
-    fn add(&mut self, failed: u16, rate: f64, baseline: f64, now: Time) {
-        let failing = (baseline * FAILING_FACTOR).max(MIN_FAILING);
-        let failure_weight = (failing / baseline).ln();
-        let success_weight = ((1.0 - failing) / (1.0 - baseline)).ln();
-        let tried = rate * now.since(self.at).as_secs_f64();
-        let good = (tried - f64::from(failed)).max(0.0);
-        self.score = (self.score + good * success_weight).max(0.0) + f64::from(failed) * failure_weight;
-        self.at = now;
+    fn update(&mut self, failed: u16, rate: f64, baseline: f64, now: Time) {
+        let failing_ratio = (baseline * FAILING_RATIO_FACTOR).max(MIN_FAILING_RATIO);
+        let failure_weight = (failing_ratio / baseline).ln();
+        let success_weight = ((1.0 - failing_ratio) / (1.0 - baseline)).ln();
+        let estimated_attempts = rate * now.since(self.updated_at).as_secs_f64();
+        let estimated_successes = (estimated_attempts - f64::from(failed)).max(0.0);
+        self.score = (self.score + estimated_successes * success_weight).max(0.0) + f64::from(failed) * failure_weight;
+        self.updated_at = now;
     }
 }
