--- a/crates/balance/src/placement.rs
+++ b/crates/balance/src/placement.rs
@@ -214,6 +214,6 @@
     }
 
     fn is_free(&self, target: &Target, now: Time) -> bool {
-        target.is_free(self.sharing.slow_start, self.panic_mode, now)
+        target.has_free_slot(self.sharing.slow_start, self.panic_mode, now)
     }
 }
--- a/crates/balance/src/pool.rs
+++ b/crates/balance/src/pool.rs
@@ -87,7 +87,7 @@
         for target in &mut self.targets {
             match service.upstream(&target.name) {
                 Some(upstream) => target.configure(upstream),
-                None => target.remove(),
+                None => target.mark_removed(),
             }
         }
         for upstream in &service.upstreams {
@@ -190,7 +190,7 @@
     /// tick on.
     pub fn announce_drain(&mut self, upstream: &UpstreamName) {
         if let Ok(index) = self.find(upstream) {
-            self.targets[index].announce_drain();
+            self.targets[index].mark_draining();
         }
     }
 
@@ -237,7 +237,7 @@
         let status = |target: &Target| UpstreamStatus {
             name: target.name.clone(),
             state: target.state(self.sharing.slow_start, self.now),
-            busy: target.busy,
+            busy: target.leased_slots,
             slots: target.slots,
             pinned: self.queue.pinned_len(&target.name) as u32,
             queued,
@@ -290,7 +290,7 @@
                 let jitter = self.rng.random_range(0.3..0.9);
                 target.back_off(now + Duration::from_secs_f64(mean * jitter));
             }
-            Outcome::Draining => target.announce_drain(),
+            Outcome::Draining => target.mark_draining(),
             Outcome::Failed | Outcome::Unreachable => {
                 let rest = Duration::from_secs_f64(mean).saturating_sub(took);
                 target.reserve_slot(now + rest);
--- a/crates/balance/src/target.rs
+++ b/crates/balance/src/target.rs
@@ -17,10 +17,10 @@
 
 /// The smoothing time of the utilisation, in seconds: a value that lasts for this long gets half the weight. The decay
 /// is hyperbolic, not exponential.
-const UTILISATION_WINDOW: f64 = 5.0;
+const UTILISATION_SMOOTHING_SECS: f64 = 5.0;
 /// The slow-start factor at the beginning of a slow start. The load of an upstream is divided by this factor, which
 /// grows linearly to 1.
-const SLOW_START_MIN_SHARE: f64 = 0.1;
+const SLOW_START_MIN_FACTOR: f64 = 0.1;
 /// During slow start, an upstream may use its number of slots times the slow-start factor times this value, at most all
 /// of its slots. So it starts at 40 % of them, which leaves headroom for times when the other upstreams are busy.
 const SLOW_START_HEADROOM: f64 = 4.0;
@@ -35,7 +35,7 @@
     pub(crate) slots: Slots,
     pub(crate) health: Health,
     /// The number of slots that this pool has leased to requests.
-    pub(crate) busy: u32,
+    pub(crate) leased_slots: u32,
     /// Whether the configuration document marks it as draining.
     draining: bool,
     /// Whether it is known to be draining from its own report, from the outcome of a call, or from the caller of the
@@ -49,11 +49,11 @@
     /// Until when it gets no new requests because it refused one due to overload.
     backoff_until: Time,
     /// When its slow start began, if it may still be in progress.
-    slow_start_since: Option<Time>,
-    /// The smoothed utilisation at `utilisation_at`.
-    utilisation: f64,
-    /// When `utilisation` was last updated.
-    utilisation_at: Time,
+    slow_start_began_at: Option<Time>,
+    /// The smoothed utilisation at `last_utilisation_at`.
+    last_utilisation: f64,
+    /// When `last_utilisation` was last updated.
+    last_utilisation_at: Time,
     /// The smoothed estimate of its slots that are in use by requests that this pool did not place.
     busy_elsewhere: f64,
 }
@@ -65,15 +65,15 @@
             zone: upstream.zone.clone(),
             slots: upstream.slots,
             health: Health::new(),
-            busy: 0,
+            leased_slots: 0,
             draining: upstream.state == UpstreamState::Draining,
             drain_announced: false,
             removed: false,
             reserved_until: Vec::new(),
             backoff_until: now,
-            slow_start_since: None,
-            utilisation: 0.0,
-            utilisation_at: now,
+            slow_start_began_at: None,
+            last_utilisation: 0.0,
+            last_utilisation_at: now,
             busy_elsewhere: 0.0,
         }
     }
@@ -87,17 +87,17 @@
     }
 
     /// Marks it as no longer listed in the configuration document.
-    pub(crate) fn remove(&mut self) {
+    pub(crate) fn mark_removed(&mut self) {
         self.removed = true;
     }
 
     /// Whether it is removed and has no request in progress.
     pub(crate) fn can_be_dropped(&self) -> bool {
-        self.removed && self.busy == 0
+        self.removed && self.leased_slots == 0
     }
 
     /// Marks it as draining, so that it gets no new requests until it restarts.
-    pub(crate) fn announce_drain(&mut self) {
+    pub(crate) fn mark_draining(&mut self) {
         self.drain_announced = true;
     }
 
@@ -113,7 +113,7 @@
 
     /// Sets the time at which its slow start began, which may lie in the past.
     pub(crate) fn begin_slow_start(&mut self, started: Time) {
-        self.slow_start_since = Some(started);
+        self.slow_start_began_at = Some(started);
     }
 
     /// Whether it is meant to get new requests, regardless of its health.
@@ -136,28 +136,28 @@
         if !panic_mode && matches!(self.health.state, HealthState::Probing(_)) {
             return slots.min(1);
         }
-        let share = (self.slow_start_share(slow_start, now) * SLOW_START_HEADROOM).min(1.0);
-        (f64::from(slots) * share).ceil() as u32
+        let factor = (self.slow_start_factor(slow_start, now) * SLOW_START_HEADROOM).min(1.0);
+        (f64::from(slots) * factor).ceil() as u32
     }
 
     /// Whether it has a free slot for another request now.
-    pub(crate) fn is_free(&self, slow_start: Duration, panic_mode: bool, now: Time) -> bool {
+    pub(crate) fn has_free_slot(&self, slow_start: Duration, panic_mode: bool, now: Time) -> bool {
         let reserved = self.reserved_until.iter().filter(|until| **until > now).count();
-        let used = self.busy + reserved as u32;
+        let used = self.leased_slots + reserved as u32;
         now >= self.backoff_until && used < self.capacity(slow_start, panic_mode, now)
     }
 
-    /// The slow-start factor: grows linearly from `SLOW_START_MIN_SHARE` to 1 during slow start, and is 1 otherwise.
-    fn slow_start_share(&self, slow_start: Duration, now: Time) -> f64 {
-        let Some(since) = self.slow_start_since else {
+    /// The slow-start factor: grows linearly from `SLOW_START_MIN_FACTOR` to 1 during slow start, and is 1 otherwise.
+    fn slow_start_factor(&self, slow_start: Duration, now: Time) -> f64 {
+        let Some(since) = self.slow_start_began_at else {
             return 1.0;
         };
         let age = now.since(since);
         if age >= slow_start {
             return 1.0;
         }
-        let warm = age.as_secs_f64() / slow_start.as_secs_f64();
-        SLOW_START_MIN_SHARE + (1.0 - SLOW_START_MIN_SHARE) * warm
+        let progress = age.as_secs_f64() / slow_start.as_secs_f64();
+        SLOW_START_MIN_FACTOR + (1.0 - SLOW_START_MIN_FACTOR) * progress
     }
 
     /// The load score for comparison with other upstreams: the current utilisation, including by requests that
@@ -165,34 +165,34 @@
     /// failure rate.
     pub(crate) fn load(&self, slow_start: Duration, now: Time) -> f64 {
         let slots = f64::from(self.slots.0.max(1));
-        let used = (f64::from(self.busy) + self.busy_elsewhere) / slots;
-        (used + self.utilisation(now)) / self.slow_start_share(slow_start, now) + self.health.failure_rate
+        let used = (f64::from(self.leased_slots) + self.busy_elsewhere) / slots;
+        (used + self.utilisation(now)) / self.slow_start_factor(slow_start, now) + self.health.failure_rate
     }
 
     /// The smoothed share of its slots that this pool has leased.
     pub(crate) fn utilisation(&self, now: Time) -> f64 {
         let slots = f64::from(self.slots.0.max(1));
-        let elapsed = now.since(self.utilisation_at).as_secs_f64();
-        let gain = elapsed / (elapsed + UTILISATION_WINDOW);
-        self.utilisation + (f64::from(self.busy) / slots - self.utilisation) * gain
+        let elapsed = now.since(self.last_utilisation_at).as_secs_f64();
+        let gain = elapsed / (elapsed + UTILISATION_SMOOTHING_SECS);
+        self.last_utilisation + (f64::from(self.leased_slots) / slots - self.last_utilisation) * gain
     }
 
     /// Records that a slot is leased.
     pub(crate) fn acquire_slot(&mut self, now: Time) {
         self.update_utilisation(now);
-        self.busy += 1;
+        self.leased_slots += 1;
     }
 
     /// Records that a slot is released.
     pub(crate) fn release_slot(&mut self, now: Time) {
         self.update_utilisation(now);
-        self.busy = self.busy.saturating_sub(1);
+        self.leased_slots = self.leased_slots.saturating_sub(1);
     }
 
     /// Brings the smoothed utilisation up to date, and drops reservations that have expired.
     fn update_utilisation(&mut self, now: Time) {
-        self.utilisation = self.utilisation(now);
-        self.utilisation_at = now;
+        self.last_utilisation = self.utilisation(now);
+        self.last_utilisation_at = now;
         self.reserved_until.retain(|until| *until > now);
     }
 
@@ -220,13 +220,13 @@
             return;
         };
         self.drain_announced |= report.draining;
-        let others = f64::from(report.busy.0) - f64::from(self.busy);
+        let others = f64::from(report.busy.0) - f64::from(self.leased_slots);
         self.busy_elsewhere += (others.max(0.0) - self.busy_elsewhere) * BUSY_ELSEWHERE_GAIN;
         if report.age >= slow_start {
             // It has run for longer than a slow start: its slow start has ended, or it is new to this pool only, for
             // example because another instance now holds the pool of the service.
-            self.slow_start_since = None;
-        } else if self.slow_start_since.is_none() {
+            self.slow_start_began_at = None;
+        } else if self.slow_start_began_at.is_none() {
             self.begin_slow_start(crate::queue::time_before(now, report.age));
         }
     }
@@ -242,7 +242,7 @@
         match self.health.state {
             HealthState::Ejected(_) => State::Ejected,
             HealthState::Probing(_) => State::Probing,
-            HealthState::Healthy if self.slow_start_share(slow_start, now) < 1.0 => State::Warming,
+            HealthState::Healthy if self.slow_start_factor(slow_start, now) < 1.0 => State::Warming,
             HealthState::Healthy => State::Active,
         }
     }
