--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -213,7 +213,7 @@
 
     fn tick(&mut self, cx: &mut Context<'_>) {
         self.tick_membership(cx);
-        self.tick_owner(cx);
+        self.handle_request_timers(cx);
         self.tick_homes(cx);
         self.tick_stop(cx);
         self.ledgers.expire(cx.now, self.limits.answer_bytes.0);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -79,7 +79,7 @@
             return self.reply_refused(cx, routed.caller, key, seq, refusal, RETRY_SOON, None);
         }
         // Also records the arrival, and creates the ledger of a new flow.
-        let known = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
+        let existing_state = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
             Lookup::New => None,
             Lookup::TooOld => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::TooOld)),
             Lookup::Full => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::Limit)),
@@ -88,10 +88,10 @@
         if is_new_flow {
             self.ledgers.assign_group(key, group);
         }
-        if let Some(state) = known {
-            return self.answer_duplicate(cx, key, seq, &state, routed.caller);
+        if let Some(state) = existing_state {
+            return self.reply_without_starting(cx, key, seq, &state, routed.caller);
         }
-        match self.check_kind(&request) {
+        match self.check_new_request(&request) {
             Ok(idempotent) => self.accept_request(cx, claims, request, idempotent, routed),
             Err(rejection) => {
                 self.ledgers.refuse(key, seq, rejection.reason, cx.now);
@@ -102,7 +102,7 @@
     }
 
     /// Replies to a request that does not start now: it has been received before, is too old, or finds the ledger full.
-    fn answer_duplicate(
+    fn reply_without_starting(
         &mut self,
         cx: &mut Context<'_>,
         key: FlowKey,
@@ -133,7 +133,7 @@
 
     /// Checks that the request's service and kind are known and that the limit of concurrent requests allows another.
     /// Returns whether the request is idempotent.
-    fn check_kind(&self, request: &Request) -> Result<bool, Rejection> {
+    fn check_new_request(&self, request: &Request) -> Result<bool, Rejection> {
         let rejection = |reason| Rejection {
             reason,
             retry_after: RETRY_SOON,
@@ -201,7 +201,7 @@
     pub(crate) fn call_upstream(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: &UpstreamName) {
         let Some(address) = self.upstream_address(id, upstream) else {
             // The request no longer waits, or this instance's document is older than the home's. In the latter case
-            // `tick_owner` requests a slot again if the home is another instance.
+            // `handle_request_timers` requests a slot again if the home is another instance.
             return self.release_slot(cx, id, Outcome::Unused, Duration::ZERO);
         };
         let Some(ticket) = self.tickets.get_mut(&id) else {
@@ -274,8 +274,8 @@
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
         };
-        let may_run = outcome.verdict() == Verdict::NotRun || ticket.idempotent;
-        if !may_run || cx.now >= ticket.deadline {
+        let may_retry = outcome.verdict() == Verdict::NotRun || ticket.idempotent;
+        if !may_retry || cx.now >= ticket.deadline {
             let reason = if outcome == Outcome::TimedOut {
                 Reason::Deadline
             } else {
@@ -298,12 +298,12 @@
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
-        let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
-        let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
-        push_chunk(cx, ticket.caller, key, seq, &answer, 0, granted);
+        let last_seq = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
+        let new_token = self.renew_token(cx, &ticket.claims, &ticket.request.token, last_seq.max(seq));
+        push_chunk(cx, ticket.caller, key, seq, &answer, 0, new_token);
         cx.record(Record::Answered(key.flow, seq));
         self.counters.answered += 1;
-        self.record_end(cx, key, seq, RequestState::Answered(Box::new(answer)));
+        self.record_final_state(cx, key, seq, RequestState::Answered(Box::new(answer)));
     }
 
     /// Refuses a request with a final verdict. A call of it must have ended, or been cancelled and marked in doubt.
@@ -314,15 +314,15 @@
         let key = ticket.key();
         let seq = ticket.request.seq;
         let verdict = ticket.verdict();
-        self.record_end(cx, key, seq, RequestState::Refused(verdict, reason));
-        let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
-        let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
-        self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, granted);
+        self.record_final_state(cx, key, seq, RequestState::Refused(verdict, reason));
+        let last_seq = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
+        let new_token = self.renew_token(cx, &ticket.claims, &ticket.request.token, last_seq.max(seq));
+        self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, new_token);
     }
 
     /// Records the final state of a request in the ledger, or sends that state to the successor if a planned stop has
     /// handed the ledger over.
-    fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
+    fn record_final_state(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
         if self.stop.has_handed_over() {
             return self.send_final_state(cx, key, seq, &state);
         }
@@ -340,7 +340,7 @@
 
     /// Aborts requests that are past their deadline, and repeats slot requests that the home has neither granted nor
     /// denied.
-    pub(crate) fn tick_owner(&mut self, cx: &mut Context<'_>) {
+    pub(crate) fn handle_request_timers(&mut self, cx: &mut Context<'_>) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > cx.now {
                 break;
@@ -348,23 +348,23 @@
             self.deadlines.remove(&(deadline, id));
             self.abort_request(cx, id, Reason::Deadline);
         }
-        let silent: Vec<TicketId> = self
+        let timed_out: Vec<TicketId> = self
             .tickets
             .iter()
             .filter(|(_, ticket)| self.slot_request_timed_out(ticket, cx.now))
             .map(|(id, _)| *id)
             .collect();
-        for id in silent {
+        for id in timed_out {
             self.request_slot(cx, id);
         }
     }
 
     fn slot_request_timed_out(&self, ticket: &Ticket, now: Time) -> bool {
-        let Phase::Waiting(asked) = ticket.phase else {
+        let Phase::Waiting(requested_at) = ticket.phase else {
             return false;
         };
         // A slot request to the local home is a function call and cannot be lost.
-        ticket.home != self.local && now.since(asked) > SLOT_REQUEST_RETRY
+        ticket.home != self.local && now.since(requested_at) > SLOT_REQUEST_RETRY
     }
 
     /// Ends a request in any phase: withdraws its slot request or cancels its call, and refuses it.
