--- a/crates/balance/src/target.rs
+++ b/crates/balance/src/target.rs
@@ -116,7 +116,7 @@
         self.slow_start_began_at = Some(started);
     }
 
-    /// Whether it is meant to get new requests, regardless of its health.
+    /// Whether it is neither draining nor removed, regardless of its health.
     pub(crate) fn is_in_service(&self) -> bool {
         !self.draining && !self.drain_announced && !self.removed
     }
@@ -231,7 +231,7 @@
         }
     }
 
-    /// The state shown on status pages.
+    /// The state shown on status pages. [`State::Warming`] is a healthy upstream during slow start.
     pub(crate) fn state(&self, slow_start: Duration, now: Time) -> State {
         if self.removed {
             return State::Removed;
--- a/crates/flow/src/outcome.rs
+++ b/crates/flow/src/outcome.rs
@@ -188,6 +188,7 @@
     fn update(&mut self, failed: u16, rate: f64, baseline: f64, now: Time) {
         let failing_ratio = (baseline * FAILING_RATIO_FACTOR).max(MIN_FAILING_RATIO);
         let failure_weight = (failing_ratio / baseline).ln();
+        // Negative, so that successes decrease the score.
         let success_weight = ((1.0 - failing_ratio) / (1.0 - baseline)).ln();
         let estimated_attempts = rate * now.since(self.updated_at).as_secs_f64();
         let estimated_successes = (estimated_attempts - f64::from(failed)).max(0.0);
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -58,6 +58,7 @@
         match routed.packet.clone() {
             Packet::Request(request) => self.handle_request(cx, claims, request, routed),
             Packet::Pull(pull) => self.handle_pull(cx, key, routed.caller, &pull),
+            // The caller acknowledges that the answer has arrived.
             Packet::Done(done) => self.ledgers.forget_answer(key, done.seq),
             Packet::Close(_) => self.ledgers.close(key, cx.now),
             // `route` has answered it already, because it carries no token.
@@ -214,6 +215,7 @@
             upstream: upstream.clone(),
             since: cx.now,
         };
+        // An existing pin follows the upstream even if the service has no flow affinity any more.
         if ticket.claims.pinned.is_some() || self.documents.has_flow_affinity(&ticket.claims.service) {
             ticket.claims.pinned = Some(upstream.clone());
         }
@@ -384,6 +386,7 @@
     }
 }
 
+/// The outcome that is reported to the home. An unusable answer counts as a failed call: the request may have run.
 fn outcome_of(result: &CallResult) -> Outcome {
     match result {
         CallResult::Answered(_) => Outcome::Completed,
