--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,6 +1,8 @@
-//! Request handling at the owner of a flow.
+//! Request handling at the owner of a flow, the instance that keeps the ledger of the flow's requests.
 //!
-//! Only the owner starts requests of its flows, and only the owner may state that a request has not run.
+//! Only the owner starts calls to upstreams for requests of its flows, and only the owner may refuse a request with
+//! [`Verdict::NotRun`]. The home of a service is the instance that holds the queue and grants the slots of its
+//! upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,17 +39,17 @@
 use crate::ticket::Phase;
 use crate::ticket::Ticket;
 
-/// How long to wait for the home's answer to a slot request before requesting the slot again.
+/// How long to wait for the home to grant or deny a slot request before sending the request again.
 const SLOT_REQUEST_RETRY: Duration = Duration::from_millis(400);
 
-/// Why a request may not start.
+/// Why a new request is refused before it starts.
 struct Rejection {
     reason: Reason,
     retry_after: Millis,
 }
 
 impl Node {
-    /// Handles a packet of a flow that this node owns.
+    /// Handles a packet of a flow that this instance owns.
     pub(crate) fn handle_owned_packet(&mut self, cx: &mut Context<'_>, claims: Claims, routed: &RoutedPacket) {
         let key = FlowKey {
             owner: claims.incarnation,
@@ -56,8 +58,10 @@
         match routed.packet.clone() {
             Packet::Request(request) => self.handle_request(cx, claims, request, routed),
             Packet::Pull(pull) => self.handle_pull(cx, key, routed.caller, &pull),
+            // The caller acknowledges that the answer has arrived.
             Packet::Done(done) => self.ledgers.forget_answer(key, done.seq),
             Packet::Close(_) => self.ledgers.close(key, cx.now),
+            // `route` has answered it already, because it carries no token.
             Packet::Open(_) => {}
         }
     }
@@ -71,10 +75,12 @@
         let is_new_flow = !self.ledgers.contains(key);
         let group = CallerGroup::of(routed.caller.ip(), self.seed);
         if is_new_flow && !self.ledgers.has_room(group, self.limits.flows) {
+            // Without a ledger, it is unknown whether an earlier copy of the request has run.
             let refusal = (Verdict::MayHaveRun, Reason::Limit);
             return self.reply_refused(cx, routed.caller, key, seq, refusal, RETRY_SOON, None);
         }
-        let known = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
+        // Also records the arrival, and creates the ledger of a new flow.
+        let existing_state = match self.ledgers.look_up(key, claims.floor, seq, request.sent, cx.now) {
             Lookup::New => None,
             Lookup::TooOld => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::TooOld)),
             Lookup::Full => Some(RequestState::Refused(Verdict::MayHaveRun, Reason::Limit)),
@@ -83,10 +89,10 @@
         if is_new_flow {
             self.ledgers.assign_group(key, group);
         }
-        if let Some(state) = known {
-            return self.answer_duplicate(cx, key, seq, &state, routed.caller);
+        if let Some(state) = existing_state {
+            return self.reply_without_starting(cx, key, seq, &state, routed.caller);
         }
-        match self.check_kind(&request) {
+        match self.check_new_request(&request) {
             Ok(idempotent) => self.accept_request(cx, claims, request, idempotent, routed),
             Err(rejection) => {
                 self.ledgers.refuse(key, seq, rejection.reason, cx.now);
@@ -96,8 +102,8 @@
         }
     }
 
-    /// Replies to a request that has been received before.
-    fn answer_duplicate(
+    /// Replies to a request that does not start now: it has been received before, is too old, or finds the ledger full.
+    fn reply_without_starting(
         &mut self,
         cx: &mut Context<'_>,
         key: FlowKey,
@@ -126,7 +132,9 @@
         }
     }
 
-    fn check_kind(&self, request: &Request) -> Result<bool, Rejection> {
+    /// Checks that the request's service and kind are known and that the limit of concurrent requests allows another.
+    /// Returns whether the request is idempotent.
+    fn check_new_request(&self, request: &Request) -> Result<bool, Rejection> {
         let rejection = |reason| Rejection {
             reason,
             retry_after: RETRY_SOON,
@@ -170,6 +178,7 @@
             deadline,
             avoid: Vec::new(),
             in_doubt: false,
+            // The home and the phase are set when the slot is requested.
             home: self.local.clone(),
             phase: Phase::Waiting(cx.now),
         };
@@ -181,7 +190,8 @@
         TicketId(self.last_ticket)
     }
 
-    /// Queues a request at the home of its service. Its ledger entry already refers to this ticket.
+    /// Stores the ticket of a request and requests a slot from the home of its service, or refuses the request if there
+    /// is no home. The ledger entry already refers to this ticket.
     pub(crate) fn start_ticket(&mut self, cx: &mut Context<'_>, id: TicketId, ticket: Ticket) {
         self.deadlines.insert((ticket.deadline, id));
         self.tickets.insert(id, ticket);
@@ -191,7 +201,8 @@
     /// Calls the upstream for which a slot was granted.
     pub(crate) fn call_upstream(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: &UpstreamName) {
         let Some(address) = self.upstream_address(id, upstream) else {
-            // This instance's document may be older than the home's. The slot is requested again later.
+            // The request no longer waits, or this instance's document is older than the home's. In the latter case
+            // `handle_request_timers` requests a slot again if the home is another instance.
             return self.release_slot(cx, id, Outcome::Unused, Duration::ZERO);
         };
         let Some(ticket) = self.tickets.get_mut(&id) else {
@@ -204,6 +215,7 @@
             upstream: upstream.clone(),
             since: cx.now,
         };
+        // An existing pin follows the upstream even if the service has no flow affinity any more.
         if ticket.claims.pinned.is_some() || self.documents.has_flow_affinity(&ticket.claims.service) {
             ticket.claims.pinned = Some(upstream.clone());
         }
@@ -223,7 +235,8 @@
         }));
     }
 
-    /// The address at which to call an upstream, if the request still waits for a slot.
+    /// The address at which to call an upstream, if the request still waits for a slot and the current document lists
+    /// the service and the upstream.
     fn upstream_address(&self, id: TicketId, upstream: &UpstreamName) -> Option<SocketAddr> {
         let ticket = self.tickets.get(&id)?;
         if !matches!(ticket.phase, Phase::Waiting(_)) {
@@ -233,7 +246,6 @@
         service.upstream(upstream).map(|upstream| upstream.address)
     }
 
-    /// Handles the end of a call.
     pub(crate) fn handle_call_result(&mut self, cx: &mut Context<'_>, call: CallId, result: CallResult) {
         let Some(id) = self.calls.remove(&call) else {
             return;
@@ -247,6 +259,7 @@
         let outcome = outcome_of(&result);
         let flow = ticket.claims.flow;
         let seq = ticket.request.seq;
+        // No call is in progress any more. The time matters only if another slot is requested, which sets it again.
         ticket.phase = Phase::Waiting(cx.now);
         ticket.in_doubt |= outcome.verdict() == Verdict::MayHaveRun;
         cx.record(Record::Ended(upstream.clone(), flow, seq, outcome));
@@ -257,13 +270,14 @@
         }
     }
 
-    /// Requests another slot if the request may be retried, else refuses it.
+    /// Requests another slot if the request may be retried, or hands the request over if a planned stop has
+    /// handed the ledgers over. Refuses the request if it may not be retried.
     fn retry_or_refuse(&mut self, cx: &mut Context<'_>, id: TicketId, upstream: UpstreamName, outcome: Outcome) {
         let Some(ticket) = self.tickets.get_mut(&id) else {
             return;
         };
-        let may_run = outcome.verdict() == Verdict::NotRun || ticket.idempotent;
-        if !may_run || cx.now >= ticket.deadline {
+        let may_retry = outcome.verdict() == Verdict::NotRun || ticket.idempotent;
+        if !may_retry || cx.now >= ticket.deadline {
             let reason = if outcome == Outcome::TimedOut {
                 Reason::Deadline
             } else {
@@ -286,15 +300,15 @@
         };
         let key = ticket.key();
         let seq = ticket.request.seq;
-        let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
-        let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
-        push_chunk(cx, ticket.caller, key, seq, &answer, 0, granted);
+        let last_seq = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
+        let new_token = self.renew_token(cx, &ticket.claims, &ticket.request.token, last_seq.max(seq));
+        push_chunk(cx, ticket.caller, key, seq, &answer, 0, new_token);
         cx.record(Record::Answered(key.flow, seq));
         self.counters.answered += 1;
-        self.record_end(cx, key, seq, RequestState::Answered(Box::new(answer)));
+        self.record_final_state(cx, key, seq, RequestState::Answered(Box::new(answer)));
     }
 
-    /// Refuses a request with a final verdict. No call of it may be in progress.
+    /// Refuses a request with a final verdict. A call of it must have ended, or been cancelled and marked in doubt.
     pub(crate) fn refuse_request(&mut self, cx: &mut Context<'_>, id: TicketId, reason: Reason, retry_after: Millis) {
         let Some(ticket) = self.remove_ticket(id) else {
             return;
@@ -302,14 +316,15 @@
         let key = ticket.key();
         let seq = ticket.request.seq;
         let verdict = ticket.verdict();
-        self.record_end(cx, key, seq, RequestState::Refused(verdict, reason));
-        let sent = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
-        let granted = self.renew_token(cx, &ticket.claims, &ticket.request.token, sent.max(seq));
-        self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, granted);
+        self.record_final_state(cx, key, seq, RequestState::Refused(verdict, reason));
+        let last_seq = self.ledgers.get(key).map_or(ticket.request.sent, |ledger| ledger.sent);
+        let new_token = self.renew_token(cx, &ticket.claims, &ticket.request.token, last_seq.max(seq));
+        self.reply_refused(cx, ticket.caller, key, seq, (verdict, reason), retry_after, new_token);
     }
 
-    /// Records the end of a request in the ledger, or sends it to the successor if the ledger was handed over.
-    fn record_end(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
+    /// Records the final state of a request in the ledger, or sends that state to the successor if a planned stop has
+    /// handed the ledger over.
+    fn record_final_state(&mut self, cx: &mut Context<'_>, key: FlowKey, seq: RequestSeq, state: RequestState) {
         if self.stop.has_handed_over() {
             return self.send_final_state(cx, key, seq, &state);
         }
@@ -325,8 +340,9 @@
         Some(ticket)
     }
 
-    /// Aborts requests that are past their deadline, and repeats slot requests that the home has not answered.
-    pub(crate) fn tick_owner(&mut self, cx: &mut Context<'_>) {
+    /// Aborts requests that are past their deadline, and repeats slot requests that the home has neither granted nor
+    /// denied.
+    pub(crate) fn handle_request_timers(&mut self, cx: &mut Context<'_>) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > cx.now {
                 break;
@@ -334,22 +350,23 @@
             self.deadlines.remove(&(deadline, id));
             self.abort_request(cx, id, Reason::Deadline);
         }
-        let silent: Vec<TicketId> = self
+        let timed_out: Vec<TicketId> = self
             .tickets
             .iter()
             .filter(|(_, ticket)| self.slot_request_timed_out(ticket, cx.now))
             .map(|(id, _)| *id)
             .collect();
-        for id in silent {
+        for id in timed_out {
             self.request_slot(cx, id);
         }
     }
 
     fn slot_request_timed_out(&self, ticket: &Ticket, now: Time) -> bool {
-        let Phase::Waiting(asked) = ticket.phase else {
+        let Phase::Waiting(requested_at) = ticket.phase else {
             return false;
         };
-        ticket.home != self.local && now.since(asked) > SLOT_REQUEST_RETRY
+        // A slot request to the local home is a function call and cannot be lost.
+        ticket.home != self.local && now.since(requested_at) > SLOT_REQUEST_RETRY
     }
 
     /// Ends a request in any phase: withdraws its slot request or cancels its call, and refuses it.
@@ -369,6 +386,7 @@
     }
 }
 
+/// The outcome that is reported to the home. An unusable answer counts as a failed call: the request may have run.
 fn outcome_of(result: &CallResult) -> Outcome {
     match result {
         CallResult::Answered(_) => Outcome::Completed,
