--- a/crates/caller/src/assembly.rs
+++ b/crates/caller/src/assembly.rs
@@ -9,18 +9,18 @@
 
 /// What became of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Inserted {
+pub(crate) enum InsertOutcome {
     /// It was new.
     New,
     /// It had already arrived.
     Duplicate,
     /// It is not of this answer, or was not asked for.
-    Unfit,
+    Unexpected,
 }
 
 /// Some chunks in a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Run {
+pub(crate) struct ChunkRange {
     pub(crate) first: u32,
     pub(crate) count: u8,
 }
@@ -33,9 +33,9 @@
 pub(crate) struct Assembly {
     pub(crate) head: AnswerHeader,
     body: Vec<u8>,
-    ahead: BTreeMap<u32, ByteBuf>,
+    out_of_order: BTreeMap<u32, ByteBuf>,
     next: u32,
-    asked: u32,
+    requested: u32,
     window: u32,
     max_window: u32,
 }
@@ -46,31 +46,31 @@
         Self {
             head,
             body: Vec::new(),
-            ahead: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             next: 0,
-            asked: 1,
+            requested: 1,
             window,
             max_window: window,
         }
     }
 
     /// Takes a chunk.
-    pub(crate) fn insert(&mut self, index: u32, data: ByteBuf) -> Inserted {
+    pub(crate) fn insert(&mut self, index: u32, data: ByteBuf) -> InsertOutcome {
         if index >= self.head.chunks() || data.len() != self.len_of(index) {
-            return Inserted::Unfit;
+            return InsertOutcome::Unexpected;
         }
-        if index < self.next || self.ahead.contains_key(&index) {
-            return Inserted::Duplicate;
+        if index < self.next || self.out_of_order.contains_key(&index) {
+            return InsertOutcome::Duplicate;
         }
-        if index >= self.asked {
-            return Inserted::Unfit;
+        if index >= self.requested {
+            return InsertOutcome::Unexpected;
         }
-        self.ahead.insert(index, data);
-        while let Some(data) = self.ahead.remove(&self.next) {
+        self.out_of_order.insert(index, data);
+        while let Some(data) = self.out_of_order.remove(&self.next) {
             self.body.extend_from_slice(&data);
             self.next += 1;
         }
-        Inserted::New
+        InsertOutcome::New
     }
 
     fn len_of(&self, index: u32) -> usize {
@@ -79,12 +79,12 @@
     }
 
     /// Whether every chunk has arrived.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.next == self.head.chunks()
     }
 
     /// Whether the chunks that have arrived are the answer that the head names.
-    pub(crate) fn is_genuine(&self) -> bool {
+    pub(crate) fn matches_digest(&self) -> bool {
         self.body.len() == self.head.len as usize && Digest::of(&self.body) == self.head.digest
     }
 
@@ -93,39 +93,39 @@
     }
 
     /// The chunks to ask for next, once enough of the window is free to be worth a packet.
-    pub(crate) fn advance(&mut self) -> Option<Run> {
+    pub(crate) fn request_next(&mut self) -> Option<ChunkRange> {
         let chunks = self.head.chunks();
         let limit = self.next.saturating_add(self.window).min(chunks);
-        let free = limit.saturating_sub(self.asked);
+        let free = limit.saturating_sub(self.requested);
         if free == 0 || (limit < chunks && free < self.window.div_ceil(2)) {
             return None;
         }
-        let first = self.asked;
-        self.asked = limit;
-        Some(Run {
+        let first = self.requested;
+        self.requested = limit;
+        Some(ChunkRange {
             first,
             count: free as u8,
         })
     }
 
     /// The chunks that were asked for and have not arrived. Asking for them again halves the window.
-    pub(crate) fn lost(&mut self) -> Vec<Run> {
+    pub(crate) fn request_missing(&mut self) -> Vec<ChunkRange> {
         self.window = (self.window / 2).max(1);
-        let mut runs: Vec<Run> = Vec::new();
-        for index in self.next..self.asked {
-            if self.ahead.contains_key(&index) {
+        let mut runs: Vec<ChunkRange> = Vec::new();
+        for index in self.next..self.requested {
+            if self.out_of_order.contains_key(&index) {
                 continue;
             }
             match runs.last_mut() {
                 Some(run) if run.first + u32::from(run.count) == index => run.count += 1,
-                _ => runs.push(Run { first: index, count: 1 }),
+                _ => runs.push(ChunkRange { first: index, count: 1 }),
             }
         }
         runs
     }
 
     /// A pull was answered without loss: the window grows again.
-    pub(crate) fn widen(&mut self) {
+    pub(crate) fn grow_window(&mut self) {
         self.window = (self.window + 1).min(self.max_window);
     }
 }
--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -15,33 +15,33 @@
 use wire::Verdict;
 
 use crate::CallId;
+use crate::CallRequest;
 use crate::Failure;
+use crate::FlowCounters;
 use crate::Policy;
-use crate::Tally;
-use crate::Work;
 use crate::assembly::Assembly;
-use crate::assembly::Inserted;
-use crate::assembly::Run;
-use crate::timer::Timer;
+use crate::assembly::ChunkRange;
+use crate::assembly::InsertOutcome;
+use crate::retransmit_timer::RetransmitTimer;
 
 /// One piece of work, from the caller's asking to its end.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: CallId,
-    pub(crate) work: Work,
+    pub(crate) request: CallRequest,
     pub(crate) deadline: Time,
     /// Whether an earlier attempt may have run.
-    pub(crate) doubt: bool,
+    pub(crate) may_have_run: bool,
     /// Why the last attempt ended.
     pub(crate) reason: Reason,
     /// The shortest wait before the next retry.
     pub(crate) backoff: Duration,
-    pub(crate) stage: Stage,
+    pub(crate) state: CallState,
 }
 
 /// How far a piece of work has come.
 #[derive(Debug)]
-pub(crate) enum Stage {
+pub(crate) enum CallState {
     /// It waits for a token and for this time.
     Waiting(Time),
     /// An attempt is in progress.
@@ -49,65 +49,65 @@
 }
 
 impl Call {
-    pub(crate) fn new(now: Time, id: CallId, work: Work, policy: &Policy) -> Self {
-        let deadline = now + work.timeout;
+    pub(crate) fn new(now: Time, id: CallId, request: CallRequest, policy: &Policy) -> Self {
+        let deadline = now + request.timeout;
         Self {
             id,
-            work,
+            request,
             deadline,
-            doubt: false,
+            may_have_run: false,
             reason: Reason::Deadline,
-            backoff: policy.retry,
-            stage: Stage::Waiting(now),
+            backoff: policy.retry_backoff,
+            state: CallState::Waiting(now),
         }
     }
 
     /// How the work ends when its deadline passes now.
-    pub(crate) fn lapse(&self) -> Failure {
-        match self.stage {
-            Stage::Waiting(_) => Failure::local(self.verdict(), self.reason),
-            Stage::Sent(_) => Failure::local(Verdict::MayHaveRun, Reason::Deadline),
+    pub(crate) fn deadline_failure(&self) -> Failure {
+        match self.state {
+            CallState::Waiting(_) => Failure::from_caller(self.verdict(), self.reason),
+            CallState::Sent(_) => Failure::from_caller(Verdict::MayHaveRun, Reason::Deadline),
         }
     }
 
     /// Whether any attempt that has ended may have run.
     pub(crate) fn verdict(&self) -> Verdict {
-        if self.doubt {
+        if self.may_have_run {
             return Verdict::MayHaveRun;
         }
         Verdict::NotRun
     }
 
     pub(crate) fn attempt(&mut self) -> Option<&mut Attempt> {
-        match &mut self.stage {
-            Stage::Waiting(_) => None,
-            Stage::Sent(attempt) => Some(attempt),
+        match &mut self.state {
+            CallState::Waiting(_) => None,
+            CallState::Sent(attempt) => Some(attempt),
         }
     }
 
     /// The number of the attempt in progress.
     pub(crate) fn seq(&self) -> Option<RequestSeq> {
-        match &self.stage {
-            Stage::Waiting(_) => None,
-            Stage::Sent(attempt) => Some(attempt.seq),
+        match &self.state {
+            CallState::Waiting(_) => None,
+            CallState::Sent(attempt) => Some(attempt.seq),
         }
     }
 
     /// Whether it waits for nothing but to be sent.
     pub(crate) fn is_due(&self, now: Time) -> bool {
-        matches!(self.stage, Stage::Waiting(not_before) if not_before <= now)
+        matches!(self.state, CallState::Waiting(not_before) if not_before <= now)
     }
 
     /// Whether the attempt in progress waits for a sign of life.
-    pub(crate) fn is_silent(&self) -> bool {
-        matches!(&self.stage, Stage::Sent(attempt) if attempt.silent)
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        matches!(&self.state, CallState::Sent(attempt) if attempt.unresponsive)
     }
 
     /// When something is to be done for this work.
     pub(crate) fn due(&self) -> Time {
-        let due = match &self.stage {
-            Stage::Waiting(not_before) => *not_before,
-            Stage::Sent(attempt) => attempt.timer.due,
+        let due = match &self.state {
+            CallState::Waiting(not_before) => *not_before,
+            CallState::Sent(attempt) => attempt.timer.due,
         };
         due.min(self.deadline)
     }
@@ -124,10 +124,10 @@
     pub(crate) packet: Vec<u8>,
     pub(crate) accepted: bool,
     /// Whether a packet was sent again and nothing has come since, as when the flow's owner is gone.
-    pub(crate) silent: bool,
+    pub(crate) unresponsive: bool,
     /// How often an instance has said that the flow's owner, or its answer, is gone.
-    pub(crate) disowned: u32,
-    pub(crate) timer: Timer,
+    pub(crate) owner_gone_count: u32,
+    pub(crate) timer: RetransmitTimer,
     pub(crate) answer: Option<Assembly>,
 }
 
@@ -135,77 +135,77 @@
 #[derive(Debug)]
 pub(crate) enum Progress {
     /// Nothing.
-    None,
+    Unchanged,
     /// Some of the answer has arrived.
-    Some,
+    Partial,
     /// All of it has.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
 }
 
 impl Attempt {
     /// Retransmission can slow down: the request has arrived.
     pub(crate) fn accept(&mut self, now: Time, policy: &Policy, rng: &mut SmallRng) {
-        self.silent = false;
+        self.unresponsive = false;
         if self.accepted || self.answer.is_some() {
             return;
         }
         self.accepted = true;
-        self.timer = Timer::start(now, policy.retransmit_accepted, policy, rng);
+        self.timer = RetransmitTimer::start(now, policy.retransmit_accepted, policy, rng);
     }
 
     /// Takes a chunk.
-    pub(crate) fn take(
+    pub(crate) fn insert_chunk(
         &mut self,
         head: AnswerHeader,
         index: u32,
         data: ByteBuf,
         policy: &Policy,
-        tally: &mut Tally,
+        counters: &mut FlowCounters,
     ) -> Progress {
-        self.silent = false;
+        self.unresponsive = false;
         let answer = self.answer.get_or_insert_with(|| Assembly::new(head, policy.window));
         if answer.head != head {
-            tally.crossed += 1;
-            return Progress::None;
+            counters.crossed += 1;
+            return Progress::Unchanged;
         }
         match answer.insert(index, data) {
-            Inserted::New => {}
-            Inserted::Duplicate => {
-                tally.duplicate += 1;
-                return Progress::None;
+            InsertOutcome::New => {}
+            InsertOutcome::Duplicate => {
+                counters.duplicate += 1;
+                return Progress::Unchanged;
             }
-            Inserted::Unfit => {
-                tally.crossed += 1;
-                return Progress::None;
+            InsertOutcome::Unexpected => {
+                counters.crossed += 1;
+                return Progress::Unchanged;
             }
         }
-        if !answer.is_whole() {
-            answer.widen();
-            return Progress::Some;
+        if !answer.is_complete() {
+            answer.grow_window();
+            return Progress::Partial;
         }
-        let genuine = answer.is_genuine();
+        let digest_matches = answer.matches_digest();
         let Some(answer) = self.answer.take() else {
-            return Progress::None;
+            return Progress::Unchanged;
         };
-        if genuine {
-            return Progress::Whole(answer.into_body());
+        if digest_matches {
+            return Progress::Complete(answer.into_body());
         }
-        tally.corrupt += 1;
-        Progress::Some
+        counters.corrupt += 1;
+        Progress::Partial
     }
 
     /// The packets to send when the timer is due.
-    pub(crate) fn overdue(&mut self, service: &ServiceName) -> Vec<Vec<u8>> {
-        self.silent = true;
-        self.unanswered(service)
+    pub(crate) fn timed_out_packets(&mut self, service: &ServiceName) -> Vec<Vec<u8>> {
+        self.unresponsive = true;
+        self.unanswered_packets(service)
     }
 
     /// The packets whose answers have not arrived.
-    pub(crate) fn unanswered(&mut self, service: &ServiceName) -> Vec<Vec<u8>> {
+    pub(crate) fn unanswered_packets(&mut self, service: &ServiceName) -> Vec<Vec<u8>> {
         let Some(answer) = &mut self.answer else {
             return vec![self.packet.clone()];
         };
-        let runs = answer.lost();
+        let runs = answer.request_missing();
         let head = answer.head;
         runs.into_iter().map(|run| self.pull(service, head, run)).collect()
     }
@@ -213,12 +213,12 @@
     /// The next packet that asks for chunks, if it is time.
     pub(crate) fn next_pull(&mut self, service: &ServiceName) -> Option<Vec<u8>> {
         let answer = self.answer.as_mut()?;
-        let run = answer.advance()?;
+        let run = answer.request_next()?;
         let head = answer.head;
         Some(self.pull(service, head, run))
     }
 
-    fn pull(&self, service: &ServiceName, head: AnswerHeader, run: Run) -> Vec<u8> {
+    fn pull(&self, service: &ServiceName, head: AnswerHeader, run: ChunkRange) -> Vec<u8> {
         wire::encode_packet(&Packet::Pull(wire::Pull {
             token: self.token.clone(),
             service: service.clone(),
--- a/crates/caller/src/client.rs
+++ b/crates/caller/src/client.rs
@@ -23,15 +23,15 @@
 
 use crate::Action;
 use crate::CallId;
+use crate::CallRequest;
 use crate::Event;
 use crate::Failure;
 use crate::Flow;
+use crate::FlowCounters;
 use crate::Policy;
-use crate::Tally;
-use crate::Work;
 
 /// How many commands may wait for the task.
-const COMMANDS: usize = 64;
+const COMMAND_QUEUE_LEN: usize = 64;
 
 /// Why a client could not be opened.
 #[derive(Debug)]
@@ -62,8 +62,8 @@
 
 #[derive(Debug)]
 enum Command {
-    Request(Work, oneshot::Sender<Result<Vec<u8>, Failure>>),
-    Tally(oneshot::Sender<Tally>),
+    Request(CallRequest, oneshot::Sender<Result<Vec<u8>, Failure>>),
+    Counters(oneshot::Sender<FlowCounters>),
 }
 
 impl Client {
@@ -86,21 +86,21 @@
             SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
         };
         let socket = UdpSocket::bind(local).await.map_err(OpenError::Io)?;
-        let (commands, inbox) = mpsc::channel(COMMANDS);
+        let (commands, inbox) = mpsc::channel(COMMAND_QUEUE_LEN);
         let (opened, answer) = oneshot::channel();
-        let task = Task {
+        let task = ClientTask {
             flow: Flow::new(service, address, policy, seed),
             socket,
             fabric,
             clock: Clock::start(),
-            opened: Some(opened),
-            waiting: HashMap::new(),
-            last: CallId(0),
+            open_reply: Some(opened),
+            pending: HashMap::new(),
+            last_id: CallId(0),
         };
         tokio::spawn(task.run(inbox));
         let flow = answer
             .await
-            .map_err(|_| OpenError::Refused(abandoned()))?
+            .map_err(|_| OpenError::Refused(task_ended()))?
             .map_err(OpenError::Refused)?;
         Ok(Self { commands, flow })
     }
@@ -112,38 +112,38 @@
 
     /// Asks for work that must not run twice. It is sent anew only when it surely has not run.
     pub async fn request(&self, kind: KindName, body: Vec<u8>, timeout: Duration) -> Result<Vec<u8>, Failure> {
-        let work = Work {
+        let request = CallRequest {
             kind,
             body,
             timeout,
             idempotent: false,
         };
-        self.submit(work).await
+        self.submit(request).await
     }
 
     /// Asks for work.
-    pub async fn submit(&self, work: Work) -> Result<Vec<u8>, Failure> {
+    pub async fn submit(&self, request: CallRequest) -> Result<Vec<u8>, Failure> {
         let (reply, answer) = oneshot::channel();
-        let command = Command::Request(work, reply);
+        let command = Command::Request(request, reply);
         if self.commands.send(command).await.is_err() {
-            return Err(Failure::local(Verdict::NotRun, Reason::Limit));
+            return Err(Failure::from_caller(Verdict::NotRun, Reason::Limit));
         }
-        answer.await.unwrap_or(Err(abandoned()))
+        answer.await.unwrap_or(Err(task_ended()))
     }
 
     /// What the flow has counted.
-    pub async fn tally(&self) -> Tally {
+    pub async fn counters(&self) -> FlowCounters {
         let (reply, answer) = oneshot::channel();
-        if self.commands.send(Command::Tally(reply)).await.is_err() {
-            return Tally::default();
+        if self.commands.send(Command::Counters(reply)).await.is_err() {
+            return FlowCounters::default();
         }
         answer.await.unwrap_or_default()
     }
 }
 
 /// The task ended before the request did.
-fn abandoned() -> Failure {
-    Failure::local(Verdict::MayHaveRun, Reason::Deadline)
+fn task_ended() -> Failure {
+    Failure::from_caller(Verdict::MayHaveRun, Reason::Deadline)
 }
 
 /// Microseconds since the Unix epoch that never run backwards.
@@ -172,27 +172,27 @@
 }
 
 /// Owns the flow and its socket.
-struct Task {
+struct ClientTask {
     flow: Flow,
     socket: UdpSocket,
     fabric: SocketAddr,
     clock: Clock,
-    opened: Option<oneshot::Sender<Result<FlowId, Failure>>>,
-    waiting: HashMap<CallId, oneshot::Sender<Result<Vec<u8>, Failure>>>,
-    last: CallId,
+    open_reply: Option<oneshot::Sender<Result<FlowId, Failure>>>,
+    pending: HashMap<CallId, oneshot::Sender<Result<Vec<u8>, Failure>>>,
+    last_id: CallId,
 }
 
-impl Task {
+impl ClientTask {
     async fn run(mut self, mut inbox: mpsc::Receiver<Command>) {
         // One byte more than a packet may have tells one that is too long.
         let mut buffer = [0; wire::MAX_PACKET_LEN + 1];
-        self.step(Event::Open).await;
+        self.handle_event(Event::Open).await;
         loop {
             let wake = self.flow.next_wake().map(|time| self.clock.instant(time));
             let event = tokio::select! {
                 command = inbox.recv() => match command {
                     None => break,
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                 },
                 received = self.socket.recv(&mut buffer) => match received {
                     Ok(len) => Some(Event::Datagram(buffer[..len].to_vec())),
@@ -201,38 +201,38 @@
                 () = sleep_until(wake) => Some(Event::Tick),
             };
             if let Some(event) = event {
-                self.step(event).await;
+                self.handle_event(event).await;
             }
         }
-        self.step(Event::Close).await;
+        self.handle_event(Event::Close).await;
     }
 
-    fn command(&mut self, command: Command) -> Option<Event> {
+    fn handle_command(&mut self, command: Command) -> Option<Event> {
         match command {
-            Command::Request(work, reply) => {
-                self.last = CallId(self.last.0 + 1);
-                self.waiting.insert(self.last, reply);
-                Some(Event::Request(self.last, work))
+            Command::Request(request, reply) => {
+                self.last_id = CallId(self.last_id.0 + 1);
+                self.pending.insert(self.last_id, reply);
+                Some(Event::Request(self.last_id, request))
             }
-            Command::Tally(reply) => {
+            Command::Counters(reply) => {
                 // Whoever asked may have gone.
-                let _ = reply.send(self.flow.tally());
+                let _ = reply.send(self.flow.counters());
                 None
             }
         }
     }
 
-    async fn step(&mut self, event: Event) {
+    async fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.flow.handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
                 // A datagram that cannot be sent counts as lost and is retransmitted.
                 Action::Send(bytes) => drop(self.socket.send_to(&bytes, self.fabric).await),
-                Action::Opened(flow) => self.answer_open(Ok(flow)),
-                Action::NotOpened(failure) => self.answer_open(Err(failure)),
+                Action::Opened(flow) => self.reply_open(Ok(flow)),
+                Action::OpenFailed(failure) => self.reply_open(Err(failure)),
                 Action::Ended(id, result) => {
-                    let Some(reply) = self.waiting.remove(&id) else {
+                    let Some(reply) = self.pending.remove(&id) else {
                         continue;
                     };
                     // Whoever asked may have gone.
@@ -242,8 +242,8 @@
         }
     }
 
-    fn answer_open(&mut self, result: Result<FlowId, Failure>) {
-        if let Some(opened) = self.opened.take() {
+    fn reply_open(&mut self, result: Result<FlowId, Failure>) {
+        if let Some(opened) = self.open_reply.take() {
             // Whoever asked may have gone.
             let _ = opened.send(result);
         }
--- a/crates/caller/src/tally.rs
+++ b/crates/caller/src/counters.rs
@@ -2,11 +2,11 @@
 
 /// What a flow has counted since it began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Tally {
+pub struct FlowCounters {
     /// Packets that could not be read.
     pub malformed: u64,
     /// Packets of another flow, or about a request that was never sent.
-    pub foreign: u64,
+    pub unmatched: u64,
     /// Packets about a request that has ended.
     pub late: u64,
     /// Chunks that had already arrived.
@@ -16,9 +16,9 @@
     /// Whole answers that did not match their digest.
     pub corrupt: u64,
     /// Tokens not adopted, because a higher number than their floor was in use, or they would leave too few numbers.
-    pub declined: u64,
+    pub tokens_declined: u64,
     /// Tokens adopted in place of an earlier one.
-    pub adopted: u64,
+    pub tokens_adopted: u64,
     /// Packets sent again.
     pub retransmitted: u64,
     /// Requests sent anew after a refusal.
--- a/crates/caller/src/failure.rs
+++ b/crates/caller/src/failure.rs
@@ -37,7 +37,7 @@
 impl std::error::Error for Failure {}
 
 impl Failure {
-    pub(crate) fn local(verdict: Verdict, reason: Reason) -> Self {
+    pub(crate) fn from_caller(verdict: Verdict, reason: Reason) -> Self {
         Self {
             verdict,
             reason,
@@ -48,7 +48,7 @@
 }
 
 /// Whether the same request, sent anew, may fare better.
-pub(crate) fn is_transient(reason: Reason) -> bool {
+pub(crate) fn is_retryable(reason: Reason) -> bool {
     match reason {
         Reason::Overload
         | Reason::Token
--- a/crates/caller/src/flow.rs
+++ b/crates/caller/src/flow.rs
@@ -17,17 +17,17 @@
 use wire::Verdict;
 
 use crate::Failure;
+use crate::FlowCounters;
 use crate::Policy;
-use crate::Tally;
-use crate::budget::Budget;
 use crate::call::Attempt;
 use crate::call::Call;
-use crate::call::Stage;
-use crate::failure::is_transient;
+use crate::call::CallState;
+use crate::failure::is_retryable;
+use crate::retransmit_timer::RetransmitTimer;
+use crate::retransmit_timer::add_jitter;
+use crate::retry_budget::RetryBudget;
 use crate::session::Opening;
 use crate::session::Session;
-use crate::timer::Timer;
-use crate::timer::jitter;
 
 /// Names a piece of work within a flow. Whoever drives the flow picks it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,7 +35,7 @@
 
 /// One piece of work for a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Work {
+pub struct CallRequest {
     /// The kind of request, which the service's document describes.
     pub kind: KindName,
     /// What the upstream gets.
@@ -52,7 +52,7 @@
     /// A token is wanted now, before there is any work.
     Open,
     /// There is work to do.
-    Request(CallId, Work),
+    Request(CallId, CallRequest),
     /// A datagram came.
     Datagram(Vec<u8>),
     /// Time has passed. This comes at the latest at [`Flow::next_wake`].
@@ -69,8 +69,8 @@
     /// The flow was opened.
     Opened(FlowId),
     /// The flow could not be opened in time.
-    NotOpened(Failure),
-    /// Work ended.
+    OpenFailed(Failure),
+    /// A call ended.
     Ended(CallId, Result<Vec<u8>, Failure>),
 }
 
@@ -81,15 +81,15 @@
     address: SocketAddr,
     pub(crate) policy: Policy,
     pub(crate) rng: SmallRng,
-    budget: Budget,
-    pub(crate) tally: Tally,
+    retry_budget: RetryBudget,
+    pub(crate) counters: FlowCounters,
     pub(crate) session: Session,
     /// Until when a token is wanted though there may be no work.
-    pub(crate) wanted: Option<Time>,
+    pub(crate) open_deadline: Option<Time>,
     /// The highest request number used, or ruled out by a token's floor. It outlives reopening.
-    pub(crate) highest: RequestSeq,
+    pub(crate) highest_seq: RequestSeq,
     /// Whether a request ended without a sign of life, and none has come since.
-    pub(crate) lost: bool,
+    pub(crate) owner_lost: bool,
     pub(crate) calls: Vec<Call>,
 }
 
@@ -101,58 +101,60 @@
             address,
             policy,
             rng: SmallRng::seed_from_u64(seed),
-            budget: Budget::new(&policy),
-            tally: Tally::default(),
+            retry_budget: RetryBudget::new(&policy),
+            counters: FlowCounters::default(),
             session: Session::Idle(Time::default()),
-            wanted: None,
-            highest: RequestSeq::default(),
-            lost: false,
+            open_deadline: None,
+            highest_seq: RequestSeq::default(),
+            owner_lost: false,
             calls: Vec::new(),
         }
     }
 
     /// What the flow has counted.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counters(&self) -> FlowCounters {
+        self.counters
     }
 
     /// When a [`Event::Tick`] is due, if one is.
     pub fn next_wake(&self) -> Option<Time> {
         let opening = match &self.session {
             Session::Opening(opening) => Some(opening.timer.due),
-            Session::Idle(not_before) if self.wanted.is_some() => Some(*not_before),
+            Session::Idle(not_before) if self.open_deadline.is_some() => Some(*not_before),
             Session::Idle(_) | Session::Open(_) => None,
         };
-        let session_due = opening.into_iter().chain(self.wanted);
-        let stuck =
-            matches!(self.session, Session::Opening(_)) || self.is_spread() || self.is_silent() || self.is_probing();
-        let calls_due = self.calls.iter().map(|call| self.call_due(call, stuck));
+        let session_due = opening.into_iter().chain(self.open_deadline);
+        let blocked = matches!(self.session, Session::Opening(_))
+            || self.is_seq_span_full()
+            || self.is_unresponsive()
+            || self.is_probing();
+        let calls_due = self.calls.iter().map(|call| self.call_due(call, blocked));
         calls_due.chain(session_due).min()
     }
 
     /// When a call needs something. One that waits for others needs nothing before its deadline.
-    fn call_due(&self, call: &Call, stuck: bool) -> Time {
-        match (&self.session, &call.stage) {
-            (_, Stage::Waiting(_)) if stuck => call.deadline,
-            (Session::Idle(not_before), Stage::Waiting(_)) => call.due().max(*not_before).min(call.deadline),
+    fn call_due(&self, call: &Call, blocked: bool) -> Time {
+        match (&self.session, &call.state) {
+            (_, CallState::Waiting(_)) if blocked => call.deadline,
+            (Session::Idle(not_before), CallState::Waiting(_)) => call.due().max(*not_before).min(call.deadline),
             _ => call.due(),
         }
     }
 
     /// Whether a request in progress waits for a sign of life. If the owner is gone, whatever is sent to it meanwhile
     /// ends in doubt; what waits goes to the next owner and has surely not run before.
-    fn is_silent(&self) -> bool {
-        self.calls.iter().any(Call::is_silent)
+    fn is_unresponsive(&self) -> bool {
+        self.calls.iter().any(Call::is_unresponsive)
     }
 
     /// Whether one request finds out if there is an owner again.
     fn is_probing(&self) -> bool {
-        self.lost && self.calls.iter().any(|call| call.seq().is_some())
+        self.owner_lost && self.calls.iter().any(|call| call.seq().is_some())
     }
 
     /// The one to send while the owner is lost. It has the most time left, so that few end in doubt.
     fn probe(&self, now: Time) -> Option<CallId> {
-        if !self.lost {
+        if !self.owner_lost {
             return None;
         }
         let due = self.calls.iter().filter(|call| call.is_due(now));
@@ -160,40 +162,40 @@
     }
 
     /// Whether the next number would be too far ahead of the oldest one in progress.
-    fn is_spread(&self) -> bool {
+    fn is_seq_span_full(&self) -> bool {
         let numbers = self.calls.iter().filter_map(Call::seq);
-        let next = self.highest.next();
+        let next = self.highest_seq.next();
         numbers
             .min()
-            .is_some_and(|oldest| next.0 - oldest.0 >= self.policy.span)
+            .is_some_and(|oldest| next.0 - oldest.0 >= self.policy.max_seq_span)
     }
 
     /// Takes one event and says what is to be done.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Open => self.wanted = Some(now + self.policy.open_timeout),
-            Event::Request(id, work) => self.accept(now, id, work, out),
+            Event::Open => self.open_deadline = Some(now + self.policy.open_timeout),
+            Event::Request(id, request) => self.enqueue(now, id, request, out),
             Event::Datagram(bytes) => self.receive(now, &bytes, out),
             Event::Tick => {}
             Event::Close => return self.close(out),
         }
         self.expire(now, out);
         self.resend(now, out);
-        self.open(now, out);
-        self.send(now, out);
+        self.open_if_needed(now, out);
+        self.send_queued(now, out);
     }
 
-    fn accept(&mut self, now: Time, id: CallId, work: Work, out: &mut Vec<Action>) {
+    fn enqueue(&mut self, now: Time, id: CallId, request: CallRequest, out: &mut Vec<Action>) {
         if self.calls.len() >= self.policy.max_in_flight {
-            let failure = Failure::local(Verdict::NotRun, Reason::Limit);
+            let failure = Failure::from_caller(Verdict::NotRun, Reason::Limit);
             return out.push(Action::Ended(id, Err(failure)));
         }
-        self.calls.push(Call::new(now, id, work, &self.policy));
+        self.calls.push(Call::new(now, id, request, &self.policy));
     }
 
     fn close(&mut self, out: &mut Vec<Action>) {
         for call in self.calls.drain(..) {
-            out.push(Action::Ended(call.id, Err(call.lapse())));
+            out.push(Action::Ended(call.id, Err(call.deadline_failure())));
         }
         if let Session::Open(open) = &self.session {
             let close = wire::Close {
@@ -203,18 +205,18 @@
             out.push(Action::Send(wire::encode_packet(&Packet::Close(close))));
         }
         self.session = Session::Idle(Time::default());
-        self.wanted = None;
+        self.open_deadline = None;
     }
 
     fn expire(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.wanted.is_some_and(|until| until <= now) {
-            self.wanted = None;
-            let failure = Failure::local(Verdict::NotRun, Reason::Deadline);
-            out.push(Action::NotOpened(failure));
+        if self.open_deadline.is_some_and(|until| until <= now) {
+            self.open_deadline = None;
+            let failure = Failure::from_caller(Verdict::NotRun, Reason::Deadline);
+            out.push(Action::OpenFailed(failure));
         }
         for call in self.calls.extract_if(.., |call| call.deadline <= now) {
-            self.lost |= call.is_silent();
-            out.push(Action::Ended(call.id, Err(call.lapse())));
+            self.owner_lost |= call.is_unresponsive();
+            out.push(Action::Ended(call.id, Err(call.deadline_failure())));
         }
     }
 
@@ -224,31 +226,31 @@
         {
             // An opening has no deadline of its own.
             opening.timer.back_off(now, Time(u64::MAX), &mut self.rng);
-            self.tally.retransmitted += 1;
+            self.counters.retransmitted += 1;
             out.push(Action::Send(opening.packet.clone()));
         }
         for call in &mut self.calls {
-            let Stage::Sent(attempt) = &mut call.stage else {
+            let CallState::Sent(attempt) = &mut call.state else {
                 continue;
             };
             if attempt.timer.due > now {
                 continue;
             }
             attempt.timer.back_off(now, call.deadline, &mut self.rng);
-            for packet in attempt.overdue(&self.service) {
-                self.tally.retransmitted += 1;
+            for packet in attempt.timed_out_packets(&self.service) {
+                self.counters.retransmitted += 1;
                 out.push(Action::Send(packet));
             }
         }
     }
 
     /// Asks for a token if one is needed.
-    fn open(&mut self, now: Time, out: &mut Vec<Action>) {
-        let needed = self.wanted.is_some() || self.calls.iter().any(|call| call.is_due(now));
+    fn open_if_needed(&mut self, now: Time, out: &mut Vec<Action>) {
+        let needed = self.open_deadline.is_some() || self.calls.iter().any(|call| call.is_due(now));
         match &self.session {
             Session::Idle(not_before) if needed && *not_before <= now => {}
             // Nobody waits for the token any more.
-            Session::Opening(_) if self.wanted.is_none() && !self.has_waiting() => {
+            Session::Opening(_) if self.open_deadline.is_none() && !self.has_waiting() => {
                 self.session = Session::Idle(now);
                 return;
             }
@@ -260,70 +262,70 @@
     }
 
     fn has_waiting(&self) -> bool {
-        let waits = |call: &Call| matches!(call.stage, Stage::Waiting(_));
+        let waits = |call: &Call| matches!(call.state, CallState::Waiting(_));
         self.calls.iter().any(waits)
     }
 
     /// Sends the work that waits for nothing any more, each under a number of its own.
-    fn send(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.is_silent() || self.is_probing() {
+    fn send_queued(&mut self, now: Time, out: &mut Vec<Action>) {
+        if self.is_unresponsive() || self.is_probing() {
             return;
         }
         let probe = self.probe(now);
         let Session::Open(open) = &self.session else {
             return;
         };
-        let mut misfits = Vec::new();
+        let mut oversized = Vec::new();
         let mut oldest = self.calls.iter().filter_map(Call::seq).min();
         for call in &mut self.calls {
             if !call.is_due(now) || probe.is_some_and(|probe| probe != call.id) {
                 continue;
             }
-            let seq = self.highest.next();
+            let seq = self.highest_seq.next();
             let oldest = *oldest.get_or_insert(seq);
-            if seq.0 - oldest.0 >= self.policy.span {
+            if seq.0 - oldest.0 >= self.policy.max_seq_span {
                 break;
             }
             let remaining = now.until(call.deadline);
-            let margin = self.policy.margin.min(remaining / 10);
+            let margin = self.policy.deadline_margin.min(remaining / 10);
             let packet = wire::encode_packet(&Packet::Request(wire::Request {
                 token: open.token.clone(),
                 service: self.service.clone(),
                 seq,
                 sent: seq,
-                kind: call.work.kind.clone(),
+                kind: call.request.kind.clone(),
                 timeout: whole_millis(remaining.saturating_sub(margin)),
-                body: ByteBuf::from(call.work.body.as_slice()),
+                body: ByteBuf::from(call.request.body.as_slice()),
             }));
             if packet.len() > wire::MAX_PACKET_LEN {
-                misfits.push(call.id);
+                oversized.push(call.id);
                 continue;
             }
-            self.highest = seq;
+            self.highest_seq = seq;
             out.push(Action::Send(packet.clone()));
-            call.stage = Stage::Sent(Box::new(Attempt {
+            call.state = CallState::Sent(Box::new(Attempt {
                 flow: open.flow,
                 seq,
                 token: open.token.clone(),
                 packet,
                 accepted: false,
-                silent: false,
-                disowned: 0,
-                timer: Timer::start(now, self.policy.retransmit, &self.policy, &mut self.rng),
+                unresponsive: false,
+                owner_gone_count: 0,
+                timer: RetransmitTimer::start(now, self.policy.retransmit, &self.policy, &mut self.rng),
                 answer: None,
             }));
         }
-        for call in self.calls.extract_if(.., |call| misfits.contains(&call.id)) {
-            let failure = Failure::local(call.verdict(), Reason::Limit);
+        for call in self.calls.extract_if(.., |call| oversized.contains(&call.id)) {
+            let failure = Failure::from_caller(call.verdict(), Reason::Limit);
             out.push(Action::Ended(call.id, Err(failure)));
         }
     }
 
     /// An answer has arrived whole.
-    pub(crate) fn succeed(&mut self, index: usize, body: Vec<u8>, out: &mut Vec<Action>) {
-        self.budget.earn();
+    pub(crate) fn complete(&mut self, index: usize, body: Vec<u8>, out: &mut Vec<Action>) {
+        self.retry_budget.deposit();
         let call = self.calls.remove(index);
-        if let Stage::Sent(attempt) = &call.stage {
+        if let CallState::Sent(attempt) = &call.state {
             let done = wire::Done {
                 token: attempt.token.clone(),
                 service: self.service.clone(),
@@ -335,17 +337,17 @@
     }
 
     /// An attempt was refused: the work is sent anew later, or ends.
-    pub(crate) fn refuse(&mut self, now: Time, index: usize, refusal: Failure, out: &mut Vec<Action>) {
+    pub(crate) fn handle_refusal(&mut self, now: Time, index: usize, refusal: Failure, out: &mut Vec<Action>) {
         let call = &mut self.calls[index];
-        call.doubt |= refusal.verdict == Verdict::MayHaveRun;
+        call.may_have_run |= refusal.verdict == Verdict::MayHaveRun;
         call.reason = refusal.reason;
-        let wait = jitter(refusal.retry_after.duration().max(call.backoff), &mut self.rng);
-        let allowed = call.work.idempotent || !call.doubt;
-        let useful = is_transient(refusal.reason) && now + wait < call.deadline;
-        if allowed && useful && self.budget.take() {
+        let wait = add_jitter(refusal.retry_after.duration().max(call.backoff), &mut self.rng);
+        let allowed = call.request.idempotent || !call.may_have_run;
+        let useful = is_retryable(refusal.reason) && now + wait < call.deadline;
+        if allowed && useful && self.retry_budget.try_withdraw() {
             call.backoff *= 2;
-            call.stage = Stage::Waiting(now + wait);
-            self.tally.retried += 1;
+            call.state = CallState::Waiting(now + wait);
+            self.counters.retried += 1;
             return;
         }
         let failure = Failure {
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -5,25 +5,25 @@
 //! fabric address and judge replies by what these say.
 
 mod assembly;
-mod budget;
 mod call;
 mod client;
+mod counters;
 mod failure;
 mod flow;
 mod policy;
 mod receive;
+mod retransmit_timer;
+mod retry_budget;
 mod session;
-mod tally;
-mod timer;
 
 pub use client::Client;
 pub use client::OpenError;
+pub use counters::FlowCounters;
 pub use failure::Failure;
 pub use failure::Origin;
 pub use flow::Action;
 pub use flow::CallId;
+pub use flow::CallRequest;
 pub use flow::Event;
 pub use flow::Flow;
-pub use flow::Work;
 pub use policy::Policy;
-pub use tally::Tally;
--- a/crates/caller/src/policy.rs
+++ b/crates/caller/src/policy.rs
@@ -15,7 +15,7 @@
     /// The longest wait between two retransmissions.
     pub retransmit_max: Duration,
     /// The wait before the first retransmission of a pull.
-    pub pull: Duration,
+    pub retransmit_pull: Duration,
     /// The most chunks that are asked for and have not arrived, at most [`wire::Pull::MAX_COUNT`].
     pub window: u8,
     /// The longest answer that is taken, in bytes.
@@ -24,18 +24,18 @@
     pub max_in_flight: usize,
     /// How far the newest request number may be ahead of the oldest one in progress. An owner tells only so many
     /// numbers of a flow apart, and what is older it must call `may have run`.
-    pub span: u64,
+    pub max_seq_span: u64,
     /// The shortest wait before the first retry. It doubles each time.
-    pub retry: Duration,
+    pub retry_backoff: Duration,
     /// How many more instances are asked when one says that the flow's owner, or its answer, is gone.
-    pub second_opinions: u32,
+    pub owner_gone_resends: u32,
     /// The most retries, in percent of successes.
     pub retry_percent: u32,
     /// How many retries may be made before any success, and the most that are saved up.
     pub retry_reserve: u32,
     /// How much sooner the instances' deadline passes than the caller's own, so that their refusal, which may be
     /// `not run`, arrives in time. It is at most a tenth of the timeout.
-    pub margin: Duration,
+    pub deadline_margin: Duration,
 }
 
 impl Default for Policy {
@@ -45,16 +45,16 @@
             retransmit: Duration::from_millis(100),
             retransmit_accepted: Duration::from_millis(500),
             retransmit_max: Duration::from_secs(2),
-            pull: Duration::from_millis(100),
+            retransmit_pull: Duration::from_millis(100),
             window: wire::Pull::MAX_COUNT,
             max_answer: 16 * 1_024 * 1_024,
             max_in_flight: 64,
-            span: 32,
-            retry: Duration::from_millis(50),
-            second_opinions: 3,
+            max_seq_span: 32,
+            retry_backoff: Duration::from_millis(50),
+            owner_gone_resends: 3,
             retry_percent: 10,
             retry_reserve: 3,
-            margin: Duration::from_millis(50),
+            deadline_margin: Duration::from_millis(50),
         }
     }
 }
--- a/crates/caller/src/receive.rs
+++ b/crates/caller/src/receive.rs
@@ -20,22 +20,22 @@
 use crate::Origin;
 use crate::call::Attempt;
 use crate::call::Call;
+use crate::call::CallState;
 use crate::call::Progress;
-use crate::call::Stage;
-use crate::failure::is_transient;
-use crate::session::Open;
+use crate::failure::is_retryable;
+use crate::retransmit_timer::RetransmitTimer;
+use crate::retransmit_timer::add_jitter;
+use crate::session::OpenSession;
 use crate::session::Session;
-use crate::timer::Timer;
-use crate::timer::jitter;
 
 /// The highest floor of a token that is taken. The numbers that are left above it outlast any flow, while without
 /// them the last number would be used again, and one request get another one's answer.
-const MAX_FLOOR: RequestSeq = RequestSeq(u64::MAX / 2);
+const MAX_TOKEN_FLOOR: RequestSeq = RequestSeq(u64::MAX / 2);
 
 impl Flow {
     pub(crate) fn receive(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Action>) {
         let Ok(reply) = wire::decode_reply(bytes) else {
-            self.tally.malformed += 1;
+            self.counters.malformed += 1;
             return;
         };
         match reply {
@@ -48,34 +48,34 @@
 
     fn on_opened(&mut self, opened: Opened, out: &mut Vec<Action>) {
         let Session::Opening(opening) = &self.session else {
-            self.tally.late += 1;
+            self.counters.late += 1;
             return;
         };
         if opening.nonce != opened.nonce {
-            self.tally.foreign += 1;
+            self.counters.unmatched += 1;
             return;
         }
-        if opened.granted.floor > MAX_FLOOR {
-            self.tally.declined += 1;
+        if opened.granted.floor > MAX_TOKEN_FLOOR {
+            self.counters.tokens_declined += 1;
             return;
         }
-        self.session = Session::Open(Open {
+        self.session = Session::Open(OpenSession {
             flow: opened.flow,
             token: opened.granted.token,
         });
-        self.lost = false;
+        self.owner_lost = false;
         // Numbers are never used twice, whatever flow they were used in.
-        self.highest = self.highest.max(opened.granted.floor);
-        if self.wanted.take().is_some() {
+        self.highest_seq = self.highest_seq.max(opened.granted.floor);
+        if self.open_deadline.take().is_some() {
             out.push(Action::Opened(opened.flow));
         }
     }
 
     fn on_accepted(&mut self, now: Time, accepted: &Accepted) {
         let Some(index) = self.find(accepted.flow, accepted.seq) else {
-            return self.take_stray(accepted.flow, accepted.seq, None);
+            return self.handle_unmatched(accepted.flow, accepted.seq, None);
         };
-        self.lost = false;
+        self.owner_lost = false;
         if let Some(attempt) = self.calls[index].attempt() {
             attempt.accept(now, &self.policy, &mut self.rng);
         }
@@ -83,29 +83,29 @@
 
     fn on_chunk(&mut self, now: Time, chunk: Chunk, out: &mut Vec<Action>) {
         let Some(index) = self.find(chunk.flow, chunk.seq) else {
-            return self.take_stray(chunk.flow, chunk.seq, chunk.granted);
+            return self.handle_unmatched(chunk.flow, chunk.seq, chunk.granted);
         };
         if chunk.head.len > self.policy.max_answer {
-            let refusal = Failure::local(Verdict::MayHaveRun, Reason::Limit);
+            let refusal = Failure::from_caller(Verdict::MayHaveRun, Reason::Limit);
             return self.fail(index, refusal, out);
         }
-        self.lost = false;
-        self.adopt(chunk.flow, chunk.granted);
+        self.owner_lost = false;
+        self.adopt_token(chunk.flow, chunk.granted);
         let Some(attempt) = self.calls[index].attempt() else {
             return;
         };
-        let progress = attempt.take(chunk.head, chunk.index, chunk.data, &self.policy, &mut self.tally);
+        let progress = attempt.insert_chunk(chunk.head, chunk.index, chunk.data, &self.policy, &mut self.counters);
         match progress {
-            Progress::None => return,
-            Progress::Whole(body) => return self.succeed(index, body, out),
-            Progress::Some => {}
+            Progress::Unchanged => return,
+            Progress::Complete(body) => return self.complete(index, body, out),
+            Progress::Partial => {}
         }
         let wait = if attempt.answer.is_some() {
-            self.policy.pull
+            self.policy.retransmit_pull
         } else {
             self.policy.retransmit
         };
-        attempt.timer = Timer::start(now, wait, &self.policy, &mut self.rng);
+        attempt.timer = RetransmitTimer::start(now, wait, &self.policy, &mut self.rng);
         if let Some(packet) = attempt.next_pull(&self.service) {
             out.push(Action::Send(packet));
         }
@@ -126,45 +126,47 @@
                 refusal.verdict = Verdict::MayHaveRun;
                 self.find_answer(flow, seq, digest).ok_or((flow, seq))
             }
-            RefusalSubject::Unread(seq) => self.find_number(seq).ok_or((self.flow_id(), seq)),
+            RefusalSubject::Unread(seq) => self.find_seq(seq).ok_or((self.flow_id(), seq)),
         };
         let index = match found {
             Ok(index) => index,
-            Err((flow, seq)) => return self.take_stray(flow, seq, refused.granted),
+            Err((flow, seq)) => return self.handle_unmatched(flow, seq, refused.granted),
         };
         let is_pull = matches!(refused.subject, RefusalSubject::Pull(..));
         let answering = self.calls[index].attempt().is_some_and(|a| a.answer.is_some());
         if answering && !is_pull {
             // Another copy of the request was refused, but this one is being answered.
-            self.tally.crossed += 1;
+            self.counters.crossed += 1;
             return;
         }
-        self.lost &= refused.reason == Reason::OwnerGone;
+        self.owner_lost &= refused.reason == Reason::OwnerGone;
         if let Some(flow) = self.calls[index].attempt().map(|attempt| attempt.flow) {
-            self.adopt(flow, refused.granted);
+            self.adopt_token(flow, refused.granted);
         }
-        if matches!(refused.reason, Reason::OwnerGone | Reason::AnswerGone) && self.ask_elsewhere(now, index, out) {
+        if matches!(refused.reason, Reason::OwnerGone | Reason::AnswerGone)
+            && self.resend_after_owner_gone(now, index, out)
+        {
             return;
         }
         if refused.reason == Reason::Token {
-            self.drop_token(now, index);
+            self.discard_token(now, index);
         }
-        self.refuse(now, index, refusal, out);
+        self.handle_refusal(now, index, refusal, out);
     }
 
     /// An instance takes the flow's owner for gone. While availability zones are cut off from each other another one
     /// may still reach it, so a few more are asked by sending again, byte for byte, what was refused.
-    fn ask_elsewhere(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> bool {
+    fn resend_after_owner_gone(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> bool {
         let Some(attempt) = self.calls[index].attempt() else {
             return false;
         };
-        attempt.disowned += 1;
-        if attempt.disowned > self.policy.second_opinions {
+        attempt.owner_gone_count += 1;
+        if attempt.owner_gone_count > self.policy.owner_gone_resends {
             return false;
         }
-        attempt.timer = Timer::start(now, self.policy.retransmit, &self.policy, &mut self.rng);
-        for packet in attempt.unanswered(&self.service) {
-            self.tally.retransmitted += 1;
+        attempt.timer = RetransmitTimer::start(now, self.policy.retransmit, &self.policy, &mut self.rng);
+        for packet in attempt.unanswered_packets(&self.service) {
+            self.counters.retransmitted += 1;
             out.push(Action::Send(packet));
         }
         true
@@ -172,26 +174,32 @@
 
     fn on_open_refused(&mut self, now: Time, nonce: units::Nonce, refusal: Failure, out: &mut Vec<Action>) {
         if !matches!(&self.session, Session::Opening(opening) if opening.nonce == nonce) {
-            self.tally.foreign += 1;
+            self.counters.unmatched += 1;
             return;
         }
-        let wait = jitter(refusal.retry_after.duration().max(self.policy.retry), &mut self.rng);
+        let wait = add_jitter(
+            refusal.retry_after.duration().max(self.policy.retry_backoff),
+            &mut self.rng,
+        );
         let not_before = now + wait;
-        let final_one = !is_transient(refusal.reason);
+        let is_permanent = !is_retryable(refusal.reason);
         self.session = Session::Idle(not_before);
         let failure = Failure {
             verdict: Verdict::NotRun,
             ..refusal
         };
-        if self.wanted.is_some_and(|until| final_one || until <= not_before) {
-            self.wanted = None;
-            out.push(Action::NotOpened(failure));
+        if self
+            .open_deadline
+            .is_some_and(|until| is_permanent || until <= not_before)
+        {
+            self.open_deadline = None;
+            out.push(Action::OpenFailed(failure));
         }
-        let hopeless = |call: &mut Call| {
-            let waits = matches!(call.stage, Stage::Waiting(_));
-            waits && (final_one || call.deadline <= not_before)
+        let cannot_be_sent = |call: &mut Call| {
+            let waits = matches!(call.state, CallState::Waiting(_));
+            waits && (is_permanent || call.deadline <= not_before)
         };
-        for call in self.calls.extract_if(.., hopeless) {
+        for call in self.calls.extract_if(.., cannot_be_sent) {
             let failure = Failure {
                 verdict: call.verdict(),
                 ..refusal
@@ -202,7 +210,7 @@
 
     /// Takes a reissued token for the flow, unless a number above its floor is in use under another token. It may come
     /// with a packet about a request that has ended here.
-    fn adopt(&mut self, flow: FlowId, granted: Option<IssuedToken>) {
+    fn adopt_token(&mut self, flow: FlowId, granted: Option<IssuedToken>) {
         let Some(granted) = granted else {
             return;
         };
@@ -212,25 +220,25 @@
         if open.flow != flow || open.token == granted.token {
             return;
         }
-        if granted.floor < self.highest || granted.floor > MAX_FLOOR {
-            self.tally.declined += 1;
+        if granted.floor < self.highest_seq || granted.floor > MAX_TOKEN_FLOOR {
+            self.counters.tokens_declined += 1;
             return;
         }
         open.token = granted.token;
-        self.lost = false;
-        self.highest = granted.floor;
-        self.tally.adopted += 1;
+        self.owner_lost = false;
+        self.highest_seq = granted.floor;
+        self.counters.tokens_adopted += 1;
     }
 
     /// A token was refused: if it is the flow's present one, a new flow is opened for later requests.
-    fn drop_token(&mut self, now: Time, index: usize) {
+    fn discard_token(&mut self, now: Time, index: usize) {
         let Some(attempt) = self.calls[index].attempt() else {
             return;
         };
         let refused = &attempt.token;
         if matches!(&self.session, Session::Open(open) if &open.token == refused) {
             self.session = Session::Idle(now);
-            self.tally.reopened += 1;
+            self.counters.reopened += 1;
         }
     }
 
@@ -243,7 +251,7 @@
         self.position(|attempt| attempt.flow == flow && attempt.seq == seq)
     }
 
-    fn find_number(&self, seq: RequestSeq) -> Option<usize> {
+    fn find_seq(&self, seq: RequestSeq) -> Option<usize> {
         self.position(|attempt| attempt.seq == seq)
     }
 
@@ -253,9 +261,9 @@
     }
 
     fn position(&self, wanted: impl Fn(&Attempt) -> bool) -> Option<usize> {
-        self.calls.iter().position(|call| match &call.stage {
-            Stage::Waiting(_) => false,
-            Stage::Sent(attempt) => wanted(attempt),
+        self.calls.iter().position(|call| match &call.state {
+            CallState::Waiting(_) => false,
+            CallState::Sent(attempt) => wanted(attempt),
         })
     }
 
@@ -267,12 +275,12 @@
     }
 
     /// Counts a packet about a request that is not in progress.
-    fn take_stray(&mut self, flow: FlowId, seq: RequestSeq, granted: Option<IssuedToken>) {
-        if flow != self.flow_id() || seq > self.highest {
-            self.tally.foreign += 1;
+    fn handle_unmatched(&mut self, flow: FlowId, seq: RequestSeq, granted: Option<IssuedToken>) {
+        if flow != self.flow_id() || seq > self.highest_seq {
+            self.counters.unmatched += 1;
             return;
         }
-        self.tally.late += 1;
-        self.adopt(flow, granted);
+        self.counters.late += 1;
+        self.adopt_token(flow, granted);
     }
 }
--- a/crates/caller/src/timer.rs
+++ b/crates/caller/src/retransmit_timer.rs
@@ -9,18 +9,18 @@
 use crate::Policy;
 
 /// Lengthens a span by up to a quarter. It never shortens it, so that "come back in" is kept.
-pub(crate) fn jitter(span: Duration, rng: &mut SmallRng) -> Duration {
+pub(crate) fn add_jitter(span: Duration, rng: &mut SmallRng) -> Duration {
     let quarter = span / 4;
     span + quarter.mul_f64(rng.random::<f64>())
 }
 
 /// The part of the time left that passes at most before a packet is sent again, so that several attempts fit before
 /// the deadline.
-const PART: u32 = 3;
+const REMAINING_TIME_DIVISOR: u32 = 3;
 
 /// When to send a packet again.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Timer {
+pub(crate) struct RetransmitTimer {
     /// When it is due.
     pub(crate) due: Time,
     interval: Duration,
@@ -28,11 +28,11 @@
     max: Duration,
 }
 
-impl Timer {
+impl RetransmitTimer {
     /// A timer for a packet that is sent now.
     pub(crate) fn start(now: Time, interval: Duration, policy: &Policy, rng: &mut SmallRng) -> Self {
         Self {
-            due: now + jitter(interval, rng),
+            due: now + add_jitter(interval, rng),
             interval,
             min: policy.retransmit,
             max: policy.retransmit_max,
@@ -41,8 +41,8 @@
 
     /// The packet is sent again now, and is of no use after the deadline.
     pub(crate) fn back_off(&mut self, now: Time, deadline: Time, rng: &mut SmallRng) {
-        let part = now.until(deadline) / PART;
+        let part = now.until(deadline) / REMAINING_TIME_DIVISOR;
         self.interval = (self.interval * 2).min(self.max);
-        self.due = now + jitter(self.interval.min(part.max(self.min)), rng);
+        self.due = now + add_jitter(self.interval.min(part.max(self.min)), rng);
     }
 }
--- a/crates/caller/src/session.rs
+++ b/crates/caller/src/session.rs
@@ -9,7 +9,7 @@
 use wire::SealedToken;
 
 use crate::Policy;
-use crate::timer::Timer;
+use crate::retransmit_timer::RetransmitTimer;
 
 /// Whether a flow has a token.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     /// It has asked for one.
     Opening(Opening),
     /// It has one.
-    Open(Open),
+    Open(OpenSession),
 }
 
 /// An `Open` that is not answered yet.
@@ -27,7 +27,7 @@
 pub(crate) struct Opening {
     pub(crate) nonce: Nonce,
     pub(crate) packet: Vec<u8>,
-    pub(crate) timer: Timer,
+    pub(crate) timer: RetransmitTimer,
 }
 
 impl Opening {
@@ -44,14 +44,14 @@
             service: service.clone(),
             address,
         }));
-        let timer = Timer::start(now, policy.retransmit, policy, rng);
+        let timer = RetransmitTimer::start(now, policy.retransmit, policy, rng);
         Self { nonce, packet, timer }
     }
 }
 
 /// What the packets of a flow carry.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct OpenSession {
     pub(crate) flow: FlowId,
     pub(crate) token: SealedToken,
 }
--- a/crates/caller/tests/client.rs
+++ b/crates/caller/tests/client.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use caller::CallRequest;
 use caller::Client;
 use caller::Failure;
 use caller::OpenError;
 use caller::Origin;
 use caller::Policy;
-use caller::Work;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -32,22 +32,22 @@
 use wire::Verdict;
 
 /// The chance that a datagram is lost, in either direction.
-const LOSS: f64 = 0.15;
+const LOSS_RATE: f64 = 0.15;
 /// The chance that a datagram comes twice.
-const DOUBLING: f64 = 0.1;
+const DUPLICATION_RATE: f64 = 0.1;
 const FLOW: FlowId = FlowId(7);
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Answers each request with its body, a thousand times over.
-struct Service {
+struct LossyService {
     socket: UdpSocket,
     rng: SmallRng,
     answers: HashMap<RequestSeq, Answer>,
     /// A datagram that is overtaken by the next one.
-    held: Option<Vec<u8>>,
+    delayed: Option<Vec<u8>>,
 }
 
-impl Service {
+impl LossyService {
     async fn start() -> SocketAddr {
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("loopback has a free port");
         let address = socket.local_addr().expect("the socket is bound");
@@ -55,7 +55,7 @@
             socket,
             rng: SmallRng::seed_from_u64(1),
             answers: HashMap::new(),
-            held: None,
+            delayed: None,
         };
         tokio::spawn(service.run());
         address
@@ -65,7 +65,7 @@
         let mut buffer = [0; wire::MAX_PACKET_LEN];
         loop {
             let (len, from) = self.socket.recv_from(&mut buffer).await.expect("loopback works");
-            if self.rng.random_bool(LOSS) {
+            if self.rng.random_bool(LOSS_RATE) {
                 continue;
             }
             let packet = wire::decode_packet(&buffer[..len]).expect("the client sends valid packets");
@@ -76,13 +76,13 @@
     }
 
     async fn send(&mut self, bytes: Vec<u8>, to: SocketAddr) {
-        if self.rng.random_bool(LOSS) {
+        if self.rng.random_bool(LOSS_RATE) {
             return;
         }
-        if self.rng.random_bool(DOUBLING) {
-            self.held = Some(bytes.clone());
+        if self.rng.random_bool(DUPLICATION_RATE) {
+            self.delayed = Some(bytes.clone());
         }
-        let overtaken = self.held.take_if(|held| *held != bytes);
+        let overtaken = self.delayed.take_if(|delayed| *delayed != bytes);
         for bytes in std::iter::once(bytes).chain(overtaken) {
             self.socket.send_to(&bytes, to).await.expect("loopback works");
         }
@@ -144,7 +144,7 @@
         open_timeout: TIMEOUT,
         retransmit: short,
         retransmit_max: short * 4,
-        pull: short,
+        retransmit_pull: short,
         ..Policy::default()
     }
 }
@@ -158,7 +158,7 @@
 
 #[tokio::test]
 async fn many_requests_in_flight_get_their_own_answers() {
-    let client = open(Service::start().await).await;
+    let client = open(LossyService::start().await).await;
     assert_eq!(client.flow(), FLOW);
     let mut calls = JoinSet::new();
     for number in 0..40_usize {
@@ -173,15 +173,15 @@
     while let Some(ended) = calls.join_next().await {
         ended.expect("every request is answered");
     }
-    let tally = client.tally().await;
-    assert!(tally.retransmitted > 0 && tally.duplicate > 0, "{tally:?}");
-    assert_eq!((tally.malformed, tally.foreign, tally.corrupt), (0, 0, 0));
+    let counters = client.counters().await;
+    assert!(counters.retransmitted > 0 && counters.duplicate > 0, "{counters:?}");
+    assert_eq!((counters.malformed, counters.unmatched, counters.corrupt), (0, 0, 0));
 }
 
 #[tokio::test]
 async fn a_refusal_ends_the_request() {
-    let client = open(Service::start().await).await;
-    let work = Work {
+    let client = open(LossyService::start().await).await;
+    let request = CallRequest {
         kind: "refuse".parse().expect("a valid name"),
         body: Vec::new(),
         timeout: TIMEOUT,
@@ -193,7 +193,7 @@
         retry_after: Millis(5),
         origin: Origin::Instance,
     };
-    assert_eq!(client.submit(work).await, Err(refused));
+    assert_eq!(client.submit(request).await, Err(refused));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/caller/tests/flow.rs
+++ b/crates/caller/tests/flow.rs
@@ -6,10 +6,10 @@
 
 use caller::Action;
 use caller::CallId;
+use caller::CallRequest;
 use caller::Event;
 use caller::Flow;
 use caller::Policy;
-use caller::Work;
 use datadriven::TestCase;
 use serde_bytes::ByteBuf;
 use units::FlowId;
@@ -65,7 +65,7 @@
         match action {
             Action::Send(bytes) => self.show_packet(&bytes),
             Action::Opened(flow) => format!("opened {flow}"),
-            Action::NotOpened(failure) => format!("not opened, {failure}"),
+            Action::OpenFailed(failure) => format!("not opened, {failure}"),
             Action::Ended(id, Ok(body)) => format!("end {}: answer of {} bytes", id.0, body.len()),
             Action::Ended(id, Err(failure)) => format!("end {}: {failure}", id.0),
         }
@@ -123,11 +123,11 @@
             "pass" => self.pass(Duration::from_millis(arg(case, "ms"))),
             "request" => {
                 let id = CallId(arg(case, "id"));
-                let work = work(case);
-                self.handle(Event::Request(id, work))
+                let request = request(case);
+                self.handle(Event::Request(id, request))
             }
             "garbage" => self.handle(Event::Datagram(case.input.clone().into_bytes())),
-            "tally" => format!("{:#?}\n", self.flow.tally())
+            "counters" => format!("{:#?}\n", self.flow.counters())
                 .lines()
                 .filter(|line| !line.ends_with(": 0,"))
                 .fold(String::new(), |text, line| text + line.trim_start() + "\n"),
@@ -202,9 +202,9 @@
         .unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-fn work(case: &mut TestCase) -> Work {
+fn request(case: &mut TestCase) -> CallRequest {
     let kind: String = arg(case, "kind");
-    Work {
+    CallRequest {
         kind: kind.parse().expect("a valid kind"),
         body: vec![b'.'; opt(case, "body").unwrap_or(10)],
         timeout: Duration::from_millis(arg(case, "timeout")),
@@ -266,7 +266,7 @@
     datadriven::walk("tests/flow", |file| {
         // Scripts take the first refusal as the last word, unless they say otherwise.
         let plain = Policy {
-            second_opinions: 0,
+            owner_gone_resends: 0,
             ..Policy::default()
         };
         let mut script = Script::new(plain);
@@ -275,9 +275,9 @@
                 return script.run(case);
             }
             let mut policy = plain;
-            policy.second_opinions = opt(case, "second-opinions").unwrap_or(policy.second_opinions);
+            policy.owner_gone_resends = opt(case, "owner-gone-resends").unwrap_or(policy.owner_gone_resends);
             policy.window = opt(case, "window").unwrap_or(policy.window);
-            policy.span = opt(case, "span").unwrap_or(policy.span);
+            policy.max_seq_span = opt(case, "span").unwrap_or(policy.max_seq_span);
             policy.max_answer = opt(case, "max-answer").unwrap_or(policy.max_answer);
             policy.max_in_flight = opt(case, "max-in-flight").unwrap_or(policy.max_in_flight);
             policy.retry_reserve = opt(case, "retry-reserve").unwrap_or(policy.retry_reserve);
--- a/crates/caller/tests/random.rs
+++ b/crates/caller/tests/random.rs
@@ -6,11 +6,11 @@
 
 use caller::Action;
 use caller::CallId;
+use caller::CallRequest;
 use caller::Event;
 use caller::Failure;
 use caller::Flow;
 use caller::Policy;
-use caller::Work;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -91,26 +91,26 @@
     flow: FlowId,
 }
 
-struct World {
+struct Simulation {
     flow: Flow,
     now: Time,
     nonce: Nonce,
     opened: FlowId,
     sent: BTreeMap<RequestSeq, Sent>,
-    works: HashMap<CallId, Work>,
+    requests: HashMap<CallId, CallRequest>,
     ended: HashMap<CallId, Result<Vec<u8>, Failure>>,
     /// The earliest time at which a refused piece of work may be sent anew, where it may be at all.
-    again: HashMap<CallId, Time>,
+    retry_not_before: HashMap<CallId, Time>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let service = "availability".parse().expect("a valid name");
         let address = "10.0.0.1:7000".parse().expect("a valid address");
         let policy = Policy {
             retry_reserve: 100,
             window: 3,
-            span: 3,
+            max_seq_span: 3,
             ..Policy::default()
         };
         Self {
@@ -119,9 +119,9 @@
             nonce: Nonce(0),
             opened: FlowId(0),
             sent: BTreeMap::new(),
-            works: HashMap::new(),
+            requests: HashMap::new(),
             ended: HashMap::new(),
-            again: HashMap::new(),
+            retry_not_before: HashMap::new(),
         }
     }
 
@@ -131,9 +131,9 @@
         for action in actions {
             match action {
                 Action::Send(bytes) => self.on_sent(&bytes),
-                Action::Opened(_) | Action::NotOpened(_) => {}
+                Action::Opened(_) | Action::OpenFailed(_) => {}
                 Action::Ended(id, result) => {
-                    assert!(self.works.contains_key(&id), "work that was never asked for ended");
+                    assert!(self.requests.contains_key(&id), "work that was never asked for ended");
                     assert!(self.ended.insert(id, result).is_none(), "work ended twice");
                 }
             }
@@ -163,18 +163,18 @@
         }
         let highest = self.sent.last_key_value().map(|(seq, _)| *seq);
         assert!(highest.is_none_or(|highest| highest < request.seq), "numbers only grow");
-        self.check_span(request.seq);
+        self.check_seq_span(request.seq);
         assert_eq!(request.sent, request.seq);
         let call = CallId(request.body[0].into());
         let earlier = self.sent.values().any(|sent| sent.call == call);
         if earlier {
-            let again = self.again.get(&call);
+            let not_before = self.retry_not_before.get(&call);
             assert!(
-                again.is_some_and(|again| self.now >= *again),
+                not_before.is_some_and(|not_before| self.now >= *not_before),
                 "work was sent anew too soon or for no reason"
             );
         }
-        self.again.remove(&call);
+        self.retry_not_before.remove(&call);
         self.sent.insert(
             request.seq,
             Sent {
@@ -186,13 +186,13 @@
     }
 
     /// Checks that no number still in progress is left far behind.
-    fn check_span(&self, newest: RequestSeq) {
+    fn check_seq_span(&self, newest: RequestSeq) {
         for (seq, sent) in &self.sent {
             let latest = !self
                 .sent
                 .iter()
                 .any(|(other, newer)| other > seq && newer.call == sent.call);
-            let ended = self.ended.contains_key(&sent.call) || self.again.contains_key(&sent.call);
+            let ended = self.ended.contains_key(&sent.call) || self.retry_not_before.contains_key(&sent.call);
             assert!(
                 !latest || ended || newest.0 - seq.0 < 3,
                 "number {seq} is left behind {newest}"
@@ -209,7 +209,7 @@
         self.now = end;
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Request { idempotent } => self.request(idempotent),
             Step::Pass { millis } => self.pass(Duration::from_millis(millis)),
@@ -223,7 +223,7 @@
                 self.reply(&Reply::Opened(Opened {
                     nonce,
                     flow: self.opened,
-                    granted: grant(floor, RequestSeq(floor)),
+                    granted: issued_token(floor, RequestSeq(floor)),
                 }));
             }
             Step::Accepted { pick } => {
@@ -263,7 +263,7 @@
                     _ => RefusalSubject::Unread(seq),
                 };
                 let reasons = [Reason::Overload, Reason::OwnerGone, Reason::Token, Reason::Unknown];
-                self.note_refusal(seq, ran || about == 1, retry);
+                self.record_refusal(seq, ran || about == 1, retry);
                 self.reply(&Reply::Refused(Refused {
                     subject,
                     verdict: if ran { Verdict::MayHaveRun } else { Verdict::NotRun },
@@ -276,32 +276,32 @@
     }
 
     /// Works out from when on the work behind a refused number may be sent anew, if it may.
-    fn note_refusal(&mut self, seq: RequestSeq, ran: bool, retry: u32) {
+    fn record_refusal(&mut self, seq: RequestSeq, ran: bool, retry: u32) {
         let Some(sent) = self.sent.get(&seq) else { return };
         let newer = self
             .sent
             .range(seq..)
             .any(|(other, newer)| *other > seq && newer.call == sent.call);
-        let allowed = self.works[&sent.call].idempotent || !ran;
+        let allowed = self.requests[&sent.call].idempotent || !ran;
         if newer || !allowed {
             return;
         }
         // The first refusal counts, unless the flow ignores it, as it does while an answer is arriving.
         let due = self.now + Millis(retry).duration();
-        let again = self.again.entry(sent.call).or_insert(due);
-        *again = due.min(*again);
+        let earliest = self.retry_not_before.entry(sent.call).or_insert(due);
+        *earliest = due.min(*earliest);
     }
 
     fn request(&mut self, idempotent: bool) {
-        let id = CallId(self.works.len() as u64);
-        let work = Work {
+        let id = CallId(self.requests.len() as u64);
+        let request = CallRequest {
             kind: "hold".parse().expect("a valid name"),
             body: vec![id.0 as u8],
             timeout: TIMEOUT,
             idempotent,
         };
-        self.works.insert(id, work.clone());
-        self.handle(Event::Request(id, work));
+        self.requests.insert(id, request.clone());
+        self.handle(Event::Request(id, request));
     }
 
     /// One of the numbers sent, or one that was not.
@@ -317,7 +317,7 @@
     fn granted(&self, token: Option<u64>) -> Option<IssuedToken> {
         let highest = self.sent.last_key_value().map_or(0, |(seq, _)| seq.0);
         let token = token?;
-        Some(grant(
+        Some(issued_token(
             100 + highest + token,
             RequestSeq((highest + token).saturating_sub(1)),
         ))
@@ -341,7 +341,7 @@
     }
 }
 
-fn grant(token: u64, floor: RequestSeq) -> IssuedToken {
+fn issued_token(token: u64, floor: RequestSeq) -> IssuedToken {
     IssuedToken {
         token: SealedToken(ByteBuf::from(token.to_be_bytes())),
         floor,
@@ -364,13 +364,13 @@
 
     #[test]
     fn invariants(steps in vec(step(), 1..120)) {
-        let mut world = World::new();
-        world.handle(Event::Open);
+        let mut simulation = Simulation::new();
+        simulation.handle(Event::Open);
         for step in steps {
-            world.play(step);
+            simulation.apply(step);
         }
-        world.pass(TIMEOUT);
-        prop_assert_eq!(world.ended.len(), world.works.len(), "all work ends by its deadline");
-        world.check_answers();
+        simulation.pass(TIMEOUT);
+        prop_assert_eq!(simulation.ended.len(), simulation.requests.len(), "all work ends by its deadline");
+        simulation.check_answers();
     }
 }
--- a/crates/jayquay/src/call.rs
+++ b/crates/jayquay/src/call.rs
@@ -7,11 +7,11 @@
 use std::time::Instant;
 
 use bpaf::Bpaf;
+use caller::CallRequest;
 use caller::Client;
 use caller::Failure;
 use caller::OpenError;
 use caller::Policy;
-use caller::Work;
 use serde::Serialize;
 use units::KindName;
 use units::Millis;
@@ -101,7 +101,7 @@
         Err(OpenError::Refused(failure)) => return Ok(refused(&args, failure)),
         Err(OpenError::Io(error)) => return Err(Error(error)),
     };
-    let work = Work {
+    let work = CallRequest {
         kind: args.kind.clone(),
         body: args.body.clone().into_bytes(),
         timeout: timeout.saturating_sub(start.elapsed()),
--- a/crates/jayquay/src/demo/story.rs
+++ b/crates/jayquay/src/demo/story.rs
@@ -81,7 +81,7 @@
     Ok(Story { traffic, ends, world })
 }
 
-type Driving = JoinHandle<Result<Vec<caller::Tally>, caller::OpenError>>;
+type Driving = JoinHandle<Result<Vec<caller::FlowCounters>, caller::OpenError>>;
 
 fn start(plan: Plan, ends: &mpsc::Sender<Ended>) -> (units::ServiceName, Driving) {
     let service = plan.service.clone();
--- a/crates/jayquay/src/traffic/arrivals.rs
+++ b/crates/jayquay/src/traffic/arrivals.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use caller::CallRequest;
 use caller::Client;
 use caller::Failure;
+use caller::FlowCounters;
 use caller::OpenError;
 use caller::Policy;
-use caller::Tally;
-use caller::Work;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -93,7 +93,7 @@
 /// Opens the flows, makes the requests, tells of each one's end, and gives what the flows counted.
 ///
 /// It fails if a flow cannot be opened.
-pub async fn drive(plan: Plan, ends: mpsc::Sender<Ended>) -> Result<Vec<Tally>, OpenError> {
+pub async fn drive(plan: Plan, ends: mpsc::Sender<Ended>) -> Result<Vec<FlowCounters>, OpenError> {
     let clients = open_all(&plan).await?;
     let mut random = SmallRng::seed_from_u64(plan.seed);
     let mut requests = JoinSet::new();
@@ -124,7 +124,7 @@
     while requests.join_next().await.is_some() {}
     let mut tallies = Vec::new();
     for client in clients {
-        tallies.push(client.tally().await);
+        tallies.push(client.counters().await);
     }
     Ok(tallies)
 }
@@ -155,7 +155,7 @@
 }
 
 async fn request(client: Client, mut ended: Ended, due: Instant, timeout: Duration, ends: mpsc::Sender<Ended>) {
-    let work = Work {
+    let work = CallRequest {
         kind: ended.kind.name.clone(),
         body: ended.body.clone(),
         timeout,
--- a/crates/jayquay/src/traffic/summary.rs
+++ b/crates/jayquay/src/traffic/summary.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use caller::Failure;
+use caller::FlowCounters;
 use caller::Origin;
-use caller::Tally;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use units::KindName;
@@ -87,7 +87,7 @@
     }
 
     /// Counts flows of a service, with what each counted itself.
-    pub fn add_flows(&mut self, service: &ServiceName, tallies: &[Tally]) {
+    pub fn add_flows(&mut self, service: &ServiceName, tallies: &[FlowCounters]) {
         self.flows += tallies.len();
         for (flow, tally) in tallies.iter().enumerate() {
             self.retransmitted += tally.retransmitted;
--- a/crates/proof/src/driver.rs
+++ b/crates/proof/src/driver.rs
@@ -7,10 +7,10 @@
 
 use caller::Action;
 use caller::CallId;
+use caller::CallRequest;
 use caller::Event;
 use caller::Flow;
 use caller::Policy;
-use caller::Work;
 use units::KindName;
 use units::RequestSeq;
 use units::ServiceName;
@@ -86,7 +86,7 @@
 
     /// Asks for an operation.
     pub(crate) fn ask(&mut self, now: Time, job: &Job, timeout: Duration, idempotent: bool) -> Vec<Action> {
-        let work = Work {
+        let work = CallRequest {
             kind: job.kind.clone(),
             body: job.body(),
             timeout,
--- a/crates/proof/src/traffic.rs
+++ b/crates/proof/src/traffic.rs
@@ -147,7 +147,7 @@
                     self.launch(address, &bytes);
                     self.rewrap(caller);
                 }
-                Action::Opened(_) | Action::NotOpened(_) => {}
+                Action::Opened(_) | Action::OpenFailed(_) => {}
                 Action::Ended(call, result) => {
                     let job = self.drivers[caller as usize - 1].job_id(call);
                     self.end(job, result)?;
