--- a/crates/caller/src/assembly.rs
+++ b/crates/caller/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts an answer together from its chunks.
+//! Reassembles an answer from its chunks.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 use wire::CHUNK_LEN;
 use wire::Digest;
 
-/// What became of a chunk.
+/// The result of inserting a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum InsertOutcome {
-    /// It was new.
+    /// The chunk was new and has been stored.
     New,
-    /// It had already arrived.
+    /// The chunk had already been received.
     Duplicate,
-    /// It is not of this answer, or was not asked for.
+    /// The chunk does not belong to this answer, or was not requested.
     Unexpected,
 }
 
-/// Some chunks in a row.
+/// A range of consecutive chunks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ChunkRange {
     pub(crate) first: u32,
     pub(crate) count: u8,
 }
 
-/// An answer of which some chunks have arrived.
+/// A partially received answer.
 ///
-/// Memory grows with what arrives, never with the claimed length: only chunks that were asked
-/// for are taken, and never more than a window of them is.
+/// Memory use is bounded by the data received, not by the length that the header claims: only requested chunks
+/// are stored, and at most one window of chunks is requested at a time.
 #[derive(Debug)]
 pub(crate) struct Assembly {
     pub(crate) head: AnswerHeader,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes a chunk.
+    /// Stores a requested chunk.
     pub(crate) fn insert(&mut self, index: u32, data: ByteBuf) -> InsertOutcome {
         if index >= self.head.chunks() || data.len() != self.len_of(index) {
             return InsertOutcome::Unexpected;
@@ -78,12 +78,12 @@
         CHUNK_LEN.min((self.head.len as usize).saturating_sub(start))
     }
 
-    /// Whether every chunk has arrived.
+    /// Whether all chunks have been received.
     pub(crate) fn is_complete(&self) -> bool {
         self.next == self.head.chunks()
     }
 
-    /// Whether the chunks that have arrived are the answer that the head names.
+    /// Whether the body has the length and the digest of the header.
     pub(crate) fn matches_digest(&self) -> bool {
         self.body.len() == self.head.len as usize && Digest::of(&self.body) == self.head.digest
     }
@@ -92,7 +92,8 @@
         self.body
     }
 
-    /// The chunks to ask for next, once enough of the window is free to be worth a packet.
+    /// Returns the next chunks to request, once at least half of the window is free, or the last chunks fit in it.
+    /// A smaller range is not worth a packet.
     pub(crate) fn request_next(&mut self) -> Option<ChunkRange> {
         let chunks = self.head.chunks();
         let limit = self.next.saturating_add(self.window).min(chunks);
@@ -108,7 +109,7 @@
         })
     }
 
-    /// The chunks that were asked for and have not arrived. Asking for them again halves the window.
+    /// Returns the requested chunks that are still missing, and halves the window.
     pub(crate) fn request_missing(&mut self) -> Vec<ChunkRange> {
         self.window = (self.window / 2).max(1);
         let mut runs: Vec<ChunkRange> = Vec::new();
@@ -124,7 +125,7 @@
         runs
     }
 
-    /// A pull was answered without loss: the window grows again.
+    /// Grows the window by one after a chunk arrived.
     pub(crate) fn grow_window(&mut self) {
         self.window = (self.window + 1).min(self.max_window);
     }
--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -1,4 +1,4 @@
-//! One piece of work and its attempts.
+//! A call and its attempts.
 
 use std::time::Duration;
 
@@ -24,25 +24,25 @@
 use crate::assembly::InsertOutcome;
 use crate::retransmit_timer::RetransmitTimer;
 
-/// One piece of work, from the caller's asking to its end.
+/// A call, from its submission until it succeeds or fails.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: CallId,
     pub(crate) request: CallRequest,
     pub(crate) deadline: Time,
-    /// Whether an earlier attempt may have run.
+    /// Whether an earlier attempt may have been executed.
     pub(crate) may_have_run: bool,
-    /// Why the last attempt ended.
+    /// The reason why the last attempt ended.
     pub(crate) reason: Reason,
-    /// The shortest wait before the next retry.
+    /// The minimum delay before the next retry.
     pub(crate) backoff: Duration,
     pub(crate) state: CallState,
 }
 
-/// How far a piece of work has come.
+/// The state of a call.
 #[derive(Debug)]
 pub(crate) enum CallState {
-    /// It waits for a token and for this time.
+    /// Waiting for a token, and not to be sent before this time.
     Waiting(Time),
     /// An attempt is in progress.
     Sent(Box<Attempt>),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// How the work ends when its deadline passes now.
+    /// The failure to report when the deadline passes.
     pub(crate) fn deadline_failure(&self) -> Failure {
         match self.state {
             CallState::Waiting(_) => Failure::from_caller(self.verdict(), self.reason),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether any attempt that has ended may have run.
+    /// Whether any of the ended attempts may have been executed.
     pub(crate) fn verdict(&self) -> Verdict {
         if self.may_have_run {
             return Verdict::MayHaveRun;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The number of the attempt in progress.
+    /// The request number of the attempt in progress.
     pub(crate) fn seq(&self) -> Option<RequestSeq> {
         match &self.state {
             CallState::Waiting(_) => None,
@@ -93,17 +93,17 @@
         }
     }
 
-    /// Whether it waits for nothing but to be sent.
+    /// Whether the call is waiting and may be sent now.
     pub(crate) fn is_due(&self, now: Time) -> bool {
         matches!(self.state, CallState::Waiting(not_before) if not_before <= now)
     }
 
-    /// Whether the attempt in progress waits for a sign of life.
+    /// Whether the attempt in progress was retransmitted and has received no reply since.
     pub(crate) fn is_unresponsive(&self) -> bool {
         matches!(&self.state, CallState::Sent(attempt) if attempt.unresponsive)
     }
 
-    /// When something is to be done for this work.
+    /// When the call next needs handling: to be sent, retransmitted or expired.
     pub(crate) fn due(&self) -> Time {
         let due = match &self.state {
             CallState::Waiting(not_before) => *not_before,
@@ -113,37 +113,38 @@
     }
 }
 
-/// One request number's life.
+/// One attempt of a call, sent under its own request number.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) flow: FlowId,
     pub(crate) seq: RequestSeq,
-    /// The request's token. Its owner keeps the answer, so pulls carry it too, whatever token the flow has since.
+    /// The token the request was sent with. Its owner stores the answer, so pulls carry this token even if the flow
+    /// has adopted another one since.
     pub(crate) token: SealedToken,
-    /// The request as it was first sent. Every retransmission repeats it byte for byte.
+    /// The encoded request. Retransmissions repeat it byte for byte.
     pub(crate) packet: Vec<u8>,
     pub(crate) accepted: bool,
-    /// Whether a packet was sent again and nothing has come since, as when the flow's owner is gone.
+    /// Whether a packet was retransmitted and no reply has arrived since, which may mean that the flow's owner is gone.
     pub(crate) unresponsive: bool,
-    /// How often an instance has said that the flow's owner, or its answer, is gone.
+    /// How many replies reported that the flow's owner, or its answer, is gone.
     pub(crate) owner_gone_count: u32,
     pub(crate) timer: RetransmitTimer,
     pub(crate) answer: Option<Assembly>,
 }
 
-/// What a chunk did to an attempt.
+/// The effect of a chunk on an attempt.
 #[derive(Debug)]
 pub(crate) enum Progress {
-    /// Nothing.
+    /// The chunk was ignored.
     Unchanged,
-    /// Some of the answer has arrived.
+    /// Chunks of the answer are still missing.
     Partial,
-    /// All of it has.
+    /// The answer is complete.
     Complete(Vec<u8>),
 }
 
 impl Attempt {
-    /// Retransmission can slow down: the request has arrived.
+    /// Records that the request has arrived, and slows down its retransmission.
     pub(crate) fn accept(&mut self, now: Time, policy: &Policy, rng: &mut SmallRng) {
         self.unresponsive = false;
         if self.accepted || self.answer.is_some() {
@@ -153,7 +154,7 @@
         self.timer = RetransmitTimer::start(now, policy.retransmit_accepted, policy, rng);
     }
 
-    /// Takes a chunk.
+    /// Adds a chunk to the answer. A complete answer with a wrong digest is dropped, so that it is requested again.
     pub(crate) fn insert_chunk(
         &mut self,
         head: AnswerHeader,
@@ -194,13 +195,13 @@
         Progress::Partial
     }
 
-    /// The packets to send when the timer is due.
+    /// Marks the attempt as unresponsive and returns the packets to retransmit when the timer fires.
     pub(crate) fn timed_out_packets(&mut self, service: &ServiceName) -> Vec<Vec<u8>> {
         self.unresponsive = true;
         self.unanswered_packets(service)
     }
 
-    /// The packets whose answers have not arrived.
+    /// The packets to retransmit: the request, or pulls for the missing chunks.
     pub(crate) fn unanswered_packets(&mut self, service: &ServiceName) -> Vec<Vec<u8>> {
         let Some(answer) = &mut self.answer else {
             return vec![self.packet.clone()];
@@ -210,7 +211,7 @@
         runs.into_iter().map(|run| self.pull(service, head, run)).collect()
     }
 
-    /// The next packet that asks for chunks, if it is time.
+    /// The next pull packet, if enough of the window is free.
     pub(crate) fn next_pull(&mut self, service: &ServiceName) -> Option<Vec<u8>> {
         let answer = self.answer.as_mut()?;
         let run = answer.request_next()?;
--- a/crates/caller/src/client.rs
+++ b/crates/caller/src/client.rs
@@ -1,4 +1,4 @@
-//! A small UDP client around a [`Flow`].
+//! A UDP client that drives a [`Flow`].
 
 use std::collections::HashMap;
 use std::fmt;
@@ -30,30 +30,30 @@
 use crate::FlowCounters;
 use crate::Policy;
 
-/// How many commands may wait for the task.
+/// Capacity of the command channel to the client task.
 const COMMAND_QUEUE_LEN: usize = 64;
 
-/// Why a client could not be opened.
+/// The error of [`Client::open`].
 #[derive(Debug)]
 pub enum OpenError {
-    /// There is no socket.
+    /// The UDP socket could not be bound.
     Io(io::Error),
-    /// The service refused, or nothing answered in time.
+    /// The service refused the flow, or did not reply in time.
     Refused(Failure),
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "no socket: {error}"),
-            Self::Refused(failure) => write!(f, "no flow: {failure}"),
+            Self::Io(error) => write!(f, "cannot bind a UDP socket: {error}"),
+            Self::Refused(failure) => write!(f, "cannot open a flow: {failure}"),
         }
     }
 }
 
 impl std::error::Error for OpenError {}
 
-/// One flow of a caller, over a UDP socket of its own. Clones share the flow.
+/// A handle to one flow with its own UDP socket. Clones share the flow.
 #[derive(Debug, Clone)]
 pub struct Client {
     commands: mpsc::Sender<Command>,
@@ -67,12 +67,12 @@
 }
 
 impl Client {
-    /// Opens a flow to `service` at the `address` that its callers dial, through the fabric.
+    /// Opens a flow to `service`, whose public address is `address`, through the fabric.
     pub async fn open(service: ServiceName, address: SocketAddr, fabric: SocketAddr) -> Result<Self, OpenError> {
         Self::open_with(service, address, fabric, Policy::default(), rand::random()).await
     }
 
-    /// Opens a flow with other times and limits than the usual ones, and a seed for nonces and jitter.
+    /// Like [`Client::open`], with a custom policy and a seed for nonces and jitter.
     pub async fn open_with(
         service: ServiceName,
         address: SocketAddr,
@@ -80,7 +80,7 @@
         policy: Policy,
         seed: u64,
     ) -> Result<Self, OpenError> {
-        // The socket is not connected, since an instance answers from its own address.
+        // The socket is not connected, because instances reply from their own addresses.
         let local: SocketAddr = match fabric {
             SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
             SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
@@ -105,12 +105,12 @@
         Ok(Self { commands, flow })
     }
 
-    /// The flow as it was opened, for logs and the time line.
+    /// The ID of the flow as first opened, for logs and the time line.
     pub fn flow(&self) -> FlowId {
         self.flow
     }
 
-    /// Asks for work that must not run twice. It is sent anew only when it surely has not run.
+    /// Sends a request that is not idempotent. It is retried only if it is known not to have run.
     pub async fn request(&self, kind: KindName, body: Vec<u8>, timeout: Duration) -> Result<Vec<u8>, Failure> {
         let request = CallRequest {
             kind,
@@ -121,7 +121,7 @@
         self.submit(request).await
     }
 
-    /// Asks for work.
+    /// Sends a request and waits for its answer.
     pub async fn submit(&self, request: CallRequest) -> Result<Vec<u8>, Failure> {
         let (reply, answer) = oneshot::channel();
         let command = Command::Request(request, reply);
@@ -131,7 +131,7 @@
         answer.await.unwrap_or(Err(task_ended()))
     }
 
-    /// What the flow has counted.
+    /// Returns the counters of the flow, all zero if the client task has ended.
     pub async fn counters(&self) -> FlowCounters {
         let (reply, answer) = oneshot::channel();
         if self.commands.send(Command::Counters(reply)).await.is_err() {
@@ -141,12 +141,12 @@
     }
 }
 
-/// The task ended before the request did.
+/// The failure to report when the client task ends before the request.
 fn task_ended() -> Failure {
     Failure::from_caller(Verdict::MayHaveRun, Reason::Deadline)
 }
 
-/// Microseconds since the Unix epoch that never run backwards.
+/// Monotonic clock that reports microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy)]
 struct Clock {
     start: Instant,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Owns the flow and its socket.
+/// The background task that owns the flow and its socket.
 struct ClientTask {
     flow: Flow,
     socket: UdpSocket,
@@ -184,7 +184,7 @@
 
 impl ClientTask {
     async fn run(mut self, mut inbox: mpsc::Receiver<Command>) {
-        // One byte more than a packet may have tells one that is too long.
+        // One byte more than the maximum packet length, so that longer datagrams are detected.
         let mut buffer = [0; wire::MAX_PACKET_LEN + 1];
         self.handle_event(Event::Open).await;
         loop {
@@ -215,7 +215,7 @@
                 Some(Event::Request(self.last_id, request))
             }
             Command::Counters(reply) => {
-                // Whoever asked may have gone.
+                // The receiver may have been dropped.
                 let _ = reply.send(self.flow.counters());
                 None
             }
@@ -227,7 +227,7 @@
         self.flow.handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
-                // A datagram that cannot be sent counts as lost and is retransmitted.
+                // A send error is treated as packet loss; the retransmission timer covers it.
                 Action::Send(bytes) => drop(self.socket.send_to(&bytes, self.fabric).await),
                 Action::Opened(flow) => self.reply_open(Ok(flow)),
                 Action::OpenFailed(failure) => self.reply_open(Err(failure)),
@@ -235,7 +235,7 @@
                     let Some(reply) = self.pending.remove(&id) else {
                         continue;
                     };
-                    // Whoever asked may have gone.
+                    // The receiver may have been dropped.
                     let _ = reply.send(result);
                 }
             }
@@ -244,7 +244,7 @@
 
     fn reply_open(&mut self, result: Result<FlowId, Failure>) {
         if let Some(opened) = self.open_reply.take() {
-            // Whoever asked may have gone.
+            // The receiver may have been dropped.
             let _ = opened.send(result);
         }
     }
--- a/crates/caller/src/counters.rs
+++ b/crates/caller/src/counters.rs
@@ -1,28 +1,29 @@
-//! What a flow has counted.
+//! Counters of a flow.
 
-/// What a flow has counted since it began.
+/// Event counts since the flow was created.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct FlowCounters {
-    /// Packets that could not be read.
+    /// Packets that could not be decoded.
     pub malformed: u64,
-    /// Packets of another flow, or about a request that was never sent.
+    /// Packets for another flow, with the nonce of another `Open`, or for a request that was never sent.
     pub unmatched: u64,
-    /// Packets about a request that has ended.
+    /// Packets for a request that has already ended, or an `Opened` reply when no open is pending.
     pub late: u64,
-    /// Chunks that had already arrived.
+    /// Chunks that had been received before.
     pub duplicate: u64,
-    /// Packets that contradict what has arrived of the same request, such as a chunk of another answer.
+    /// Packets that conflict with earlier ones for the same request, such as a chunk of a different answer.
     pub crossed: u64,
-    /// Whole answers that did not match their digest.
+    /// Complete answers that did not match their digest.
     pub corrupt: u64,
-    /// Tokens not adopted, because a higher number than their floor was in use, or they would leave too few numbers.
+    /// Tokens not adopted because a request number above their floor was already used, or because their floor would
+    /// leave too few request numbers.
     pub tokens_declined: u64,
-    /// Tokens adopted in place of an earlier one.
+    /// Tokens that replaced an earlier one.
     pub tokens_adopted: u64,
-    /// Packets sent again.
+    /// Retransmitted packets.
     pub retransmitted: u64,
-    /// Requests sent anew after a refusal.
+    /// Requests retried after a refusal.
     pub retried: u64,
-    /// Flows started in place of one whose token was refused.
+    /// Times the flow's token was refused, so that a new flow had to be opened.
     pub reopened: u64,
 }
--- a/crates/caller/src/failure.rs
+++ b/crates/caller/src/failure.rs
@@ -1,4 +1,4 @@
-//! How a request ends without an answer.
+//! The error that ends a request without an answer.
 
 use std::fmt;
 
@@ -6,25 +6,25 @@
 use wire::Reason;
 use wire::Verdict;
 
-/// Who ended a request.
+/// Which side ended a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Origin {
-    /// An instance refused it.
+    /// An instance refused the request.
     Instance,
-    /// The caller gave it up: its deadline passed, or a limit of its own was reached.
+    /// The caller gave up: the deadline passed, or one of the caller's own limits was reached.
     Caller,
 }
 
-/// How a request ended without an answer.
+/// The error that ended a request without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
     /// Whether any attempt of the request may have run.
     pub verdict: Verdict,
-    /// Why the last attempt ended.
+    /// The reason why the last attempt ended.
     pub reason: Reason,
-    /// How long to wait before asking again.
+    /// How long to wait before retrying the request.
     pub retry_after: Millis,
-    /// Who ended it.
+    /// Which side ended the request.
     pub origin: Origin,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Whether the same request, sent anew, may fare better.
+/// Whether a retry of the same request may succeed.
 pub(crate) fn is_retryable(reason: Reason) -> bool {
     match reason {
         Reason::Overload
@@ -58,8 +58,8 @@
         | Reason::AnswerGone
         | Reason::NoDocument
         | Reason::Limit => true,
-        // After a failure of the upstream the instances have sent it anew themselves, as far as their own budget allows.
-        // Two budgets would add up.
+        // The instances retry upstream failures themselves, within their own retry budget. If the caller retried
+        // too, the two budgets would add up.
         Reason::Upstream | Reason::Deadline | Reason::WrongService | Reason::Unknown => false,
     }
 }
--- a/crates/caller/src/flow.rs
+++ b/crates/caller/src/flow.rs
@@ -1,4 +1,4 @@
-//! A flow as a pure state machine.
+//! A flow as a sans-I/O state machine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,52 +29,52 @@
 use crate::session::Opening;
 use crate::session::Session;
 
-/// Names a piece of work within a flow. Whoever drives the flow picks it.
+/// Identifies a call within a flow. The driver of the flow chooses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// One piece of work for a service.
+/// A request to a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallRequest {
     /// The kind of request, which the service's document describes.
     pub kind: KindName,
-    /// What the upstream gets.
+    /// The body passed to the upstream.
     pub body: Vec<u8>,
-    /// How long to wait for the answer, retries included.
+    /// Time limit for the answer, including retries.
     pub timeout: Duration,
-    /// Whether running it twice does no harm. If not, it is sent anew only when it surely has not run.
+    /// Whether the request may safely run twice. If not, it is retried only if it is known not to have run.
     pub idempotent: bool,
 }
 
-/// What happened outside a flow.
+/// Input of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A token is wanted now, before there is any work.
+    /// Open the flow before there is a request.
     Open,
-    /// There is work to do.
+    /// Start a call.
     Request(CallId, CallRequest),
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(Vec<u8>),
-    /// Time has passed. This comes at the latest at [`Flow::next_wake`].
+    /// Time has passed. The driver sends this no later than [`Flow::next_wake`].
     Tick,
     /// The flow is no longer needed.
     Close,
 }
 
-/// What a flow wants done.
+/// Output of a flow, for the driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram to the fabric.
+    /// Send this datagram to the fabric.
     Send(Vec<u8>),
     /// The flow was opened.
     Opened(FlowId),
-    /// The flow could not be opened in time.
+    /// The flow was refused or could not be opened in time.
     OpenFailed(Failure),
     /// A call ended.
     Ended(CallId, Result<Vec<u8>, Failure>),
 }
 
-/// The callers' end of one flow.
+/// The client end of a flow.
 #[derive(Debug)]
 pub struct Flow {
     pub(crate) service: ServiceName,
@@ -84,17 +84,17 @@
     retry_budget: RetryBudget,
     pub(crate) counters: FlowCounters,
     pub(crate) session: Session,
-    /// Until when a token is wanted though there may be no work.
+    /// Deadline of a requested [`Event::Open`], if it is pending.
     pub(crate) open_deadline: Option<Time>,
-    /// The highest request number used, or ruled out by a token's floor. It outlives reopening.
+    /// The highest request number used or excluded by a token's floor. It is kept when the flow is reopened.
     pub(crate) highest_seq: RequestSeq,
-    /// Whether a request ended without a sign of life, and none has come since.
+    /// Whether an unresponsive request ended at its deadline and no sign of an owner has arrived since.
     pub(crate) owner_lost: bool,
     pub(crate) calls: Vec<Call>,
 }
 
 impl Flow {
-    /// A flow to a service at the address that its callers dial. `seed` feeds nonces and jitter.
+    /// Creates a flow to `service`, whose public address is `address`. `seed` determines nonces and jitter.
     pub fn new(service: ServiceName, address: SocketAddr, policy: Policy, seed: u64) -> Self {
         Self {
             service,
@@ -111,12 +111,12 @@
         }
     }
 
-    /// What the flow has counted.
+    /// The counters of the flow.
     pub fn counters(&self) -> FlowCounters {
         self.counters
     }
 
-    /// When a [`Event::Tick`] is due, if one is.
+    /// When the next [`Event::Tick`] is due, if any.
     pub fn next_wake(&self) -> Option<Time> {
         let opening = match &self.session {
             Session::Opening(opening) => Some(opening.timer.due),
@@ -132,7 +132,7 @@
         calls_due.chain(session_due).min()
     }
 
-    /// When a call needs something. One that waits for others needs nothing before its deadline.
+    /// When a call next needs handling. A waiting call that others block only needs handling at its deadline.
     fn call_due(&self, call: &Call, blocked: bool) -> Time {
         match (&self.session, &call.state) {
             (_, CallState::Waiting(_)) if blocked => call.deadline,
@@ -141,18 +141,19 @@
         }
     }
 
-    /// Whether a request in progress waits for a sign of life. If the owner is gone, whatever is sent to it meanwhile
-    /// ends in doubt; what waits goes to the next owner and has surely not run before.
+    /// Whether any request in progress is unresponsive, in which case new requests wait. If the owner is gone, requests
+    /// sent to it end as `may have run`, while those that wait go to the next owner and are known not to have run.
     fn is_unresponsive(&self) -> bool {
         self.calls.iter().any(Call::is_unresponsive)
     }
 
-    /// Whether one request finds out if there is an owner again.
+    /// Whether a request is in progress as a probe for a new owner.
     fn is_probing(&self) -> bool {
         self.owner_lost && self.calls.iter().any(|call| call.seq().is_some())
     }
 
-    /// The one to send while the owner is lost. It has the most time left, so that few end in doubt.
+    /// The call to send as a probe while the owner is lost: the one with the most time left, so that few calls end as
+    /// `may have run`.
     fn probe(&self, now: Time) -> Option<CallId> {
         if !self.owner_lost {
             return None;
@@ -161,7 +162,7 @@
         due.max_by_key(|call| call.deadline).map(|call| call.id)
     }
 
-    /// Whether the next number would be too far ahead of the oldest one in progress.
+    /// Whether the next request number would be too far ahead of the oldest one in progress.
     fn is_seq_span_full(&self) -> bool {
         let numbers = self.calls.iter().filter_map(Call::seq);
         let next = self.highest_seq.next();
@@ -170,7 +171,7 @@
             .is_some_and(|oldest| next.0 - oldest.0 >= self.policy.max_seq_span)
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Open => self.open_deadline = Some(now + self.policy.open_timeout),
@@ -224,7 +225,7 @@
         if let Session::Opening(opening) = &mut self.session
             && opening.timer.due <= now
         {
-            // An opening has no deadline of its own.
+            // Retransmission of an `Open` is not limited by a deadline.
             opening.timer.back_off(now, Time(u64::MAX), &mut self.rng);
             self.counters.retransmitted += 1;
             out.push(Action::Send(opening.packet.clone()));
@@ -244,12 +245,12 @@
         }
     }
 
-    /// Asks for a token if one is needed.
+    /// Sends an `Open` if a token is needed.
     fn open_if_needed(&mut self, now: Time, out: &mut Vec<Action>) {
         let needed = self.open_deadline.is_some() || self.calls.iter().any(|call| call.is_due(now));
         match &self.session {
             Session::Idle(not_before) if needed && *not_before <= now => {}
-            // Nobody waits for the token any more.
+            // Nothing needs the token any more.
             Session::Opening(_) if self.open_deadline.is_none() && !self.has_waiting() => {
                 self.session = Session::Idle(now);
                 return;
@@ -266,7 +267,7 @@
         self.calls.iter().any(waits)
     }
 
-    /// Sends the work that waits for nothing any more, each under a number of its own.
+    /// Sends the waiting calls that are due, each under a new request number.
     fn send_queued(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.is_unresponsive() || self.is_probing() {
             return;
@@ -321,7 +322,7 @@
         }
     }
 
-    /// An answer has arrived whole.
+    /// Ends a call whose answer is complete.
     pub(crate) fn complete(&mut self, index: usize, body: Vec<u8>, out: &mut Vec<Action>) {
         self.retry_budget.deposit();
         let call = self.calls.remove(index);
@@ -336,7 +337,7 @@
         out.push(Action::Ended(call.id, Ok(body)));
     }
 
-    /// An attempt was refused: the work is sent anew later, or ends.
+    /// Schedules a retry of a refused call, or ends it.
     pub(crate) fn handle_refusal(&mut self, now: Time, index: usize, refusal: Failure, out: &mut Vec<Action>) {
         let call = &mut self.calls[index];
         call.may_have_run |= refusal.verdict == Verdict::MayHaveRun;
@@ -359,7 +360,8 @@
     }
 }
 
-/// Rounds down, so that the deadline of the instances is never later than the caller's.
+/// Converts to milliseconds, rounding down (to at least 1) so that the instances' deadline is not later than the
+/// caller's.
 fn whole_millis(span: Duration) -> Millis {
     Millis(u32::try_from(span.as_millis()).unwrap_or(u32::MAX).max(1))
 }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! The callers' side of the protocol: a pure flow state machine and a small UDP client around it.
+//! The client side of the protocol: a flow as a sans-I/O state machine, and a small UDP client that drives it.
 //!
-//! [`Flow`] does no I/O, reads no clock and draws no randomness but from its seed: events and the time in, actions
-//! out. [`Client`] adds a socket, a clock and a task. Neither knows which instances there are: they send to one
-//! fabric address and judge replies by what these say.
+//! [`Flow`] does no I/O, reads no clock and takes all randomness from its seed: it maps events and the current time
+//! to actions. [`Client`] adds a socket, a clock and a task. Neither knows the set of instances: they send to a single
+//! fabric address and match replies by content, not by sender.
 
 mod assembly;
 mod call;
--- a/crates/caller/src/policy.rs
+++ b/crates/caller/src/policy.rs
@@ -1,40 +1,41 @@
-//! The times and limits that a caller keeps to.
+//! Timeouts and limits of a caller.
 
 use std::time::Duration;
 
-/// The times and limits that a caller keeps to.
+/// Timeouts and limits of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// How long to wait for the answer to an `Open`.
+    /// How long to wait until a flow is open.
     pub open_timeout: Duration,
-    /// The wait before the first retransmission of a packet. It doubles each time, but is cut to a third of the time
-    /// left until the deadline, down to this wait.
+    /// Initial retransmission interval. It doubles each time, but is limited to a third of the time left until the
+    /// deadline, and is never shorter than this value.
     pub retransmit: Duration,
-    /// The wait before the first retransmission of a request that is known to be accepted.
+    /// Initial retransmission interval of a request that an instance has accepted.
     pub retransmit_accepted: Duration,
-    /// The longest wait between two retransmissions.
+    /// Maximum retransmission interval, before jitter.
     pub retransmit_max: Duration,
-    /// The wait before the first retransmission of a pull.
+    /// Initial retransmission interval of a pull.
     pub retransmit_pull: Duration,
-    /// The most chunks that are asked for and have not arrived, at most [`wire::Pull::MAX_COUNT`].
+    /// Maximum number of outstanding chunks, at most [`wire::Pull::MAX_COUNT`].
     pub window: u8,
-    /// The longest answer that is taken, in bytes.
+    /// Maximum length of an answer in bytes.
     pub max_answer: u32,
-    /// The most requests in progress at a time.
+    /// Maximum number of concurrent calls, waiting ones included.
     pub max_in_flight: usize,
-    /// How far the newest request number may be ahead of the oldest one in progress. An owner tells only so many
-    /// numbers of a flow apart, and what is older it must call `may have run`.
+    /// Maximum distance between the newest request number and the oldest one in progress. An owner tracks only a
+    /// limited range of numbers per flow, and must report older ones as `may have run`.
     pub max_seq_span: u64,
-    /// The shortest wait before the first retry. It doubles each time.
+    /// Minimum delay before the first retry. It doubles with each retry.
     pub retry_backoff: Duration,
-    /// How many more instances are asked when one says that the flow's owner, or its answer, is gone.
+    /// How many times a packet is resent, possibly to another instance, after an instance reports that the flow's
+    /// owner, or its answer, is gone.
     pub owner_gone_resends: u32,
-    /// The most retries, in percent of successes.
+    /// Maximum ratio of retries to successes, in percent.
     pub retry_percent: u32,
-    /// How many retries may be made before any success, and the most that are saved up.
+    /// Initial retry balance, and the maximum that successes can accumulate.
     pub retry_reserve: u32,
-    /// How much sooner the instances' deadline passes than the caller's own, so that their refusal, which may be
-    /// `not run`, arrives in time. It is at most a tenth of the timeout.
+    /// How much earlier the instances' deadline is than the caller's, so that their refusal, which may be `not run`,
+    /// arrives in time. It is limited to a tenth of the time left when the request is sent.
     pub deadline_margin: Duration,
 }
 
--- a/crates/caller/src/receive.rs
+++ b/crates/caller/src/receive.rs
@@ -1,4 +1,4 @@
-//! What a flow does with the packets it gets.
+//! Handling of received packets.
 
 use units::FlowId;
 use units::RequestSeq;
@@ -28,8 +28,8 @@
 use crate::session::OpenSession;
 use crate::session::Session;
 
-/// The highest floor of a token that is taken. The numbers that are left above it outlast any flow, while without
-/// them the last number would be used again, and one request get another one's answer.
+/// Maximum floor of an accepted token. The numbers above it are enough for any flow. Without this limit the last
+/// number could be reused, and a request could receive the answer of another one.
 const MAX_TOKEN_FLOOR: RequestSeq = RequestSeq(u64::MAX / 2);
 
 impl Flow {
@@ -64,7 +64,7 @@
             token: opened.granted.token,
         });
         self.owner_lost = false;
-        // Numbers are never used twice, whatever flow they were used in.
+        // Request numbers are never reused, not even across flows.
         self.highest_seq = self.highest_seq.max(opened.granted.floor);
         if self.open_deadline.take().is_some() {
             out.push(Action::Opened(opened.flow));
@@ -122,7 +122,7 @@
             RefusalSubject::Open(nonce) => return self.on_open_refused(now, nonce, refusal, out),
             RefusalSubject::Request(flow, seq) => self.find(flow, seq).ok_or((flow, seq)),
             RefusalSubject::Pull(flow, seq, digest) => {
-                // Whatever was answered has run.
+                // A request that has an answer has run.
                 refusal.verdict = Verdict::MayHaveRun;
                 self.find_answer(flow, seq, digest).ok_or((flow, seq))
             }
@@ -135,7 +135,7 @@
         let is_pull = matches!(refused.subject, RefusalSubject::Pull(..));
         let answering = self.calls[index].attempt().is_some_and(|a| a.answer.is_some());
         if answering && !is_pull {
-            // Another copy of the request was refused, but this one is being answered.
+            // Another copy of the request was refused, but the answer to this one is arriving.
             self.counters.crossed += 1;
             return;
         }
@@ -154,8 +154,9 @@
         self.handle_refusal(now, index, refusal, out);
     }
 
-    /// An instance takes the flow's owner for gone. While availability zones are cut off from each other another one
-    /// may still reach it, so a few more are asked by sending again, byte for byte, what was refused.
+    /// Resends the unanswered packets after an instance reported that the flow's owner, or its answer, is gone. During
+    /// a partition between availability zones another instance may still reach the owner. Returns false once the
+    /// resends are used up.
     fn resend_after_owner_gone(&mut self, now: Time, index: usize, out: &mut Vec<Action>) -> bool {
         let Some(attempt) = self.calls[index].attempt() else {
             return false;
@@ -208,8 +209,8 @@
         }
     }
 
-    /// Takes a reissued token for the flow, unless a number above its floor is in use under another token. It may come
-    /// with a packet about a request that has ended here.
+    /// Adopts a reissued token for the flow, unless a request number above its floor was used under another token. The
+    /// token may arrive with a packet for a request that has already ended.
     fn adopt_token(&mut self, flow: FlowId, granted: Option<IssuedToken>) {
         let Some(granted) = granted else {
             return;
@@ -230,7 +231,7 @@
         self.counters.tokens_adopted += 1;
     }
 
-    /// A token was refused: if it is the flow's present one, a new flow is opened for later requests.
+    /// Handles a refused token: if it is the flow's current one, later requests open a new flow.
     fn discard_token(&mut self, now: Time, index: usize) {
         let Some(attempt) = self.calls[index].attempt() else {
             return;
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Counts a packet about a request that is not in progress.
+    /// Counts a packet for a request that is not in progress. The token of a late one may still be adopted.
     fn handle_unmatched(&mut self, flow: FlowId, seq: RequestSeq, granted: Option<IssuedToken>) {
         if flow != self.flow_id() || seq > self.highest_seq {
             self.counters.unmatched += 1;
--- a/crates/caller/src/retransmit_timer.rs
+++ b/crates/caller/src/retransmit_timer.rs
@@ -1,4 +1,4 @@
-//! Jittered exponential backoff.
+//! Retransmission timer with jittered exponential backoff.
 
 use std::time::Duration;
 
@@ -8,20 +8,21 @@
 
 use crate::Policy;
 
-/// Lengthens a span by up to a quarter. It never shortens it, so that "come back in" is kept.
+/// Adds up to 25 % of random jitter to a delay. The result is never shorter than `span`, so that a server's
+/// `retry_after` is respected.
 pub(crate) fn add_jitter(span: Duration, rng: &mut SmallRng) -> Duration {
     let quarter = span / 4;
     span + quarter.mul_f64(rng.random::<f64>())
 }
 
-/// The part of the time left that passes at most before a packet is sent again, so that several attempts fit before
-/// the deadline.
+/// A backoff interval is limited to the time left until the deadline divided by this, so that several
+/// retransmissions fit before the deadline.
 const REMAINING_TIME_DIVISOR: u32 = 3;
 
-/// When to send a packet again.
+/// Schedules the retransmissions of a packet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetransmitTimer {
-    /// When it is due.
+    /// When the next retransmission is due.
     pub(crate) due: Time,
     interval: Duration,
     min: Duration,
@@ -29,7 +30,7 @@
 }
 
 impl RetransmitTimer {
-    /// A timer for a packet that is sent now.
+    /// Starts the timer for a packet that is sent at `now`.
     pub(crate) fn start(now: Time, interval: Duration, policy: &Policy, rng: &mut SmallRng) -> Self {
         Self {
             due: now + add_jitter(interval, rng),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The packet is sent again now, and is of no use after the deadline.
+    /// Doubles the interval after a retransmission at `now`, limited by the maximum and the time left until `deadline`.
     pub(crate) fn back_off(&mut self, now: Time, deadline: Time, rng: &mut SmallRng) {
         let part = now.until(deadline) / REMAINING_TIME_DIVISOR;
         self.interval = (self.interval * 2).min(self.max);
--- a/crates/caller/src/retry_budget.rs
+++ b/crates/caller/src/retry_budget.rs
@@ -1,11 +1,11 @@
-//! The retry budget: retries are a share of successes, so that they cannot multiply an overload.
+//! Retry budget: limits retries to a percentage of successful requests, so that retries do not amplify an overload.
 
 use crate::Policy;
 
-/// What one retry costs. A success earns the policy's percentage.
+/// The cost of one retry. Each success deposits [`Policy::retry_percent`].
 const RETRY_COST: u32 = 100;
 
-/// Retries earned by successes.
+/// Token bucket that successes fill and retries drain.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetryBudget {
     balance: u32,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// A request was answered.
+    /// Credits one successful request.
     pub(crate) fn deposit(&mut self) {
         self.balance = self.balance.saturating_add(self.deposit).min(self.cap);
     }
 
-    /// Takes one retry, if one is left.
+    /// Withdraws the cost of one retry; returns false if the balance is too low.
     pub(crate) fn try_withdraw(&mut self) -> bool {
         let Some(left) = self.balance.checked_sub(RETRY_COST) else {
             return false;
--- a/crates/caller/src/session.rs
+++ b/crates/caller/src/session.rs
@@ -1,4 +1,4 @@
-//! Whether a flow has a token.
+//! The token state of a flow.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
@@ -11,18 +11,18 @@
 use crate::Policy;
 use crate::retransmit_timer::RetransmitTimer;
 
-/// Whether a flow has a token.
+/// The token state of a flow.
 #[derive(Debug)]
 pub(crate) enum Session {
-    /// It has none, and does not ask for one before this time.
+    /// No token; none is requested before this time.
     Idle(Time),
-    /// It has asked for one.
+    /// An `Open` was sent and is unanswered.
     Opening(Opening),
-    /// It has one.
+    /// The flow has a token.
     Open(OpenSession),
 }
 
-/// An `Open` that is not answered yet.
+/// An `Open` packet that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct Opening {
     pub(crate) nonce: Nonce,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What the packets of a flow carry.
+/// The flow ID and token of an open flow.
 #[derive(Debug)]
 pub(crate) struct OpenSession {
     pub(crate) flow: FlowId,
--- a/crates/caller/tests/client.rs
+++ b/crates/caller/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client over loopback, with a service that loses, doubles and reorders datagrams.
+//! Tests of the client over loopback, with a service that drops, duplicates and reorders datagrams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,19 +31,19 @@
 use wire::SealedToken;
 use wire::Verdict;
 
-/// The chance that a datagram is lost, in either direction.
+/// The probability that a datagram is dropped, in either direction.
 const LOSS_RATE: f64 = 0.15;
-/// The chance that a datagram comes twice.
+/// The probability that a reply is duplicated.
 const DUPLICATION_RATE: f64 = 0.1;
 const FLOW: FlowId = FlowId(7);
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers each request with its body, a thousand times over.
+/// Answers each request with its body repeated 1000 times.
 struct LossyService {
     socket: UdpSocket,
     rng: SmallRng,
     answers: HashMap<RequestSeq, Answer>,
-    /// A datagram that is overtaken by the next one.
+    /// A duplicate that is sent after the next datagram.
     delayed: Option<Vec<u8>>,
 }
 
@@ -137,7 +137,7 @@
     })
 }
 
-/// Times short enough for a loss rate that no network has.
+/// Short timeouts, so that the test ends soon despite a loss rate higher than that of real networks.
 fn policy() -> Policy {
     let short = Duration::from_millis(5);
     Policy {
--- a/crates/caller/tests/flow.rs
+++ b/crates/caller/tests/flow.rs
@@ -1,4 +1,4 @@
-//! Scripts over the pure flow: replies and the time in, packets and ends out.
+//! Data-driven tests of the flow state machine: replies and time as input, packets and results as output.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -30,7 +30,7 @@
 use wire::SealedToken;
 use wire::Verdict;
 
-/// The packets of one script, and what must hold of them all.
+/// Runs one scenario file and checks the invariants of every packet sent.
 struct Script {
     flow: Flow,
     now: Time,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Lets time pass, waking the flow whenever it asks to be woken.
+    /// Advances the time and ticks the flow whenever it is due.
     fn pass(&mut self, span: Duration) -> String {
         let end = self.now + span;
         let mut text = String::new();
@@ -220,7 +220,7 @@
     })
 }
 
-/// An answer of the given length, which a letter tells from others of that length.
+/// An answer of the given length. The `answer` letter distinguishes answers of the same length.
 fn answer(case: &mut TestCase) -> Answer {
     let letter: char = opt(case, "answer").unwrap_or('a');
     let len: usize = arg(case, "len");
@@ -264,7 +264,7 @@
 #[test]
 fn scripts() {
     datadriven::walk("tests/flow", |file| {
-        // Scripts take the first refusal as the last word, unless they say otherwise.
+        // Scenarios do not resend after `owner_gone`, unless their policy says so.
         let plain = Policy {
             owner_gone_resends: 0,
             ..Policy::default()
--- a/crates/caller/tests/random.rs
+++ b/crates/caller/tests/random.rs
@@ -1,4 +1,4 @@
-//! A flow against replies in any order, true and false, with invariants checked at every step.
+//! Property test: a flow receives valid and invalid replies in any order, and invariants are checked at every step.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -33,10 +33,10 @@
 use wire::SealedToken;
 use wire::Verdict;
 
-/// The longest that any work waits.
+/// The timeout of every request.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the world does next. Numbers pick among what there is.
+/// One step of the simulation. `pick` selects one of the request numbers sent.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Request {
@@ -84,7 +84,7 @@
     ]
 }
 
-/// What the world knows of one request number.
+/// What the simulation knows of one request number.
 struct Sent {
     bytes: Vec<u8>,
     call: CallId,
@@ -99,7 +99,7 @@
     sent: BTreeMap<RequestSeq, Sent>,
     requests: HashMap<CallId, CallRequest>,
     ended: HashMap<CallId, Result<Vec<u8>, Failure>>,
-    /// The earliest time at which a refused piece of work may be sent anew, where it may be at all.
+    /// The earliest time at which a refused call may be retried, if it may be.
     retry_not_before: HashMap<CallId, Time>,
 }
 
@@ -133,15 +133,15 @@
                 Action::Send(bytes) => self.on_sent(&bytes),
                 Action::Opened(_) | Action::OpenFailed(_) => {}
                 Action::Ended(id, result) => {
-                    assert!(self.requests.contains_key(&id), "work that was never asked for ended");
-                    assert!(self.ended.insert(id, result).is_none(), "work ended twice");
+                    assert!(self.requests.contains_key(&id), "a call that was never requested ended");
+                    assert!(self.ended.insert(id, result).is_none(), "a call ended twice");
                 }
             }
         }
         let wake = self.flow.next_wake();
         assert!(
             wake.is_none_or(|wake| wake > self.now),
-            "the flow would wake at once, for ever"
+            "the next wake is not in the future, so the driver would spin"
         );
     }
 
@@ -162,7 +162,10 @@
             return;
         }
         let highest = self.sent.last_key_value().map(|(seq, _)| *seq);
-        assert!(highest.is_none_or(|highest| highest < request.seq), "numbers only grow");
+        assert!(
+            highest.is_none_or(|highest| highest < request.seq),
+            "request numbers must increase"
+        );
         self.check_seq_span(request.seq);
         assert_eq!(request.sent, request.seq);
         let call = CallId(request.body[0].into());
@@ -171,7 +174,7 @@
             let not_before = self.retry_not_before.get(&call);
             assert!(
                 not_before.is_some_and(|not_before| self.now >= *not_before),
-                "work was sent anew too soon or for no reason"
+                "a call was retried too early or without a refusal"
             );
         }
         self.retry_not_before.remove(&call);
@@ -185,7 +188,7 @@
         );
     }
 
-    /// Checks that no number still in progress is left far behind.
+    /// Checks that the new number is within the span of every number in progress.
     fn check_seq_span(&self, newest: RequestSeq) {
         for (seq, sent) in &self.sent {
             let latest = !self
@@ -195,7 +198,7 @@
             let ended = self.ended.contains_key(&sent.call) || self.retry_not_before.contains_key(&sent.call);
             assert!(
                 !latest || ended || newest.0 - seq.0 < 3,
-                "number {seq} is left behind {newest}"
+                "number {newest} is too far ahead of {seq}, which is in progress"
             );
         }
     }
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Works out from when on the work behind a refused number may be sent anew, if it may.
+    /// Records when the call of a refused number may be retried, if it may be.
     fn record_refusal(&mut self, seq: RequestSeq, ran: bool, retry: u32) {
         let Some(sent) = self.sent.get(&seq) else { return };
         let newer = self
@@ -304,7 +307,7 @@
         self.handle(Event::Request(id, request));
     }
 
-    /// One of the numbers sent, or one that was not.
+    /// Selects one of the numbers sent, or one that was not sent.
     fn pick(&self, pick: usize) -> (FlowId, RequestSeq) {
         let at = pick % (self.sent.len() + 1);
         match self.sent.iter().nth(at) {
@@ -327,7 +330,7 @@
         self.handle(Event::Datagram(wire::encode_reply(reply)));
     }
 
-    /// Checks that whatever ended well got an answer to one of its own requests.
+    /// Checks that every successful call got an answer to one of its own requests.
     fn check_answers(&self) {
         for (id, result) in &self.ended {
             let Ok(body) = result else { continue };
@@ -335,7 +338,8 @@
             let fits = own.flat_map(|(seq, _)| [answer_of(*seq, 0), answer_of(*seq, 1)]);
             assert!(
                 fits.into_iter().any(|answer| answer.body == *body),
-                "another request's answer"
+                "call {} got the answer of another one",
+                id.0
             );
         }
     }
@@ -348,7 +352,7 @@
     }
 }
 
-/// One of the answers that a request may get. The second is what a crossed run of an idempotent one gave.
+/// One of the answers that a request may get. The second one is that of a duplicate execution of an idempotent request.
 fn answer_of(seq: RequestSeq, which: u8) -> Answer {
     let len = (seq.0 % 4) as usize * 700 + usize::from(which);
     Answer::new((0..len).map(|at| (at as u64 + seq.0) as u8 ^ which).collect())
@@ -370,7 +374,7 @@
             simulation.apply(step);
         }
         simulation.pass(TIMEOUT);
-        prop_assert_eq!(simulation.ended.len(), simulation.requests.len(), "all work ends by its deadline");
+        prop_assert_eq!(simulation.ended.len(), simulation.requests.len(), "every call must end by its deadline");
         simulation.check_answers();
     }
 }
