--- a/crates/caller/src/assembly.rs
+++ b/crates/caller/src/assembly.rs
@@ -112,17 +112,17 @@
     /// Returns the requested chunks that are still missing, and halves the window.
     pub(crate) fn request_missing(&mut self) -> Vec<ChunkRange> {
         self.window = (self.window / 2).max(1);
-        let mut runs: Vec<ChunkRange> = Vec::new();
+        let mut ranges: Vec<ChunkRange> = Vec::new();
         for index in self.next..self.requested {
             if self.out_of_order.contains_key(&index) {
                 continue;
             }
-            match runs.last_mut() {
-                Some(run) if run.first + u32::from(run.count) == index => run.count += 1,
-                _ => runs.push(ChunkRange { first: index, count: 1 }),
+            match ranges.last_mut() {
+                Some(range) if range.first + u32::from(range.count) == index => range.count += 1,
+                _ => ranges.push(ChunkRange { first: index, count: 1 }),
             }
         }
-        runs
+        ranges
     }
 
     /// Grows the window by one after a chunk arrived.
--- a/crates/caller/src/call.rs
+++ b/crates/caller/src/call.rs
@@ -206,27 +206,30 @@
         let Some(answer) = &mut self.answer else {
             return vec![self.packet.clone()];
         };
-        let runs = answer.request_missing();
+        let ranges = answer.request_missing();
         let head = answer.head;
-        runs.into_iter().map(|run| self.pull(service, head, run)).collect()
+        ranges
+            .into_iter()
+            .map(|range| self.pull(service, head, range))
+            .collect()
     }
 
     /// The next pull packet, if enough of the window is free.
     pub(crate) fn next_pull(&mut self, service: &ServiceName) -> Option<Vec<u8>> {
         let answer = self.answer.as_mut()?;
-        let run = answer.request_next()?;
+        let range = answer.request_next()?;
         let head = answer.head;
-        Some(self.pull(service, head, run))
+        Some(self.pull(service, head, range))
     }
 
-    fn pull(&self, service: &ServiceName, head: AnswerHeader, run: ChunkRange) -> Vec<u8> {
+    fn pull(&self, service: &ServiceName, head: AnswerHeader, range: ChunkRange) -> Vec<u8> {
         wire::encode_packet(&Packet::Pull(wire::Pull {
             token: self.token.clone(),
             service: service.clone(),
             seq: self.seq,
             digest: head.digest,
-            first: run.first,
-            count: run.count,
+            first: range.first,
+            count: range.count,
         }))
     }
 }
--- a/crates/caller/src/client.rs
+++ b/crates/caller/src/client.rs
@@ -86,7 +86,7 @@
             SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
         };
         let socket = UdpSocket::bind(local).await.map_err(OpenError::Io)?;
-        let (commands, inbox) = mpsc::channel(COMMAND_QUEUE_LEN);
+        let (commands, command_receiver) = mpsc::channel(COMMAND_QUEUE_LEN);
         let (opened, answer) = oneshot::channel();
         let task = ClientTask {
             flow: Flow::new(service, address, policy, seed),
@@ -97,7 +97,7 @@
             pending: HashMap::new(),
             last_id: CallId(0),
         };
-        tokio::spawn(task.run(inbox));
+        tokio::spawn(task.run(command_receiver));
         let flow = answer
             .await
             .map_err(|_| OpenError::Refused(task_ended()))?
@@ -183,14 +183,14 @@
 }
 
 impl ClientTask {
-    async fn run(mut self, mut inbox: mpsc::Receiver<Command>) {
+    async fn run(mut self, mut command_receiver: mpsc::Receiver<Command>) {
         // One byte more than the maximum packet length, so that longer datagrams are detected.
         let mut buffer = [0; wire::MAX_PACKET_LEN + 1];
         self.handle_event(Event::Open).await;
         loop {
             let wake = self.flow.next_wake().map(|time| self.clock.instant(time));
             let event = tokio::select! {
-                command = inbox.recv() => match command {
+                command = command_receiver.recv() => match command {
                     None => break,
                     Some(command) => self.handle_command(command),
                 },
--- a/crates/caller/tests/flow.rs
+++ b/crates/caller/tests/flow.rs
@@ -174,8 +174,12 @@
             "unread" => RefusalSubject::Unread(RequestSeq(arg(case, "seq"))),
             other => panic!("no such subject: {other}"),
         };
-        let ran = case.take_flag("may-have-run").expect("a flag");
-        let verdict = if ran { Verdict::MayHaveRun } else { Verdict::NotRun };
+        let may_have_run = case.take_flag("may-have-run").expect("a flag");
+        let verdict = if may_have_run {
+            Verdict::MayHaveRun
+        } else {
+            Verdict::NotRun
+        };
         let reason: String = arg(case, "reason");
         Reply::Refused(Refused {
             subject,
--- a/crates/caller/tests/random.rs
+++ b/crates/caller/tests/random.rs
@@ -61,7 +61,7 @@
     Refused {
         pick: usize,
         about: u8,
-        ran: bool,
+        may_have_run: bool,
         reason: u8,
         retry: u32,
         token: Option<u64>,
@@ -79,7 +79,8 @@
         8 => (pick(), 0..2_u8, 0..6_u32, token())
             .prop_map(|(pick, answer, index, token)| Step::Chunk { pick, answer, index, token }),
         3 => (pick(), 0..3_u8, any::<bool>(), 0..4_u8, 0..500_u32, token()).prop_map(
-            |(pick, about, ran, reason, retry, token)| Step::Refused { pick, about, ran, reason, retry, token }
+            |(pick, about, may_have_run, reason, retry, token)|
+                Step::Refused { pick, about, may_have_run, reason, retry, token }
         ),
     ]
 }
@@ -254,7 +255,7 @@
             Step::Refused {
                 pick,
                 about,
-                ran,
+                may_have_run,
                 reason,
                 retry,
                 token,
@@ -266,10 +267,14 @@
                     _ => RefusalSubject::Unread(seq),
                 };
                 let reasons = [Reason::Overload, Reason::OwnerGone, Reason::Token, Reason::Unknown];
-                self.record_refusal(seq, ran || about == 1, retry);
+                self.record_refusal(seq, may_have_run || about == 1, retry);
                 self.reply(&Reply::Refused(Refused {
                     subject,
-                    verdict: if ran { Verdict::MayHaveRun } else { Verdict::NotRun },
+                    verdict: if may_have_run {
+                        Verdict::MayHaveRun
+                    } else {
+                        Verdict::NotRun
+                    },
                     reason: reasons[usize::from(reason)],
                     retry_after: Millis(retry),
                     granted: self.granted(token),
@@ -279,13 +284,13 @@
     }
 
     /// Records when the call of a refused number may be retried, if it may be.
-    fn record_refusal(&mut self, seq: RequestSeq, ran: bool, retry: u32) {
+    fn record_refusal(&mut self, seq: RequestSeq, may_have_run: bool, retry: u32) {
         let Some(sent) = self.sent.get(&seq) else { return };
         let newer = self
             .sent
             .range(seq..)
             .any(|(other, newer)| *other > seq && newer.call == sent.call);
-        let allowed = self.requests[&sent.call].idempotent || !ran;
+        let allowed = self.requests[&sent.call].idempotent || !may_have_run;
         if newer || !allowed {
             return;
         }
