--- a/crates/caller/src/client.rs
+++ b/crates/caller/src/client.rs
@@ -1,4 +1,4 @@
-//! A small UDP client around a [`Flow`].
+//! A UDP client that drives a [`Flow`].
 
 use std::collections::HashMap;
 use std::fmt;
@@ -23,37 +23,37 @@
 
 use crate::Action;
 use crate::CallId;
+use crate::CallRequest;
 use crate::Event;
 use crate::Failure;
 use crate::Flow;
+use crate::FlowCounters;
 use crate::Policy;
-use crate::Tally;
-use crate::Work;
 
-/// How many commands may wait for the task.
-const COMMANDS: usize = 64;
+/// Capacity of the command channel to the client task.
+const COMMAND_QUEUE_LEN: usize = 64;
 
-/// Why a client could not be opened.
+/// The error of [`Client::open`].
 #[derive(Debug)]
 pub enum OpenError {
-    /// There is no socket.
+    /// The UDP socket could not be bound.
     Io(io::Error),
-    /// The service refused, or nothing answered in time.
+    /// The service refused the flow, or did not reply in time.
     Refused(Failure),
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "no socket: {error}"),
-            Self::Refused(failure) => write!(f, "no flow: {failure}"),
+            Self::Io(error) => write!(f, "cannot bind a UDP socket: {error}"),
+            Self::Refused(failure) => write!(f, "cannot open a flow: {failure}"),
         }
     }
 }
 
 impl std::error::Error for OpenError {}
 
-/// One flow of a caller, over a UDP socket of its own. Clones share the flow.
+/// A handle to one flow with its own UDP socket. Clones share the flow.
 #[derive(Debug, Clone)]
 pub struct Client {
     commands: mpsc::Sender<Command>,
@@ -62,17 +62,17 @@
 
 #[derive(Debug)]
 enum Command {
-    Request(Work, oneshot::Sender<Result<Vec<u8>, Failure>>),
-    Tally(oneshot::Sender<Tally>),
+    Request(CallRequest, oneshot::Sender<Result<Vec<u8>, Failure>>),
+    Counters(oneshot::Sender<FlowCounters>),
 }
 
 impl Client {
-    /// Opens a flow to `service` at the `address` that its callers dial, through the fabric.
+    /// Opens a flow to `service`, whose public address is `address`, through the fabric.
     pub async fn open(service: ServiceName, address: SocketAddr, fabric: SocketAddr) -> Result<Self, OpenError> {
         Self::open_with(service, address, fabric, Policy::default(), rand::random()).await
     }
 
-    /// Opens a flow with other times and limits than the usual ones, and a seed for nonces and jitter.
+    /// Like [`Client::open`], with a custom policy and a seed for nonces and jitter.
     pub async fn open_with(
         service: ServiceName,
         address: SocketAddr,
@@ -80,73 +80,73 @@
         policy: Policy,
         seed: u64,
     ) -> Result<Self, OpenError> {
-        // The socket is not connected, since an instance answers from its own address.
+        // The socket is not connected, because instances reply from their own addresses.
         let local: SocketAddr = match fabric {
             SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
             SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
         };
         let socket = UdpSocket::bind(local).await.map_err(OpenError::Io)?;
-        let (commands, inbox) = mpsc::channel(COMMANDS);
+        let (commands, command_receiver) = mpsc::channel(COMMAND_QUEUE_LEN);
         let (opened, answer) = oneshot::channel();
-        let task = Task {
+        let task = ClientTask {
             flow: Flow::new(service, address, policy, seed),
             socket,
             fabric,
             clock: Clock::start(),
-            opened: Some(opened),
-            waiting: HashMap::new(),
-            last: CallId(0),
+            open_reply: Some(opened),
+            pending: HashMap::new(),
+            last_id: CallId(0),
         };
-        tokio::spawn(task.run(inbox));
+        tokio::spawn(task.run(command_receiver));
         let flow = answer
             .await
-            .map_err(|_| OpenError::Refused(abandoned()))?
+            .map_err(|_| OpenError::Refused(task_ended()))?
             .map_err(OpenError::Refused)?;
         Ok(Self { commands, flow })
     }
 
-    /// The flow as it was opened, for logs and the time line.
+    /// The ID of the flow as first opened, for logs and the time line.
     pub fn flow(&self) -> FlowId {
         self.flow
     }
 
-    /// Asks for work that must not run twice. It is sent anew only when it surely has not run.
+    /// Sends a request that is not idempotent. It is retried only if it is known not to have run.
     pub async fn request(&self, kind: KindName, body: Vec<u8>, timeout: Duration) -> Result<Vec<u8>, Failure> {
-        let work = Work {
+        let request = CallRequest {
             kind,
             body,
             timeout,
             idempotent: false,
         };
-        self.submit(work).await
+        self.submit(request).await
     }
 
-    /// Asks for work.
-    pub async fn submit(&self, work: Work) -> Result<Vec<u8>, Failure> {
+    /// Sends a request and waits for its answer.
+    pub async fn submit(&self, request: CallRequest) -> Result<Vec<u8>, Failure> {
         let (reply, answer) = oneshot::channel();
-        let command = Command::Request(work, reply);
+        let command = Command::Request(request, reply);
         if self.commands.send(command).await.is_err() {
-            return Err(Failure::local(Verdict::NotRun, Reason::Limit));
+            return Err(Failure::from_caller(Verdict::NotRun, Reason::Limit));
         }
-        answer.await.unwrap_or(Err(abandoned()))
+        answer.await.unwrap_or(Err(task_ended()))
     }
 
-    /// What the flow has counted.
-    pub async fn tally(&self) -> Tally {
+    /// Returns the counters of the flow, all zero if the client task has ended.
+    pub async fn counters(&self) -> FlowCounters {
         let (reply, answer) = oneshot::channel();
-        if self.commands.send(Command::Tally(reply)).await.is_err() {
-            return Tally::default();
+        if self.commands.send(Command::Counters(reply)).await.is_err() {
+            return FlowCounters::default();
         }
         answer.await.unwrap_or_default()
     }
 }
 
-/// The task ended before the request did.
-fn abandoned() -> Failure {
-    Failure::local(Verdict::MayHaveRun, Reason::Deadline)
+/// The failure to report when the client task ends before the request.
+fn task_ended() -> Failure {
+    Failure::from_caller(Verdict::MayHaveRun, Reason::Deadline)
 }
 
-/// Microseconds since the Unix epoch that never run backwards.
+/// Monotonic clock that reports microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy)]
 struct Clock {
     start: Instant,
@@ -171,28 +171,28 @@
     }
 }
 
-/// Owns the flow and its socket.
-struct Task {
+/// The background task that owns the flow and its socket.
+struct ClientTask {
     flow: Flow,
     socket: UdpSocket,
     fabric: SocketAddr,
     clock: Clock,
-    opened: Option<oneshot::Sender<Result<FlowId, Failure>>>,
-    waiting: HashMap<CallId, oneshot::Sender<Result<Vec<u8>, Failure>>>,
-    last: CallId,
+    open_reply: Option<oneshot::Sender<Result<FlowId, Failure>>>,
+    pending: HashMap<CallId, oneshot::Sender<Result<Vec<u8>, Failure>>>,
+    last_id: CallId,
 }
 
-impl Task {
-    async fn run(mut self, mut inbox: mpsc::Receiver<Command>) {
-        // One byte more than a packet may have tells one that is too long.
+impl ClientTask {
+    async fn run(mut self, mut command_receiver: mpsc::Receiver<Command>) {
+        // One byte more than the maximum packet length, so that longer datagrams are detected.
         let mut buffer = [0; wire::MAX_PACKET_LEN + 1];
-        self.step(Event::Open).await;
+        self.handle_event(Event::Open).await;
         loop {
             let wake = self.flow.next_wake().map(|time| self.clock.instant(time));
             let event = tokio::select! {
-                command = inbox.recv() => match command {
+                command = command_receiver.recv() => match command {
                     None => break,
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                 },
                 received = self.socket.recv(&mut buffer) => match received {
                     Ok(len) => Some(Event::Datagram(buffer[..len].to_vec())),
@@ -201,50 +201,50 @@
                 () = sleep_until(wake) => Some(Event::Tick),
             };
             if let Some(event) = event {
-                self.step(event).await;
+                self.handle_event(event).await;
             }
         }
-        self.step(Event::Close).await;
+        self.handle_event(Event::Close).await;
     }
 
-    fn command(&mut self, command: Command) -> Option<Event> {
+    fn handle_command(&mut self, command: Command) -> Option<Event> {
         match command {
-            Command::Request(work, reply) => {
-                self.last = CallId(self.last.0 + 1);
-                self.waiting.insert(self.last, reply);
-                Some(Event::Request(self.last, work))
+            Command::Request(request, reply) => {
+                self.last_id = CallId(self.last_id.0 + 1);
+                self.pending.insert(self.last_id, reply);
+                Some(Event::Request(self.last_id, request))
             }
-            Command::Tally(reply) => {
-                // Whoever asked may have gone.
-                let _ = reply.send(self.flow.tally());
+            Command::Counters(reply) => {
+                // The receiver may have been dropped.
+                let _ = reply.send(self.flow.counters());
                 None
             }
         }
     }
 
-    async fn step(&mut self, event: Event) {
+    async fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.flow.handle(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
-                // A datagram that cannot be sent counts as lost and is retransmitted.
+                // A send error is treated as packet loss; the retransmission timer covers it.
                 Action::Send(bytes) => drop(self.socket.send_to(&bytes, self.fabric).await),
-                Action::Opened(flow) => self.answer_open(Ok(flow)),
-                Action::NotOpened(failure) => self.answer_open(Err(failure)),
+                Action::Opened(flow) => self.reply_open(Ok(flow)),
+                Action::OpenFailed(failure) => self.reply_open(Err(failure)),
                 Action::Ended(id, result) => {
-                    let Some(reply) = self.waiting.remove(&id) else {
+                    let Some(reply) = self.pending.remove(&id) else {
                         continue;
                     };
-                    // Whoever asked may have gone.
+                    // The receiver may have been dropped.
                     let _ = reply.send(result);
                 }
             }
         }
     }
 
-    fn answer_open(&mut self, result: Result<FlowId, Failure>) {
-        if let Some(opened) = self.opened.take() {
-            // Whoever asked may have gone.
+    fn reply_open(&mut self, result: Result<FlowId, Failure>) {
+        if let Some(opened) = self.open_reply.take() {
+            // The receiver may have been dropped.
             let _ = opened.send(result);
         }
     }
