--- a/crates/jayquayd/src/engine.rs
+++ b/crates/jayquayd/src/engine.rs
@@ -26,23 +26,30 @@
 use crate::timeline::TimelineBuffer;
 use crate::upstreams::Upstreams;
 
-/// Maximum number of inputs taken from a queue at once.
+/// Maximum number of inputs or datagrams taken from a queue at once.
 const BATCH_LEN: usize = 64;
-/// Time beyond the limit of a planned stop after which the process ends without waiting for the node.
+/// Time allowed to the node, after the time limit of a planned stop, to report that the stop has ended. After that, the
+/// engine ends without the report.
 const STOP_GRACE: Duration = Duration::from_secs(2);
-/// Time limit for sessions to send queued frames at the end of a planned stop.
+/// Time limit for sessions to send queued frames and end, at the end of a planned stop.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Stands for an absent deadline.
+/// Time to the deadline while no planned stop is in progress. The `select!` branch for the deadline always sleeps, so
+/// it needs a time that is never reached.
 const NO_DEADLINE: Duration = Duration::from_hours(24 * 365);
 
 /// The reason for which the engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// The planned stop completed, with this many requests left in doubt.
+    /// The node reported the end of the planned stop, at which it aborted this many requests that were still open. At
+    /// the time limit of the stop, the node ends the stop itself.
     Stopped(u32),
-    /// The planned stop exceeded its time limit, with this many requests still in progress.
+    /// The node did not report the end of the planned stop within its time limit and a grace period, with this many
+    /// requests still in progress.
     StopTimedOut(usize),
-    /// The engine task panicked, or all senders of inputs are gone.
+    /// The engine task panicked, or all senders of inputs were dropped. Also returned by [`Handle::ended`] once it has
+    /// returned the actual reason.
+    ///
+    /// [`Handle::ended`]: crate::Handle::ended
     EngineFailed,
 }
 
@@ -53,9 +60,9 @@
     pub reply_sender: ReplySender,
     /// Sends frames to other instances.
     pub sessions: Sessions,
-    /// Calls upstreams.
+    /// Executes calls to upstreams, and polls their health and load.
     pub upstreams: Upstreams,
-    /// Controls the synchronisation with the platform.
+    /// Requests to the synchronisation with the platform: whether to watch, and whether to mark the entry as leaving.
     pub desired: watch::Sender<DesiredState>,
     /// Records the timeline.
     pub timeline: TimelineBuffer,
@@ -66,15 +73,20 @@
 pub struct Engine {
     node: Node,
     clock: Clock,
+    /// Stamps frames and records of the timeline.
     hybrid_clock: HybridClock,
     queues: InputQueues,
     components: Components,
+    /// Time limit of a planned stop.
     stop_within: Duration,
+    /// The time at which the engine ends without the node's report, set when a planned stop begins.
     stop_deadline: Option<tokio::time::Instant>,
     /// Instances to which frames were lost, reported to the node in the next batch.
     lost_peers: Vec<InstanceName>,
     actions: Vec<Action>,
     exit_reason: Option<ExitReason>,
+    /// Number of requests that the node aborted at the end of a planned stop, whether waiting for a slot or being
+    /// called.
     in_doubt: u32,
     unusable_packets: gauges::UnusablePacketLog,
 }
@@ -98,7 +110,8 @@
         }
     }
 
-    /// Runs until a planned stop completes or exceeds its time limit.
+    /// Runs until the node reports the end of a planned stop, `STOP_GRACE` has passed after the time limit of the
+    /// stop, or all senders of inputs were dropped.
     pub async fn run(mut self) -> ExitReason {
         let mut inputs = Vec::with_capacity(BATCH_LEN);
         let mut datagrams = Vec::with_capacity(BATCH_LEN);
@@ -149,6 +162,8 @@
         }
     }
 
+    /// Reports lost peers to the node, then handles the inputs and datagrams. Also runs, usually without any, after
+    /// each tick and gauge update, whose own time is not part of the recorded duration.
     fn handle_batch(&mut self, inputs: &mut Vec<Input>, datagrams: &mut Vec<Datagram>) {
         let started = Instant::now();
         for name in std::mem::take(&mut self.lost_peers) {
@@ -165,6 +180,7 @@
 
     fn handle_input(&mut self, input: Input) {
         match input {
+            // `complete` removes the call. The result of a cancelled call is dropped.
             Input::Event(Event::CallEnded(id, _)) if !self.components.upstreams.complete(id) => {}
             Input::Event(Event::Stop) => self.begin_stop(),
             Input::Event(event) => self.handle_event(event),
@@ -254,7 +270,8 @@
         self.components.timeline.push(stamp, record);
     }
 
-    /// Waits, up to a time limit, until the sessions have sent their queued frames.
+    /// Releases all sessions, which then send their queued frames, and waits up to a time limit until all have reported
+    /// their end. Returns early if all senders of inputs were dropped.
     async fn flush(&mut self) {
         let mut open_sessions = self.components.sessions.release_all();
         let all_ended = async {
@@ -268,6 +285,7 @@
             }
         };
         if tokio::time::timeout(FLUSH_TIMEOUT, all_ended).await.is_err() {
+            // Counts the sessions that did not report their end in time, which may have frames queued.
             log::warn!(
                 "daemon: {} sessions ended with frames still queued",
                 open_sessions.len()
--- a/crates/jayquayd/src/main.rs
+++ b/crates/jayquayd/src/main.rs
@@ -1,6 +1,7 @@
 //! `jayquayd`: runs an instance as a process.
 //!
-//! Prints its addresses as one line of JSON once it listens, and performs a planned stop on SIGTERM or SIGINT.
+//! By default, prints its addresses as one line of JSON once it listens, performs a planned stop on SIGTERM or SIGINT,
+//! and logs to stderr. With `--flows`, runs [`forward::run`] instead, prints no addresses, and logs to stdout.
 
 use std::fmt;
 use std::fs;
@@ -36,7 +37,7 @@
 
 /// Exit code for a failure at run time.
 const EXIT_FAILURE: u8 = 1;
-/// Exit code for an invalid command line or invalid settings.
+/// Exit code for an invalid command line, or for settings that are invalid or can't be read.
 const EXIT_USAGE: u8 = 2;
 
 /// Upper bounds of the histogram buckets, in seconds.
@@ -159,7 +160,7 @@
     let _ignored = writeln!(io::stderr(), "{text}");
 }
 
-/// Initialises the logger without module paths, since each line begins with the name of its part.
+/// Initialises the logger without module paths, since each line begins with the name of its component.
 fn init_log(target: Target) {
     let env = Env::default().default_filter_or("info");
     let mut builder = env_logger::Builder::from_env(env);
@@ -178,8 +179,7 @@
     })
 }
 
-/// Runs the flow mode on a single thread: a packet takes a few microseconds, and a second thread would only add context
-/// switches.
+/// Reads the settings of the flow mode and, unless only a check was requested, runs it.
 fn forward(options: &Options) -> ExitCode {
     let text = match fs::read_to_string(&options.settings) {
         Ok(text) => text,
@@ -207,6 +207,8 @@
     }
 }
 
+/// Runs the flow mode on a single thread, besides the log writer's: a packet takes a few microseconds, and a second
+/// thread would only add context switches.
 #[tokio::main(flavor = "current_thread")]
 async fn forward_until_stopped(settings: &forward::Settings, path: &Path) -> Result<(), RunError> {
     let metrics = install_recorder()?;
