--- a/crates/caller/src/assembly.rs
+++ b/crates/caller/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts an answer together from its chunks.
+//! Reassembles an answer from its chunks.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
 use wire::CHUNK_LEN;
 use wire::Digest;
 
-/// What became of a chunk.
+/// The result of inserting a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Inserted {
-    /// It was new.
+pub(crate) enum InsertOutcome {
+    /// The chunk was new and has been stored.
     New,
-    /// It had already arrived.
+    /// The chunk had already been received.
     Duplicate,
-    /// It is not of this answer, or was not asked for.
-    Unfit,
+    /// The chunk does not belong to this answer, or was not requested.
+    Unexpected,
 }
 
-/// Some chunks in a row.
+/// A range of consecutive chunks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Run {
+pub(crate) struct ChunkRange {
     pub(crate) first: u32,
     pub(crate) count: u8,
 }
 
-/// An answer of which some chunks have arrived.
+/// A partially received answer.
 ///
-/// Memory grows with what arrives, never with the claimed length: only chunks that were asked
-/// for are taken, and never more than a window of them is.
+/// Memory use is bounded by the data received, not by the length that the header claims: only requested chunks
+/// are stored, and at most one window of chunks is requested at a time.
 #[derive(Debug)]
 pub(crate) struct Assembly {
     pub(crate) head: AnswerHeader,
     body: Vec<u8>,
-    ahead: BTreeMap<u32, ByteBuf>,
+    out_of_order: BTreeMap<u32, ByteBuf>,
     next: u32,
-    asked: u32,
+    requested: u32,
     window: u32,
     max_window: u32,
 }
@@ -46,31 +46,31 @@
         Self {
             head,
             body: Vec::new(),
-            ahead: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             next: 0,
-            asked: 1,
+            requested: 1,
             window,
             max_window: window,
         }
     }
 
-    /// Takes a chunk.
-    pub(crate) fn insert(&mut self, index: u32, data: ByteBuf) -> Inserted {
+    /// Stores a requested chunk.
+    pub(crate) fn insert(&mut self, index: u32, data: ByteBuf) -> InsertOutcome {
         if index >= self.head.chunks() || data.len() != self.len_of(index) {
-            return Inserted::Unfit;
+            return InsertOutcome::Unexpected;
         }
-        if index < self.next || self.ahead.contains_key(&index) {
-            return Inserted::Duplicate;
+        if index < self.next || self.out_of_order.contains_key(&index) {
+            return InsertOutcome::Duplicate;
         }
-        if index >= self.asked {
-            return Inserted::Unfit;
+        if index >= self.requested {
+            return InsertOutcome::Unexpected;
         }
-        self.ahead.insert(index, data);
-        while let Some(data) = self.ahead.remove(&self.next) {
+        self.out_of_order.insert(index, data);
+        while let Some(data) = self.out_of_order.remove(&self.next) {
             self.body.extend_from_slice(&data);
             self.next += 1;
         }
-        Inserted::New
+        InsertOutcome::New
     }
 
     fn len_of(&self, index: u32) -> usize {
@@ -78,13 +78,13 @@
         CHUNK_LEN.min((self.head.len as usize).saturating_sub(start))
     }
 
-    /// Whether every chunk has arrived.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Whether all chunks have been received.
+    pub(crate) fn is_complete(&self) -> bool {
         self.next == self.head.chunks()
     }
 
-    /// Whether the chunks that have arrived are the answer that the head names.
-    pub(crate) fn is_genuine(&self) -> bool {
+    /// Whether the body has the length and the digest of the header.
+    pub(crate) fn matches_digest(&self) -> bool {
         self.body.len() == self.head.len as usize && Digest::of(&self.body) == self.head.digest
     }
 
@@ -92,40 +92,41 @@
         self.body
     }
 
-    /// The chunks to ask for next, once enough of the window is free to be worth a packet.
-    pub(crate) fn advance(&mut self) -> Option<Run> {
+    /// Returns the next chunks to request, once at least half of the window is free, or the last chunks fit in it.
+    /// A smaller range is not worth a packet.
+    pub(crate) fn request_next(&mut self) -> Option<ChunkRange> {
         let chunks = self.head.chunks();
         let limit = self.next.saturating_add(self.window).min(chunks);
-        let free = limit.saturating_sub(self.asked);
+        let free = limit.saturating_sub(self.requested);
         if free == 0 || (limit < chunks && free < self.window.div_ceil(2)) {
             return None;
         }
-        let first = self.asked;
-        self.asked = limit;
-        Some(Run {
+        let first = self.requested;
+        self.requested = limit;
+        Some(ChunkRange {
             first,
             count: free as u8,
         })
     }
 
-    /// The chunks that were asked for and have not arrived. Asking for them again halves the window.
-    pub(crate) fn lost(&mut self) -> Vec<Run> {
+    /// Returns the requested chunks that are still missing, and halves the window.
+    pub(crate) fn request_missing(&mut self) -> Vec<ChunkRange> {
         self.window = (self.window / 2).max(1);
-        let mut runs: Vec<Run> = Vec::new();
-        for index in self.next..self.asked {
-            if self.ahead.contains_key(&index) {
+        let mut ranges: Vec<ChunkRange> = Vec::new();
+        for index in self.next..self.requested {
+            if self.out_of_order.contains_key(&index) {
                 continue;
             }
-            match runs.last_mut() {
-                Some(run) if run.first + u32::from(run.count) == index => run.count += 1,
-                _ => runs.push(Run { first: index, count: 1 }),
+            match ranges.last_mut() {
+                Some(range) if range.first + u32::from(range.count) == index => range.count += 1,
+                _ => ranges.push(ChunkRange { first: index, count: 1 }),
             }
         }
-        runs
+        ranges
     }
 
-    /// A pull was answered without loss: the window grows again.
-    pub(crate) fn widen(&mut self) {
+    /// Grows the window by one after a chunk arrived.
+    pub(crate) fn grow_window(&mut self) {
         self.window = (self.window + 1).min(self.max_window);
     }
 }
--- a/crates/caller/tests/random.rs
+++ b/crates/caller/tests/random.rs
@@ -1,4 +1,4 @@
-//! A flow against replies in any order, true and false, with invariants checked at every step.
+//! Property test: a flow receives valid and invalid replies in any order, and invariants are checked at every step.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -6,11 +6,11 @@
 
 use caller::Action;
 use caller::CallId;
+use caller::CallRequest;
 use caller::Event;
 use caller::Failure;
 use caller::Flow;
 use caller::Policy;
-use caller::Work;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -33,10 +33,10 @@
 use wire::SealedToken;
 use wire::Verdict;
 
-/// The longest that any work waits.
+/// The timeout of every request.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the world does next. Numbers pick among what there is.
+/// One step of the simulation. `pick` selects one of the request numbers sent.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Request {
@@ -61,7 +61,7 @@
     Refused {
         pick: usize,
         about: u8,
-        ran: bool,
+        may_have_run: bool,
         reason: u8,
         retry: u32,
         token: Option<u64>,
@@ -79,38 +79,39 @@
         8 => (pick(), 0..2_u8, 0..6_u32, token())
             .prop_map(|(pick, answer, index, token)| Step::Chunk { pick, answer, index, token }),
         3 => (pick(), 0..3_u8, any::<bool>(), 0..4_u8, 0..500_u32, token()).prop_map(
-            |(pick, about, ran, reason, retry, token)| Step::Refused { pick, about, ran, reason, retry, token }
+            |(pick, about, may_have_run, reason, retry, token)|
+                Step::Refused { pick, about, may_have_run, reason, retry, token }
         ),
     ]
 }
 
-/// What the world knows of one request number.
+/// What the simulation knows of one request number.
 struct Sent {
     bytes: Vec<u8>,
     call: CallId,
     flow: FlowId,
 }
 
-struct World {
+struct Simulation {
     flow: Flow,
     now: Time,
     nonce: Nonce,
     opened: FlowId,
     sent: BTreeMap<RequestSeq, Sent>,
-    works: HashMap<CallId, Work>,
+    requests: HashMap<CallId, CallRequest>,
     ended: HashMap<CallId, Result<Vec<u8>, Failure>>,
-    /// The earliest time at which a refused piece of work may be sent anew, where it may be at all.
-    again: HashMap<CallId, Time>,
+    /// The earliest time at which a refused call may be retried, if it may be.
+    retry_not_before: HashMap<CallId, Time>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let service = "availability".parse().expect("a valid name");
         let address = "10.0.0.1:7000".parse().expect("a valid address");
         let policy = Policy {
             retry_reserve: 100,
             window: 3,
-            span: 3,
+            max_seq_span: 3,
             ..Policy::default()
         };
         Self {
@@ -119,9 +120,9 @@
             nonce: Nonce(0),
             opened: FlowId(0),
             sent: BTreeMap::new(),
-            works: HashMap::new(),
+            requests: HashMap::new(),
             ended: HashMap::new(),
-            again: HashMap::new(),
+            retry_not_before: HashMap::new(),
         }
     }
 
@@ -131,17 +132,17 @@
         for action in actions {
             match action {
                 Action::Send(bytes) => self.on_sent(&bytes),
-                Action::Opened(_) | Action::NotOpened(_) => {}
+                Action::Opened(_) | Action::OpenFailed(_) => {}
                 Action::Ended(id, result) => {
-                    assert!(self.works.contains_key(&id), "work that was never asked for ended");
-                    assert!(self.ended.insert(id, result).is_none(), "work ended twice");
+                    assert!(self.requests.contains_key(&id), "a call that was never requested ended");
+                    assert!(self.ended.insert(id, result).is_none(), "a call ended twice");
                 }
             }
         }
         let wake = self.flow.next_wake();
         assert!(
             wake.is_none_or(|wake| wake > self.now),
-            "the flow would wake at once, for ever"
+            "the next wake is not in the future, so the driver would spin"
         );
     }
 
@@ -162,19 +163,22 @@
             return;
         }
         let highest = self.sent.last_key_value().map(|(seq, _)| *seq);
-        assert!(highest.is_none_or(|highest| highest < request.seq), "numbers only grow");
-        self.check_span(request.seq);
+        assert!(
+            highest.is_none_or(|highest| highest < request.seq),
+            "request numbers must increase"
+        );
+        self.check_seq_span(request.seq);
         assert_eq!(request.sent, request.seq);
         let call = CallId(request.body[0].into());
         let earlier = self.sent.values().any(|sent| sent.call == call);
         if earlier {
-            let again = self.again.get(&call);
+            let not_before = self.retry_not_before.get(&call);
             assert!(
-                again.is_some_and(|again| self.now >= *again),
-                "work was sent anew too soon or for no reason"
+                not_before.is_some_and(|not_before| self.now >= *not_before),
+                "a call was retried too early or without a refusal"
             );
         }
-        self.again.remove(&call);
+        self.retry_not_before.remove(&call);
         self.sent.insert(
             request.seq,
             Sent {
@@ -185,17 +189,17 @@
         );
     }
 
-    /// Checks that no number still in progress is left far behind.
-    fn check_span(&self, newest: RequestSeq) {
+    /// Checks that the new number is within the span of every number in progress.
+    fn check_seq_span(&self, newest: RequestSeq) {
         for (seq, sent) in &self.sent {
             let latest = !self
                 .sent
                 .iter()
                 .any(|(other, newer)| other > seq && newer.call == sent.call);
-            let ended = self.ended.contains_key(&sent.call) || self.again.contains_key(&sent.call);
+            let ended = self.ended.contains_key(&sent.call) || self.retry_not_before.contains_key(&sent.call);
             assert!(
                 !latest || ended || newest.0 - seq.0 < 3,
-                "number {seq} is left behind {newest}"
+                "number {newest} is too far ahead of {seq}, which is in progress"
             );
         }
     }
@@ -209,7 +213,7 @@
         self.now = end;
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Request { idempotent } => self.request(idempotent),
             Step::Pass { millis } => self.pass(Duration::from_millis(millis)),
@@ -223,7 +227,7 @@
                 self.reply(&Reply::Opened(Opened {
                     nonce,
                     flow: self.opened,
-                    granted: grant(floor, RequestSeq(floor)),
+                    granted: issued_token(floor, RequestSeq(floor)),
                 }));
             }
             Step::Accepted { pick } => {
@@ -251,7 +255,7 @@
             Step::Refused {
                 pick,
                 about,
-                ran,
+                may_have_run,
                 reason,
                 retry,
                 token,
@@ -263,10 +267,14 @@
                     _ => RefusalSubject::Unread(seq),
                 };
                 let reasons = [Reason::Overload, Reason::OwnerGone, Reason::Token, Reason::Unknown];
-                self.note_refusal(seq, ran || about == 1, retry);
+                self.record_refusal(seq, may_have_run || about == 1, retry);
                 self.reply(&Reply::Refused(Refused {
                     subject,
-                    verdict: if ran { Verdict::MayHaveRun } else { Verdict::NotRun },
+                    verdict: if may_have_run {
+                        Verdict::MayHaveRun
+                    } else {
+                        Verdict::NotRun
+                    },
                     reason: reasons[usize::from(reason)],
                     retry_after: Millis(retry),
                     granted: self.granted(token),
@@ -275,36 +283,36 @@
         }
     }
 
-    /// Works out from when on the work behind a refused number may be sent anew, if it may.
-    fn note_refusal(&mut self, seq: RequestSeq, ran: bool, retry: u32) {
+    /// Records when the call of a refused number may be retried, if it may be.
+    fn record_refusal(&mut self, seq: RequestSeq, may_have_run: bool, retry: u32) {
         let Some(sent) = self.sent.get(&seq) else { return };
         let newer = self
             .sent
             .range(seq..)
             .any(|(other, newer)| *other > seq && newer.call == sent.call);
-        let allowed = self.works[&sent.call].idempotent || !ran;
+        let allowed = self.requests[&sent.call].idempotent || !may_have_run;
         if newer || !allowed {
             return;
         }
         // The first refusal counts, unless the flow ignores it, as it does while an answer is arriving.
         let due = self.now + Millis(retry).duration();
-        let again = self.again.entry(sent.call).or_insert(due);
-        *again = due.min(*again);
+        let earliest = self.retry_not_before.entry(sent.call).or_insert(due);
+        *earliest = due.min(*earliest);
     }
 
     fn request(&mut self, idempotent: bool) {
-        let id = CallId(self.works.len() as u64);
-        let work = Work {
+        let id = CallId(self.requests.len() as u64);
+        let request = CallRequest {
             kind: "hold".parse().expect("a valid name"),
             body: vec![id.0 as u8],
             timeout: TIMEOUT,
             idempotent,
         };
-        self.works.insert(id, work.clone());
-        self.handle(Event::Request(id, work));
+        self.requests.insert(id, request.clone());
+        self.handle(Event::Request(id, request));
     }
 
-    /// One of the numbers sent, or one that was not.
+    /// Selects one of the numbers sent, or one that was not sent.
     fn pick(&self, pick: usize) -> (FlowId, RequestSeq) {
         let at = pick % (self.sent.len() + 1);
         match self.sent.iter().nth(at) {
@@ -317,7 +325,7 @@
     fn granted(&self, token: Option<u64>) -> Option<IssuedToken> {
         let highest = self.sent.last_key_value().map_or(0, |(seq, _)| seq.0);
         let token = token?;
-        Some(grant(
+        Some(issued_token(
             100 + highest + token,
             RequestSeq((highest + token).saturating_sub(1)),
         ))
@@ -327,7 +335,7 @@
         self.handle(Event::Datagram(wire::encode_reply(reply)));
     }
 
-    /// Checks that whatever ended well got an answer to one of its own requests.
+    /// Checks that every successful call got an answer to one of its own requests.
     fn check_answers(&self) {
         for (id, result) in &self.ended {
             let Ok(body) = result else { continue };
@@ -335,20 +343,21 @@
             let fits = own.flat_map(|(seq, _)| [answer_of(*seq, 0), answer_of(*seq, 1)]);
             assert!(
                 fits.into_iter().any(|answer| answer.body == *body),
-                "another request's answer"
+                "call {} got the answer of another one",
+                id.0
             );
         }
     }
 }
 
-fn grant(token: u64, floor: RequestSeq) -> IssuedToken {
+fn issued_token(token: u64, floor: RequestSeq) -> IssuedToken {
     IssuedToken {
         token: SealedToken(ByteBuf::from(token.to_be_bytes())),
         floor,
     }
 }
 
-/// One of the answers that a request may get. The second is what a crossed run of an idempotent one gave.
+/// One of the answers that a request may get. The second one is that of a duplicate execution of an idempotent request.
 fn answer_of(seq: RequestSeq, which: u8) -> Answer {
     let len = (seq.0 % 4) as usize * 700 + usize::from(which);
     Answer::new((0..len).map(|at| (at as u64 + seq.0) as u8 ^ which).collect())
@@ -364,13 +373,13 @@
 
     #[test]
     fn invariants(steps in vec(step(), 1..120)) {
-        let mut world = World::new();
-        world.handle(Event::Open);
+        let mut simulation = Simulation::new();
+        simulation.handle(Event::Open);
         for step in steps {
-            world.play(step);
+            simulation.apply(step);
         }
-        world.pass(TIMEOUT);
-        prop_assert_eq!(world.ended.len(), world.works.len(), "all work ends by its deadline");
-        world.check_answers();
+        simulation.pass(TIMEOUT);
+        prop_assert_eq!(simulation.ended.len(), simulation.requests.len(), "every call must end by its deadline");
+        simulation.check_answers();
     }
 }
